--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -192,7 +192,7 @@
   }
 
   private resumeAfterPause(now: number): void {
-    this.machines.manager.resumeAfterPause(now);
+    this.machines.manager.onProcessResumed(now);
     for (const part of this.machines.parts) part.ownPauseEnded?.(now);
   }
 
--- a/src/forwarding/forward-manager.ts
+++ b/src/forwarding/forward-manager.ts
@@ -139,7 +139,7 @@
 
   /// This process stood still until now. Its timers run before what waits in its sockets is read, so silence
   /// until now is nobody's.
-  resumeAfterPause(now: number): void {
+  onProcessResumed(now: number): void {
     this.resumedAt = now
     this.picker.resumeAfterPause(now)
   }
--- a/src/forwarding/retry/attempt-outcomes.ts
+++ b/src/forwarding/retry/attempt-outcomes.ts
@@ -69,7 +69,7 @@
         this.onWhole(session, attempt, event.status, now)
         break
       case "broken":
-        if (!event.isForeign) this.dependencies.quarantineGate.addBreak(session, attempt, now)
+        if (!event.isInvalidAnswer) this.dependencies.quarantineGate.addBrokenAttempt(session, attempt, now)
         this.onBroken(session, attempt, event.reason, now)
         break
     }
--- a/src/forwarding/retry/attempt-sender.ts
+++ b/src/forwarding/retry/attempt-sender.ts
@@ -123,7 +123,7 @@
     return {
       service,
       prompt: request.prompt,
-      confinedCaller: quarantineGate.getConfinedCaller(session, now),
+      confinedCaller: quarantineGate.getIsolatedCaller(session, now),
       prefilled: session.kvSource !== undefined,
       prefilledAt: session.kvSource?.address,
       bodyBytes: request.bodyBytes,
--- a/test/forwarding.test.ts
+++ b/test/forwarding.test.ts
@@ -169,7 +169,7 @@
     site.begin({ callerDeadlineMs: 9000 });
     site.event({ kind: 'streamStarted' }, 10);
     for (let now = 20; now < 200; now += 20) site.manager.tick(now);
-    site.manager.resumeAfterPause(1800);
+    site.manager.onProcessResumed(1800);
     site.manager.tick(1800);
     site.event({ kind: 'streamProgress', lastEventId: '2' }, 1801);
     for (let now = 1820; now < 2000; now += 20) site.manager.tick(now);
