--- a/src/forwarding/admit/quota-gate.ts
+++ b/src/forwarding/admit/quota-gate.ts
@@ -31,7 +31,7 @@
   constructor(private readonly context: QuotaContext) {}
 
   /// Asks for a request that has just been admitted.
-  enter(session: Session, now: number): QuotaAnswer {
+  checkQuota(session: Session, now: number): QuotaAnswer {
     const {request, route, tenant} = session
     if (!tenant?.quota) return GRANTED
     session.quotaCost = getQuotaCost(request, tenant)
@@ -43,16 +43,16 @@
   }
 
   /// The request goes to one more back end.
-  addSend({tenant, quotaCost, mayHaveRun}: Session, now: number): void {
-    if (tenant && quotaCost > 0 && mayHaveRun) this.context.chargeQuota(tenant, quotaCost, now)
+  addSend({tenant, quotaCost, mayHaveExecuted}: Session, now: number): void {
+    if (tenant && quotaCost > 0 && mayHaveExecuted) this.context.chargeQuota(tenant, quotaCost, now)
   }
 
   /// The request is over.
-  leave(session: Session, now: number): void {
-    const {request, tenant, quotaCost, quotaState, mayHaveRun, wasStopped} = session
+  onRequestFinished(session: Session, now: number): void {
+    const {request, tenant, quotaCost, quotaState, mayHaveExecuted, wasStopped} = session
     if (!tenant || quotaCost === 0) return
     if (quotaState === "waiting") this.context.removeQuotaRequest(request.id)
-    else if (quotaState === "decided" && !mayHaveRun && !wasStopped)
+    else if (quotaState === "decided" && !mayHaveExecuted && !wasStopped)
       this.context.chargeQuota(tenant, -quotaCost, now)
   }
 }
