--- a/src/forwarding/admit/forward-limits.ts
+++ b/src/forwarding/admit/forward-limits.ts
@@ -1,22 +1,23 @@
-/// What one daemon may put on back ends: its part of the connections that a back end takes, and which
-/// requests are rejected as overload. Owns no state; relies on the routes in force and on the choice of a
-/// back end.
+/// Limits on what one daemon sends to back ends: its share of the connections that a back end accepts, and
+/// which requests are refused as overload. Owns no state; relies on the routes in force and on the choice of
+/// a back end.
 import type {BackendChoice} from "../choose/backend-choice.js"
 import type {Session} from "../forward-session.js"
 import type {ForwardSettings} from "../forward-settings.js"
 import type {EngineTraits} from "../routes/route.js"
 import type {RouteTable} from "../routes/route-table.js"
 
-/// A caller that has less than this part of the route's time left has probably come back after a refusal.
-const FRESH_SHARE = 0.95
+/// A request whose caller deadline is below this share of the route's timeout is probably a retry after a
+/// refusal.
+const FIRST_TRY_SHARE = 0.95
 
 /// What the limits depend on.
 export interface LimitContext {
   /// The routes in force; undefined before the first configuration.
   getRoutes(): RouteTable | undefined
-  /// How long the store has not answered about the configuration; 0 when it does. Milliseconds.
+  /// For how long the store has not answered reads of the configuration; 0 while it answers. Milliseconds.
   getOutageMs(now: number): number
-  /// Daemons that share back ends and the retry budget.
+  /// Number of daemons that share back ends and the retry budget, this one included.
   getDaemonCount(): number
 }
 
@@ -27,23 +28,23 @@
     private readonly context: LimitContext
   ) {}
 
-  /// What the engines of the service have in common; undefined for services that are no engines.
+  /// Properties that all engines of the service share; undefined for services without model engines.
   getEngine(service: string): EngineTraits | undefined {
     return this.context.getRoutes()?.getService(service)?.engine
   }
 
-  /// Requests that this daemon may have on one back end. A back end takes so many connections from all
-  /// daemons together.
+  /// Requests that this daemon may have in flight at one back end. The connections that a back end accepts
+  /// are divided equally among the daemons.
   getMaximumInFlight(service: string): number {
     const maximum = this.context.getRoutes()?.getService(service)?.maximumConnections ?? Infinity
     const share = (maximum * this.settings.connectionUse) / this.context.getDaemonCount()
     return Math.max(1, Math.floor(share))
   }
 
-  /// Whether the request is rejected as overload: the plain back end has as many requests as it may have, or
-  /// the prompt is overdue, no engine has capacity for it, and its caller has not come back for it before.
+  /// Whether the request is refused as overload: the plain back end has reached its limit of requests, or the
+  /// prompt is overdue, no engine has capacity for it, and the caller has not already retried.
   isOverloaded(session: Session, choice: BackendChoice): boolean {
-    return this.isSaturated(choice) || (choice.saturated && !hasComeBack(session))
+    return this.isSaturated(choice) || (choice.saturated && !isProbablyRetried(session))
   }
 
   private isSaturated({backend}: BackendChoice): boolean {
@@ -53,7 +54,7 @@
   }
 }
 
-/// Whether the caller has probably come back after a refusal.
-function hasComeBack({request, route}: Session): boolean {
-  return (request.callerDeadlineMs ?? route.timeoutMs) < route.timeoutMs * FRESH_SHARE
+/// Whether the caller probably retries after a refusal.
+function isProbablyRetried({request, route}: Session): boolean {
+  return (request.callerDeadlineMs ?? route.timeoutMs) < route.timeoutMs * FIRST_TRY_SHARE
 }
--- a/src/forwarding/admit/quarantine-gate.ts
+++ b/src/forwarding/admit/quarantine-gate.ts
@@ -1,42 +1,43 @@
-/// Keeps requests that end the back ends that run them away from back ends, and tells what became of their
-/// runs.
+/// Applies the quarantine to requests: refuses those that crash the back ends that execute them, and reports
+/// the outcome of each attempt to the quarantine.
 import type {LiveAttempt, Session} from "../forward-session.js"
 import type {BackendRecord} from "../routes/route.js"
 
-/// Who knows under which requests back ends have ended.
+/// The quarantine, which knows during which requests back ends have crashed.
 export interface QuarantineContext {
-  /// How long a request is still to be kept from back ends; undefined when it may run. Milliseconds.
+  /// Remaining quarantine of a request; undefined when it may be sent. Milliseconds.
   getQuarantineMs(key: string, now: number): number | undefined
-  /// The caller whose requests may all run at one and the same back end only; undefined for most.
+  /// The caller, if it is isolated: all of its requests may run at one back end only. Undefined for most
+  /// requests.
   getIsolatedCaller(key: string, now: number): string | undefined
-  /// The connection of a run ended before the answer was whole.
+  /// The connection of an attempt closed before the answer was complete.
   onAttemptBroken(key: string, backend: BackendRecord, startedAt: number, now: number): void
-  /// A back end gave a whole answer, good or not.
+  /// A back end sent a complete answer, whether a success or an error.
   onAttemptAnswered(key: string, now: number): void
 }
 
-/// The gate of one daemon. Times are monotonic milliseconds.
+/// Checks the requests of one daemon. Times are monotonic milliseconds.
 export class QuarantineGate {
   constructor(private readonly context: QuarantineContext) {}
 
-  /// How long the request is still refused; undefined when it may be sent. Milliseconds.
+  /// Remaining time for which the request is refused; undefined when it may be sent. Milliseconds.
   getRefusedMs({key}: Session, now: number): number | undefined {
     return key === undefined ? undefined : this.context.getQuarantineMs(key, now)
   }
 
-  /// The caller to whose one back end the request is confined; undefined for most requests.
+  /// The isolated caller to whose back end the request is restricted; undefined for most requests.
   getIsolatedCaller({key}: Session, now: number): string | undefined {
     return key === undefined ? undefined : this.context.getIsolatedCaller(key, now)
   }
 
-  /// The connection of an attempt ended before the answer was whole. A call that only has the prompt computed
-  /// runs nothing.
+  /// The connection of an attempt closed before the answer was complete. Prefill-only attempts are ignored:
+  /// they do not execute the request.
   addBrokenAttempt({key}: Session, {choice, startedAt}: LiveAttempt, now: number): void {
     if (key === undefined || choice.prefillOnly) return
     this.context.onAttemptBroken(key, choice.backend.record, startedAt, now)
   }
 
-  /// The answer of an attempt is whole.
+  /// The answer of an attempt is complete.
   addAnswer({key}: Session, now: number): void {
     if (key !== undefined) this.context.onAttemptAnswered(key, now)
   }
--- a/src/forwarding/admit/request-admission.ts
+++ b/src/forwarding/admit/request-admission.ts
@@ -1,5 +1,5 @@
-/// Whether a request is taken on: which route it has, for whom its caller acts and which service gets it, or
-/// why it is rejected.
+/// Decides whether a request is accepted: finds its route, the tenant of its caller and the service that
+/// handles it, or the reason why it is refused.
 import {STATUS_NOT_FOUND, STATUS_UNAUTHORIZED} from "../../shared/http-status.js"
 import type {LimitContext} from "./forward-limits.js"
 import type {RetryAfter} from "./retry-after.js"
@@ -9,15 +9,15 @@
 import type {TenantDirectory} from "../routes/tenant-directory.js"
 import {WeightedChoice} from "../routes/weighted-choice.js"
 
-/// What the admission depends on.
+/// What admission depends on.
 export interface AdmissionContext extends LimitContext {
-  /// Callers' keys and whose they are.
+  /// The tenants and the keys of their callers.
   readonly tenants: TenantDirectory
-  /// Whether the configuration may be out of date, so that a missing route or key proves nothing.
+  /// Whether the configuration may be out of date, so that a missing route or key is not conclusive.
   configurationMayBeStale(now: number): boolean
 }
 
-/// A request that is taken on.
+/// A request that is accepted.
 export interface Admitted {
   readonly kind: "admitted"
   readonly route: Route
@@ -26,17 +26,17 @@
   readonly configurationVersion: number
 }
 
-/// What becomes of a request.
+/// The decision about a request.
 export type Admission =
   | Admitted
-  /// It has not run and will not; it may be served later, after so many milliseconds.
+  /// The request has not been executed and will not be; the caller may retry after `retryAfterMs`.
   | {readonly kind: "refused"; readonly failure: ForwardFailure; readonly retryAfterMs: number}
   /// The configuration does not allow it.
   | {readonly kind: "denied"; readonly status: number; readonly failure: ForwardFailure}
 
-/// The admission of one daemon. Times are monotonic milliseconds.
+/// Admission of requests to one daemon. Times are monotonic milliseconds.
 export class RequestAdmission {
-  private readonly split = new WeightedChoice()
+  private readonly targets = new WeightedChoice()
   private closed = false
 
   constructor(
@@ -44,12 +44,12 @@
     private readonly retryAfter: RetryAfter
   ) {}
 
-  /// From now on requests are refused: the process has no time left to finish them.
+  /// Refuses all further requests: the process has no time left to finish them.
   close(): void {
     this.closed = true
   }
 
-  /// Judges a request that has just arrived.
+  /// Decides about a request that has just arrived.
   admit({host, path, keyDigest}: ForwardRequest, now: number): Admission {
     if (this.closed)
       return {kind: "refused", failure: "stopping", retryAfterMs: this.retryAfter.getStoppingMs()}
@@ -59,13 +59,13 @@
     if (!route) return this.deny(STATUS_NOT_FOUND, "no-route", now)
     const caller = this.context.tenants.findCaller(route, keyDigest)
     if (!caller) return this.deny(STATUS_UNAUTHORIZED, "unknown-key", now)
-    const service = this.split.pickService(route)
+    const service = this.targets.pickService(route)
     if (service === undefined) return this.deny(STATUS_NOT_FOUND, "no-route", now)
     const {version: configurationVersion} = routes.configuration
     return {kind: "admitted", route, service, tenant: caller.tenant, configurationVersion}
   }
 
-  /// Where a newer configuration may allow the request, the caller is told to come back.
+  /// Denies the request, or refuses it with a Retry-After where a newer configuration may allow it.
   private deny(status: number, failure: ForwardFailure, now: number): Admission {
     const mayBeAllowed = this.context.configurationMayBeStale(now)
     return mayBeAllowed ? this.refuse("stale-configuration", now) : {kind: "denied", status, failure}
--- a/src/forwarding/finish/forward-answers.ts
+++ b/src/forwarding/finish/forward-answers.ts
@@ -1,4 +1,4 @@
-/// Answers of the daemon's own, and the log of what was decided about a request.
+/// Answers that the daemon generates itself, and the log of decisions about requests.
 import type {EffectSink} from "../../shared/effect-sink.js"
 import {
   STATUS_BAD_GATEWAY,
@@ -12,30 +12,31 @@
 import type {ForwardRequest} from "../forward-request.js"
 import type {Session} from "../forward-session.js"
 
-/// The tenant has used up its quota; the request has not run and will not.
+/// The tenant has exhausted its quota; the request has not been executed and will not be.
 export const STATUS_OVER_QUOTA = STATUS_TOO_MANY_REQUESTS
-/// The request may have run.
+/// The request failed and may have been executed.
 export const STATUS_BROKEN = STATUS_BAD_GATEWAY
-/// The time is over; the request may have run.
+/// The deadline has passed; the request may have been executed.
 export const STATUS_DEADLINE = STATUS_GATEWAY_TIMEOUT
 
-/// Statuses of requests that no back end has run, nor will: 401 for a missing or unknown key, 404 for no
-/// route, 429 and 503 with a Retry-After.
-const REFUSALS: ReadonlySet<number> = new Set([
+/// Statuses of requests that no back end has executed or will execute: 401 for a missing or unknown key, 404
+/// for no route, 429 and 503 with a Retry-After.
+const REFUSAL_STATUSES: ReadonlySet<number> = new Set([
   STATUS_UNAUTHORIZED,
   STATUS_NOT_FOUND,
   STATUS_OVER_QUOTA,
   STATUS_UNAVAILABLE
 ])
 
-/// Values that a decision rests on, for the log.
+/// Values on which a decision is based, for the log.
 export type DecisionFields = Readonly<Record<string, unknown>>
 
-/// The answers of one daemon. Times are monotonic milliseconds.
+/// Sends the answers that one daemon generates. Times are monotonic milliseconds.
 export class ForwardAnswers {
   constructor(private readonly emit: EffectSink<ForwardEffect>) {}
 
-  /// Answers with a failure. `retryAfterMs` is when the caller should come back, if the request has not run.
+  /// Answers with a failure. `retryAfterMs` is when the caller should retry, if the request has not been
+  /// executed.
   sendFailure(
     request: ForwardRequest,
     status: number,
@@ -46,7 +47,7 @@
     reasons: DecisionFields = {}
   ): void {
     this.emit({kind: "replyFailure", requestId: request.id, status, failure, retryAfterMs})
-    const refused = REFUSALS.has(status)
+    const refused = REFUSAL_STATUSES.has(status)
     const fields = {status, failure, retryAfterMs, ...(session && getProgress(session, now)), ...reasons}
     this.emit({
       kind: "decision",
@@ -56,7 +57,7 @@
     })
   }
 
-  /// Refuses a request that has not run and will not.
+  /// Refuses a request that has not been executed and will not be.
   sendRefusal(
     request: ForwardRequest,
     failure: ForwardFailure,
@@ -67,7 +68,7 @@
     this.sendFailure(request, STATUS_UNAVAILABLE, failure, retryAfterMs, now, session)
   }
 
-  /// Ends an answer that has begun, so that it does not look complete.
+  /// Breaks off an answer that has begun, so that it does not look complete.
   sendBroken(session: Session, failure: ForwardFailure, now: number): void {
     this.emit({kind: "replyBroken", requestId: session.request.id})
     this.logDecision("request.failed", session, {failure, ...getProgress(session, now)})
--- a/src/forwarding/finish/request-finisher.ts
+++ b/src/forwarding/finish/request-finisher.ts
@@ -1,6 +1,6 @@
-/// Ends requests: every request gets exactly one answer or none when its caller left, its attempt is stopped,
-/// and a KV cache that nobody will take is freed. A request is refused as "not run" only when no back end can
-/// have run it.
+/// Ends requests: every request gets exactly one answer, or none if its caller has disconnected; its attempt
+/// is stopped, and a KV cache that will not be used is freed. A request is refused as not executed only if no
+/// back end can have executed it.
 import type {EffectSink} from "../../shared/effect-sink.js"
 import {addUnansweredSample} from "../pace/attempt-pace.js"
 import {STATUS_UNAVAILABLE} from "../../shared/http-status.js"
@@ -17,7 +17,7 @@
 import type {QuotaGate} from "../admit/quota-gate.js"
 import type {QuotaRefusal} from "../admit/tenant-quota.js"
 
-/// The end of the requests of one daemon. Times are monotonic milliseconds.
+/// Ends the requests of one daemon. Times are monotonic milliseconds.
 export class RequestFinisher {
   constructor(
     private readonly retryAfter: RetryAfter,
@@ -27,7 +27,7 @@
     private readonly emit: EffectSink<ForwardEffect>
   ) {}
 
-  /// The caller went away: the work is cancelled, or its answer is dropped when it comes.
+  /// The caller has disconnected: cancels the attempt, or lets it finish and discards its answer.
   finishCancelled(session: Session, now: number): void {
     const {attempt} = session
     const finished = attempt !== undefined && isFinishedWithoutCaller(session)
@@ -44,7 +44,7 @@
     this.finish(session, now)
   }
 
-  /// Its tenant's quota does not allow it.
+  /// The quota of the tenant does not allow the request.
   finishOverQuota(session: Session, {retryAfterMs, fields}: QuotaRefusal, now: number): void {
     session.quotaState = "refused"
     const {request, tenant} = session
@@ -55,17 +55,17 @@
     this.finish(session, now)
   }
 
-  /// The time is over.
+  /// The deadline of the request has passed.
   finishAtDeadline(session: Session, now: number): void {
-    const notRun = !session.attempt && !session.mayHaveExecuted
-    if (session.attempt && !session.attempt.streaming) judgeUnanswered(session.attempt, now)
+    const notExecuted = !session.attempt && !session.mayHaveExecuted
+    if (session.attempt && !session.attempt.streaming) addUnansweredFailure(session.attempt, now)
     this.stopAttempt(session, now)
-    if (notRun)
+    if (notExecuted)
       this.finishFailed(session, STATUS_UNAVAILABLE, "deadline", this.retryAfter.getNotServedMs(), now)
     else this.finishFailed(session, STATUS_DEADLINE, "deadline", undefined, now)
   }
 
-  /// The answer of the attempt is whole and goes to the caller.
+  /// The answer of the attempt is complete: passes it on to the caller.
   finishAnswered(session: Session, attempt: LiveAttempt, status: number, now: number): void {
     const {attemptId} = attempt
     if (session.abandoned) this.emit({kind: "abortAttempt", attemptId})
@@ -80,7 +80,7 @@
     this.finish(session, now)
   }
 
-  /// No back end took it: refused as not run when that is certain.
+  /// No back end served the request: refuses it as not executed if that is certain.
   finishNotServed(
     session: Session,
     failure: ForwardFailure,
@@ -92,7 +92,7 @@
     else this.finishFailed(session, STATUS_UNAVAILABLE, failure, retryAfterMs, now, reasons)
   }
 
-  /// Answers with a failure of the daemon's own.
+  /// Answers with a failure that the daemon generates.
   finishFailed(
     session: Session,
     status: number,
@@ -107,7 +107,7 @@
     this.finish(session, now)
   }
 
-  /// Frees the KV cache that waits for the request.
+  /// Frees the KV cache that an engine keeps for the request.
   removeKv(session: Session): void {
     if (session.kvSource) this.emit({kind: "freeKv", source: session.kvSource})
     session.kvSource = undefined
@@ -129,8 +129,9 @@
   }
 }
 
-/// An engine that answers others was only busy; a plain back end should have answered.
-function judgeUnanswered(attempt: LiveAttempt, now: number): void {
+/// Records in the back end's health that an attempt had no answer by its deadline. An engine that still
+/// answers other requests was only busy; a plain back end should have answered.
+function addUnansweredFailure(attempt: LiveAttempt, now: number): void {
   const {backend} = attempt.choice
   if (backend.health.isSilent(now)) backend.health.onUnreachable(now)
   else if (backend.record.stage === undefined) backend.health.addFailure(now)
--- a/src/forwarding/forward-manager.ts
+++ b/src/forwarding/forward-manager.ts
@@ -1,7 +1,8 @@
-/// Forwards requests byte for byte: takes them on, has them sent to back ends (attempt-sender.ts), has the
-/// outcome of each attempt judged (attempt-outcomes.ts), and sees that every request has exactly one answer
-/// (request-finisher.ts). One session per request, at most one live attempt per session. A request that may
-/// not be repeated runs at most once, and is refused as "not run" only when no back end can have seen it.
+/// Forwards requests byte for byte: accepts them, has them sent to back ends (attempt-sender.ts), has the
+/// events of each attempt handled (attempt-outcomes.ts), and ensures that every request gets exactly one
+/// answer (request-finisher.ts). One session per request, at most one live attempt per session. A request
+/// that may not be repeated is executed at most once, and a request is refused as not executed only if no
+/// back end can have executed it.
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {SignalReport} from "./backends/backend-signals.js"
 import type {BackendView} from "./backends/backend-view.js"
@@ -25,14 +26,14 @@
 import type {RetryAllowance} from "./retry/retry-allowance.js"
 import {RetryPolicy} from "./retry/retry-policy.js"
 
-/// What the machine asks its daemon, and what it reports to it.
+/// What the machine gets from its daemon and reports to it.
 export interface ForwardContext extends AdmissionContext, QuotaContext, QuarantineContext {
-  /// Told once for each request of a tenant that a back end has begun to run, and when. Monotonic
-  /// milliseconds.
+  /// Called once for each request of a tenant when a back end has begun to execute it, with the time at
+  /// which it began. Monotonic milliseconds.
   onRequestBegan(tenant: string, at: number): void
-  /// Permits to send to back ends that name a limit.
+  /// Permits to send to back ends that declare a limit.
   readonly permits: PermitManager
-  /// Told of each answer of a back end.
+  /// Called with the signals that a back end sent in an answer.
   onSignals(view: BackendView, report: SignalReport, now: number): void
 }
 
@@ -46,6 +47,7 @@
   private readonly outcomes: AttemptOutcomes
   private readonly quotaGate: QuotaGate
   private readonly retryPolicy: RetryPolicy
+  /// Time until which the process was last paused.
   private resumedAt = -Infinity
 
   constructor(
@@ -62,7 +64,7 @@
     const quotaGate = new QuotaGate(context)
     const quarantineGate = new QuarantineGate(context)
     const finisher = new RequestFinisher(retryAfter, this.sessions, answers, quotaGate, emit)
-    const retryPolicy = new RetryPolicy({settings, allowance, getDaemons: () => context.getDaemonCount()})
+    const retryPolicy = new RetryPolicy({settings, allowance, getDaemonCount: () => context.getDaemonCount()})
     const shared = {retryPolicy, picker, limits, answers, finisher, quarantineGate, emit}
     const sender = new AttemptSender({...shared, settings, quotaGate, retryAfter, permits: context.permits})
     this.quotaGate = quotaGate
@@ -80,17 +82,17 @@
     this.admission = new RequestAdmission(context, retryAfter)
   }
 
-  /// Requests in hand.
+  /// Number of requests that are not finished.
   getActiveCount(): number {
     return this.sessions.size
   }
 
-  /// From now on new requests are refused: the process has no time left to finish them.
+  /// Refuses all further requests: the process has no time left to finish them.
   closeForNew(): void {
     this.admission.close()
   }
 
-  /// Takes a whole request from a caller.
+  /// Handles a request that has arrived completely.
   receiveRequest(request: ForwardRequest, now: number): void {
     const admission = this.admission.admit(request, now)
     switch (admission.kind) {
@@ -101,19 +103,19 @@
         this.answers.sendFailure(request, admission.status, admission.failure, undefined, now)
         break
       case "admitted":
-        this.beginAdmitted(request, admission, now)
+        this.startAdmitted(request, admission, now)
         break
     }
   }
 
-  /// The quota of the tenant of a request that waits for it has been decided.
+  /// Applies the quota decision for which a request waits.
   applyQuota(requestId: string, decision: QuotaDecision, now: number): void {
     const session = this.sessions.get(requestId)
     if (session?.quotaState === "waiting") this.onQuotaDecided(session, decision, now)
   }
 
-  /// Permits of back ends of the service were granted or refused: the most urgent requests that wait for one
-  /// come first, then the oldest.
+  /// Permits for back ends of the service were granted or refused: tries to send the requests that wait for
+  /// one, the most urgent first, then the oldest.
   sendWaiting(service: string, now: number): void {
     const waiting = [...this.sessions.values()].filter(
       session => session.awaitsPermit && session.service === service
@@ -122,13 +124,13 @@
     for (const session of waiting) this.sender.send(session, now)
   }
 
-  /// The caller went away: the work is cancelled.
+  /// Cancels a request whose caller has disconnected.
   cancel(requestId: string, now: number): void {
     const session = this.sessions.get(requestId)
     if (session) this.finisher.finishCancelled(session, now)
   }
 
-  /// Takes what became of an attempt. Events of attempts that are no longer live are dropped.
+  /// Handles an event of an attempt. Events of attempts that are no longer live are ignored.
   receiveAttemptEvent(requestId: string, attemptId: string, event: ForwardAttemptEvent, now: number): void {
     const session = this.sessions.get(requestId)
     const attempt = session?.attempt
@@ -137,14 +139,14 @@
     this.outcomes.receive(session, attempt, event, now)
   }
 
-  /// This process stood still until now. Its timers run before what waits in its sockets is read, so silence
-  /// until now is nobody's.
+  /// The process was paused until now. Its timers fire before the data that waits in its sockets is read, so
+  /// silence until now is not attributed to any back end.
   onProcessResumed(now: number): void {
     this.resumedAt = now
     this.picker.resumeAfterPause(now)
   }
 
-  /// Advances timers.
+  /// Handles deadlines, waits for permits that are over, and stalled attempts.
   tick(now: number): void {
     for (const session of [...this.sessions.values()]) {
       if (now >= session.deadlineAt) this.finisher.finishAtDeadline(session, now)
@@ -154,7 +156,7 @@
     }
   }
 
-  private beginAdmitted(request: ForwardRequest, admitted: Admitted, now: number): void {
+  private startAdmitted(request: ForwardRequest, admitted: Admitted, now: number): void {
     const {route, service, tenant, configurationVersion} = admitted
     const session = createSession(request, route, service, tenant)
     this.sessions.set(request.id, session)
--- a/src/forwarding/forward-messages.ts
+++ b/src/forwarding/forward-messages.ts
@@ -1,63 +1,63 @@
-/// What goes into the forwarding machine about its attempts, and what it asks its runner to do.
+/// Attempt events that the forwarding machine receives, and effects that it asks its daemon to perform.
 import type {BackendSignals} from "./backends/backend-signals.js"
 import type {BackendRecord} from "./routes/route.js"
 
-/// Where the KV cache of a prompt lies.
+/// Engine and handle under which the KV cache of a prompt is kept.
 export interface KvSource {
   readonly address: string
   readonly handle: string
 }
 
-/// One sending of a request to a back end.
+/// One attempt to have a request executed by a back end.
 export interface AttemptStart {
   readonly requestId: string
   readonly attemptId: string
   readonly backend: BackendRecord
-  /// The tenant for whom the caller acts, as the back end is told; undefined where callers need no key.
+  /// Name of the caller's tenant, which is passed to the back end; undefined where callers need no key.
   readonly tenant: string | undefined
   /// Compute the prompt and keep its KV cache; generate nothing.
   readonly prefillOnly: boolean
   readonly kvSource: KvSource | undefined
-  /// Address of an engine that keeps more of the prompt: it is copied from there before the rest is computed.
+  /// Address of an engine that keeps more of the prompt: its KV cache is copied before the rest is computed.
   readonly copyFrom: string | undefined
-  /// How long the back end may work. Milliseconds.
+  /// Time left for the back end to answer. Milliseconds.
   readonly remainingMs: number
-  /// Rank among the work of an engine; 0 goes first.
+  /// Rank in the queue of an engine; 0 goes first.
   readonly urgency: number
-  /// The answer is passed on as it comes; otherwise it is kept until it is whole.
+  /// The answer is passed on as it arrives; otherwise it is buffered until it is complete.
   readonly stream: boolean
-  /// The request may not be sent again when its connection fails: it needs one that has hardly rested.
+  /// The request may not be sent again if its connection fails: it needs one that was idle only briefly.
   readonly once: boolean
-  /// Continue a stream after this event.
+  /// Resume a stream after this event.
   readonly resumeAfter: string | undefined
 }
 
-/// What became of an attempt.
+/// Progress or outcome of an attempt.
 export type ForwardAttemptEvent =
-  /// No connection: the back end has seen no byte of the request.
+  /// No connection: the back end has received no byte of the request.
   | {readonly kind: "unreachable"; readonly reason: string}
-  /// The back end said that it did not run the request.
+  /// The back end rejected the request and has not executed it.
   | {
       readonly kind: "notExecuted"
       readonly status: number
       readonly wrongIncarnation: boolean
       readonly signals?: BackendSignals
     }
-  /// The prompt is computed; its KV cache waits.
+  /// The prompt is computed; its KV cache is kept under the handle.
   | {readonly kind: "prefilled"; readonly handle: string; readonly signals?: BackendSignals}
   /// A successful stream has begun.
   | {readonly kind: "streamStarted"; readonly signals?: BackendSignals}
   /// Whole events of the stream were passed on; `lastEventId` is the id of the last one.
   | {readonly kind: "streamProgress"; readonly lastEventId: string | undefined}
-  /// Its connection passes nothing, like all others of its age, while newer ones to the back end work.
+  /// No data arrives on its connection, nor on others of the same age, while newer ones to the back end work.
   | {readonly kind: "connectionSilent"}
-  /// The answer is whole: kept for an answer, passed on for a stream.
+  /// The answer is complete: buffered, or in the case of a stream passed on.
   | {readonly kind: "whole"; readonly status: number; readonly signals?: BackendSignals}
-  /// The answer broke off or was not the back end's: it may have run. `isForeign`: what came was no answer to
-  /// it, on a connection that stood.
+  /// The answer broke off or was invalid: the request may have been executed. `isInvalidAnswer`: the
+  /// connection stayed open, but what arrived was not an answer to this attempt.
   | {readonly kind: "broken"; readonly reason: string; readonly isInvalidAnswer?: boolean}
 
-/// Why a request gets an answer of the daemon's own.
+/// Why the daemon itself answers a request with a failure.
 export type ForwardFailure =
   | "no-configuration"
   | "stale-configuration"
@@ -75,15 +75,15 @@
   | "backend-limit"
   | "backing-off"
 
-/// What the machine asks for.
+/// Effects of the machine.
 export type ForwardEffect =
   | {readonly kind: "startAttempt"; readonly start: AttemptStart}
   | {readonly kind: "abortAttempt"; readonly attemptId: string}
-  /// Do not begin this attempt any more; one that has been sent is left to its back end.
+  /// Do not start this attempt if it has not been sent yet; otherwise let the back end finish it.
   | {readonly kind: "abandonAttempt"; readonly attemptId: string}
-  /// Pass on the kept answer of this attempt, or, for a stream, end the answer.
+  /// Pass on the buffered answer of this attempt, or end the answer of a stream.
   | {readonly kind: "replyWhole"; readonly requestId: string; readonly attemptId: string}
-  /// Answer with a failure of the daemon's own.
+  /// Answer with a failure that the daemon generates.
   | {
       readonly kind: "replyFailure"
       readonly requestId: string
@@ -91,20 +91,20 @@
       readonly failure: ForwardFailure
       readonly retryAfterMs: number | undefined
     }
-  /// The answer has begun and cannot be finished: it must not look complete.
+  /// Break off an answer that has begun and cannot be completed, so that it does not look complete.
   | {readonly kind: "replyBroken"; readonly requestId: string}
-  /// Free a KV cache that nobody will take.
+  /// Free a KV cache that will not be used.
   | {readonly kind: "freeKv"; readonly source: KvSource}
   /// A decision, for the log.
   | {
       readonly kind: "decision"
       readonly event: ForwardDecision
-      /// The caller's own id of the request.
+      /// The caller's id of the request.
       readonly callerId: string
       readonly fields: Readonly<Record<string, unknown>>
     }
 
-/// Stable names of decisions on a request.
+/// Names of decisions about a request; log readers rely on them.
 export type ForwardDecision =
   | "request.accepted"
   | "request.attempt"
--- a/src/forwarding/forward-request.ts
+++ b/src/forwarding/forward-request.ts
@@ -1,12 +1,12 @@
-/// A request to be forwarded, as its decisions need it; bytes stay with the gateway.
+/// A request to be forwarded: the properties on which decisions depend. The gateway keeps its bytes.
 
-/// One part of a prompt. Parts with one id hold the same tokens wherever they stand at the same place.
+/// One part of a prompt. Parts with the same id at the same position hold the same tokens.
 export interface PromptPart {
   readonly id: string
   readonly tokens: number
 }
 
-/// What a request says of its prompt.
+/// The description of a prompt that a request carries.
 export interface PromptOutline {
   readonly model: string
   readonly parts: readonly PromptPart[]
@@ -18,34 +18,35 @@
 export interface ForwardRequest {
   /// Unique within the daemon's process.
   readonly id: string
-  /// The caller's own id of the request, for logs.
+  /// The caller's id of the request, for logs.
   readonly callerId: string
   readonly host: string
   readonly path: string
   /// When the head of the request arrived.
   readonly arrivedAt: number
-  /// How long the caller waits from then on; undefined when it did not say. Milliseconds.
+  /// How long the caller waits after that; undefined if it did not say. Milliseconds.
   readonly callerDeadlineMs: number | undefined
   readonly prompt: PromptOutline | undefined
-  /// Bytes of its body; undefined counts as none.
+  /// Size of its body in bytes; undefined counts as 0.
   readonly bodyBytes?: number | undefined
-  /// Tokens of the prompt and the most that may be generated, together, as the caller says.
+  /// Prompt tokens plus the maximum of generated tokens, as stated by the caller.
   readonly usageTokens?: number | undefined
-  /// Digest of the key that the caller showed; undefined when it showed none.
+  /// Digest of the key that the caller sent; undefined if it sent none.
   readonly keyDigest?: string | undefined
-  /// Digest of what is asked: method, host, path and body. Undefined from callers of the machine that keep no
-  /// bytes.
+  /// Digest of method, host, path and body. Undefined from users of the machine that have no request bytes,
+  /// such as simulations.
   readonly contentDigest?: string | undefined
-  /// Where the caller's connection comes from, without its port.
+  /// IP address of the caller's connection.
   readonly callerAddress?: string | undefined
 }
 
-/// Tokens of the parts that other requests may share: all but the last, which is the request's own.
+/// Number of tokens in the parts that other requests may share: all but the last, which is specific to the
+/// request.
 export function getSharedTokens(prompt: PromptOutline): number {
   return prompt.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0)
 }
 
-/// A key that requests with the same shared parts have in common; empty when nothing is shared.
+/// A key that is equal for requests with the same shared parts; empty if there are none.
 export function getSharedKey(prompt: PromptOutline): string {
   return prompt.parts
     .slice(0, -1)
--- a/src/forwarding/forward-session.ts
+++ b/src/forwarding/forward-session.ts
@@ -6,74 +6,76 @@
 import {makeRequestKey} from "../quarantine/request-key.js"
 import type {Route, Tenant} from "./routes/route.js"
 
-/// The attempt that is under way. Times are monotonic milliseconds.
+/// The attempt in progress. Times are monotonic milliseconds.
 export interface LiveAttempt {
   readonly attemptId: string
   readonly choice: BackendChoice
   readonly startedAt: number
-  /// Start of the back end's incarnation that it is sent to; undefined where the platform does not tell.
+  /// Start of the back-end incarnation that it is sent to; undefined if the platform does not report it.
   readonly bornMs: number | undefined
   lastEventAt: number
-  /// A stream has begun to arrive.
+  /// Whether a stream has begun to arrive.
   streaming: boolean
-  /// When another back end was last looked for.
+  /// Time of the last search for another back end.
   lastSearchAt?: number
-  /// Its connection passes nothing, though its back end answers on others.
+  /// Whether no data arrives on its connection, though its back end answers on others.
   connectionSilent?: boolean
-  /// Requests of all daemons at the back end before this one.
+  /// Requests in flight at the back end, from all daemons, before this one.
   readonly inFlightBefore: number
-  /// Prompt tokens of all daemons that were to be computed there before this one's.
+  /// Prompt tokens queued there, from all daemons, before this attempt.
   readonly pendingTokens: number
-  /// When the first events of a stream came; undefined before.
+  /// Arrival of the first events of a stream; undefined before.
   firstEventAt: number | undefined
-  /// When the last events of the stream came.
+  /// Arrival of the last events of the stream.
   lastProgressAt: number
-  /// Times at which events came after the first.
+  /// Number of arrivals of events after the first; each may bring several events.
   events: number
 }
 
-/// One request. Times are monotonic milliseconds.
+/// The state of one request. Times are monotonic milliseconds.
 export interface Session {
   readonly request: ForwardRequest
   readonly route: Route
   readonly service: string
-  /// For whom the caller acts; undefined where callers need no key.
+  /// The caller's tenant; undefined where callers need no key.
   readonly tenant: Tenant | undefined
-  /// The same for each try of one caller for one thing; undefined where what is asked is not known.
+  /// The same for every retry of a request by the same caller; undefined if the content is not known.
   readonly key: string | undefined
   readonly deadlineAt: number
-  /// Back ends that it has been sent to.
+  /// Back ends that it is not sent to again.
   readonly excluded: Set<string>
   attempt: LiveAttempt | undefined
   sends: number
-  /// Arrivals at back ends, as the retry budget counts them.
+  /// Attempts that arrived at a back end, as the retry budget counts them.
   arrivals: number
+  /// Attempts that a back end may have executed.
   executions: number
-  /// Calls that had the prompt computed apart and that an engine may have taken up. Each after the first
-  /// counts as a run.
+  /// Separate computations of the prompt that an engine may have started. Each after the first counts as an
+  /// execution.
   prefills: number
+  /// Whether a back end may have executed the request.
   mayHaveExecuted: boolean
-  /// The head of a stream has been passed on.
+  /// Whether the head of a stream has been passed on.
   relaying: boolean
-  /// It has been counted for its tenant.
+  /// Whether it has been counted for its tenant.
   countedForTenant: boolean
   lastEventId: string | undefined
   kvSource: KvSource | undefined
-  /// The caller has left; a back end may finish what it has begun, and nothing is sent again.
+  /// Whether the caller has disconnected while the attempt goes on; the request is not sent again.
   abandoned: boolean
-  /// What it counts for its tenant's quota; 0 where none is held.
+  /// Its cost in the unit of its tenant's quota; 0 if no quota applies.
   quotaCost: number
-  /// "refused": it counts nothing.
+  /// "refused": nothing is charged.
   quotaState: "waiting" | "decided" | "refused"
-  /// It waits for a permit of a back end that names a limit.
+  /// Whether it waits for a permit for a back end that declares a limit.
   awaitsPermit: boolean
-  /// It waits no longer than this for its next send; undefined before it has waited. Monotonic milliseconds.
+  /// End of the wait for a permit for its next send; undefined if it has not waited for one.
   permitDueAt: number | undefined
-  /// An attempt was stopped while its back end may have been running the request.
+  /// Whether an attempt was stopped while its back end may have been executing the request.
   wasStopped: boolean
 }
 
-/// A request that has just been taken on.
+/// Creates the session of a request that has just been accepted.
 export function createSession(
   request: ForwardRequest,
   route: Route,
@@ -117,7 +119,7 @@
     : makeRequestKey(contentDigest, tenant?.name ?? callerAddress)
 }
 
-/// An attempt that begins now, before its back end counts it.
+/// Creates an attempt that starts now. Called before the attempt is added to its back end.
 export function createAttempt(attemptId: string, choice: BackendChoice, now: number): LiveAttempt {
   return {
     attemptId,
@@ -134,40 +136,39 @@
   }
 }
 
-/// Events of the stream have come.
+/// Records the arrival of events of a stream.
 export function addProgress(attempt: LiveAttempt, now: number): void {
   if (attempt.firstEventAt === undefined) attempt.firstEventAt = now
   else attempt.events += 1
   attempt.lastProgressAt = now
 }
 
-/// The attempt is over for its request and its back end.
+/// Removes an attempt that is over from its session and its back end.
 export function removeAttempt(session: Session, attempt: LiveAttempt): void {
   attempt.choice.backend.removeAttempt(attempt.attemptId)
   session.attempt = undefined
 }
 
-/// Whether the live attempt goes on when the caller leaves. An order that a back end has begun would be left
-/// half done, and its caller could not know; it is run to its end, within its time. Everything else is of no
-/// use without its caller.
+/// Whether the live attempt continues when the caller disconnects. Aborting a non-idempotent request could
+/// leave it half done without its caller knowing, so it is finished, within its deadline. Everything else is
+/// of no use without its caller.
 export function isFinishedWithoutCaller({route, attempt}: Session): boolean {
   return route.kind === "nonIdempotent" && attempt?.choice.prefillOnly === false
 }
 
-/// Ranks of one route's priority: short prompts, then long ones.
+/// Urgency ranks per priority: one for short prompts, then one for long ones.
 const RANKS_PER_PRIORITY = 2
 
-/// Rank of prompts that cannot be in time: they give way to all others. Higher than the rank of any priority
-/// from 0 to 3.
+/// Rank of overdue prompts, which yield to all others. Higher than the ranks of the priorities 0 to 3.
 const OVERDUE_RANK = 9
 
-/// The priority of the request, 0 the most urgent: its tenant's, or the route's.
+/// The priority of the request, 0 the most urgent: its tenant's if set, otherwise the route's.
 export function getPriority({route, tenant}: Session): number {
   return tenant?.priority ?? route.priority
 }
 
-/// How urgent an attempt is for its engine. Prompts are computed in turn, so a long one would hold up many
-/// short ones.
+/// The rank of an attempt in the queue of its engine. Prompts are computed one after another, so a long one
+/// would delay many short ones.
 export function getUrgency(session: Session, choice: BackendChoice, settings: ForwardSettings): number {
   if (choice.overdue) return OVERDUE_RANK
   const long = choice.prefillOnly && choice.promptTokens > settings.longPromptTokens
--- a/src/forwarding/forward-settings.ts
+++ b/src/forwarding/forward-settings.ts
@@ -2,28 +2,30 @@
 
 /// Settings of forwarding.
 export interface ForwardSettings {
-  /// A repeatable request without the beginning of an answer is moved after this share of its target, when
-  /// its back end answers nobody else either. Default 1.5.
+  /// A repeatable request whose answer has not begun is moved to another back end after this multiple of its
+  /// latency target, if its back end has stopped answering other requests too. Default 1.5.
   readonly stallTargetShare: number
-  /// The same at least. Milliseconds. Default 400.
+  /// Lower bound of that time. Milliseconds. Default 400.
   readonly minimumStallMs: number
-  /// A resumable stream without an event for so many target gaps is moved. Default 6.
+  /// A resumable stream is moved after this multiple of its target gap without an event. Default 6.
   readonly stallGaps: number
-  /// Sends of one request at most, prompts computed apart included. Default 6.
+  /// Maximum number of sends of one request, including separate computations of its prompt. Default 6.
   readonly maximumSends: number
-  /// When a refused caller should come back at the earliest. Milliseconds. Default 100.
+  /// Minimum Retry-After of a refused request. Milliseconds. Default 100.
   readonly retryAfterMs: number
-  /// The longest such time. While the store does not answer a daemon without a configuration, callers are
-  /// told to come back after the time that the outage has lasted so far, between these two. Milliseconds.
-  /// Default 3000.
+  /// Maximum Retry-After for outages and overload. While the store does not answer a daemon without a
+  /// configuration, the Retry-After is the duration of the outage so far, clamped to these two bounds.
+  /// Milliseconds. Default 3000.
   readonly maximumRetryAfterMs: number
-  /// A prompt with more tokens to compute yields to shorter ones of the same priority. Default 12000.
+  /// A prompt with more tokens than this to compute yields to shorter ones of the same priority. Default
+  /// 12000.
   readonly longPromptTokens: number
-  /// Part of a back end's connections that the daemons use. Default 0.9.
+  /// Share of a back end's connections that the daemons use. Default 0.9.
   readonly connectionUse: number
-  /// The same when this daemon is stopping: others can take the request at once. Milliseconds. Default 10.
+  /// Retry-After while this daemon is stopping: others can take the request immediately. Milliseconds. Default
+  /// 10.
   readonly stoppingRetryAfterMs: number
-  /// Requests that may be on a plain back end, as a share of its slots, before more are refused. Default 4.
+  /// Maximum number of requests at a plain back end, as a multiple of its slots; more are refused. Default 4.
   readonly plainSlotShare: number
 }
 
--- a/src/forwarding/kv-cache/kv-follower.ts
+++ b/src/forwarding/kv-cache/kv-follower.ts
@@ -1,8 +1,8 @@
-/// Follows what engines tell of their KV caches. Each engine is asked again and again for the changes since
-/// the last answer; it holds the call until there are some. An engine holds few such calls, so a fleet
-/// follows its engines only while every daemon can: where a part of the daemons followed each engine, the
-/// calls took a third of their processor time and told one choice in seven. A larger fleet learns from what
-/// its daemons had computed.
+/// Follows the changes of engines' KV caches by long polling: each engine is asked for the changes since the
+/// last answer and holds the call until there are some. An engine holds only a few such calls, so a fleet
+/// follows its engines only if every daemon can. When some of the daemons followed each engine, the calls
+/// took a third of their processor time and informed only one choice in seven. The daemons of a larger fleet
+/// rely on the placements that they publish to each other instead.
 import type {EffectSink} from "../../shared/effect-sink.js"
 import type {BackendDirectory} from "../backends/backend-directory.js"
 import type {KvChange, KvIndex} from "./kv-index.js"
@@ -12,12 +12,12 @@
 export interface KvFollowerSettings {
   /// How long an engine may hold a call. Milliseconds. Default 1000.
   readonly waitMs: number
-  /// Pause between an answer and the next call, so that changes come in batches. Milliseconds. Default 150.
+  /// Delay between an answer and the next call, so that changes arrive in batches. Milliseconds. Default 150.
   readonly pauseMs: number
-  /// The same after a call that failed. Milliseconds. Default 1000.
+  /// Delay after a failed call. Milliseconds. Default 1000.
   readonly retryMs: number
-  /// Daemons that may follow one engine: a larger fleet follows none. Default 10, what an engine holds in
-  /// calls.
+  /// Maximum number of daemons in a fleet that follows its engines; a larger fleet follows none. Default 10,
+  /// the number of calls that an engine holds.
   readonly followers: number
 }
 
@@ -29,25 +29,27 @@
   followers: 10
 }
 
-/// Asks an engine for changes of its cache.
+/// A call that asks an engine for the changes of its cache.
 export interface KvChangesCall {
   readonly backend: BackendRecord
-  /// Changes after this one; 0 for the oldest that it still has.
+  /// Asks for the changes after this one; 0 for the oldest that the engine still has.
   readonly since: number
+  /// How long the engine may hold the call. Milliseconds.
   readonly waitMs: number
 }
 
-/// What an engine told.
+/// Changes that an engine reported.
 export interface KvChanges {
-  /// Another one after a restart: nothing from before is kept.
+  /// Differs after a restart of the engine, which empties its cache.
   readonly epoch: string
-  /// Where the next call goes on.
+  /// The value of `since` for the next call.
   readonly next: number
-  /// Some changes before these are not known any more.
+  /// Whether the engine no longer has some of the changes before these.
   readonly lost: boolean
   readonly changes: readonly KvChange[]
 }
 
+/// State of the calls to one engine.
 interface FollowedEngine {
   epoch: string | undefined
   since: number
@@ -55,11 +57,12 @@
   calling: boolean
 }
 
-/// What the follower asks its daemon.
+/// What the follower depends on.
 interface KvFollowerContext {
-  /// Daemons of the fleet, this one included.
+  /// Number of daemons in the fleet, this one included.
   countMembers(): number
-  /// Tokens that fit into the cache of an engine of this service; undefined for services that are no engines.
+  /// Tokens that fit into the cache of an engine of this service; undefined for services without model
+  /// engines.
   capacityTokens(service: string): number | undefined
 }
 
@@ -79,7 +82,7 @@
   tick(now: number): void {
     for (const view of this.directory.all()) {
       const {stage, service} = view.record
-      // A record may name a service that no configuration has.
+      // A record may name a service that the configuration does not contain.
       const isEngine = stage !== undefined && this.context.capacityTokens(service) !== undefined
       if (!isEngine || view.isBackingOff(now) || view.health.needsProbe(now)) continue
       const engine = this.getEngine(view.record.id)
@@ -94,7 +97,7 @@
     }
   }
 
-  /// Takes an engine's answer; undefined when it gave none.
+  /// Applies an engine's answer; undefined if the call failed.
   receive(backend: BackendRecord, answer: KvChanges | undefined, now: number): void {
     const engine = this.engines.get(backend.id)
     if (!engine) return
@@ -106,15 +109,15 @@
       return
     }
     engine.nextCallAt = now + this.settings.pauseMs
-    const forgot = engine.epoch !== undefined && engine.epoch !== answer.epoch
-    if (forgot || answer.lost) this.index.removeEngine(backend.id)
+    const hasRestarted = engine.epoch !== undefined && engine.epoch !== answer.epoch
+    if (hasRestarted || answer.lost) this.index.removeEngine(backend.id)
     engine.epoch = answer.epoch
     engine.since = answer.next
     this.index.setFollowed(backend.id, true)
     for (const change of answer.changes) this.index.applyChange(backend.id, change, capacityTokens)
   }
 
-  /// The engine is gone.
+  /// Removes an engine whose record is gone.
   removeEngine(id: string): void {
     this.engines.delete(id)
     this.index.removeEngine(id)
--- a/src/forwarding/kv-cache/kv-index.ts
+++ b/src/forwarding/kv-cache/kv-index.ts
@@ -1,34 +1,36 @@
-/// Which prompt parts each engine keeps in its KV cache, as far as this daemon knows: from what it had
-/// computed itself, from what its peers had computed, and from the changes that engines tell. A part saves
-/// its tokens only where every part before it is kept too.
+/// Which prompt parts each engine keeps in its KV cache, as far as this daemon knows: from the prompts that
+/// were computed for itself and for its peers, and from the changes that engines report. The tokens of a part
+/// are saved only if every part before it is kept too.
 import {hashText} from "../../shared/rendezvous-hash.js"
 import type {PromptOutline} from "../forward-request.js"
 
-/// A part that was computed somewhere, in the form that travels: engine, hash of the part, tokens.
+/// A part that an engine has computed, as published to peers: engine, hash of the part, tokens.
 export type PartPlacement = [engineId: string, partHash: number, tokens: number]
 
-/// A change that an engine told of its cache: the part now keeps so many tokens there, 0 for none.
+/// A change that an engine reported of its cache: the number of the part's tokens that it now keeps, 0 for
+/// none.
 export interface KvChange {
   readonly model: string
   readonly partId: string
   readonly tokens: number
 }
 
-/// Placements kept for the next digest at most.
+/// Maximum number of placements kept for the next digest.
 const MAXIMUM_RECENT = 128
-/// Shorter parts are not told: to compute 256 tokens takes some 5 ms, and short prompts are by far the most.
-const MINIMUM_TOLD_TOKENS = 256
+/// Shorter parts are not published: computing 256 tokens takes about 5 ms, and most prompts by far are short.
+const MINIMUM_PUBLISHED_TOKENS = 256
 
 interface HashedPart {
   readonly hash: number
   readonly tokens: number
 }
 
-/// Parts of one engine in order of last use, with the tokens kept.
+/// Parts that one engine keeps, in order of last use, with the number of tokens kept.
 interface EngineParts {
   readonly tokensByPart: Map<number, number>
   total: number
-  /// The engine's own changes are followed: what peers say of it is older.
+  /// Whether this daemon follows the engine's changes; placements from peers are then ignored, as they are
+  /// older.
   followed: boolean
 }
 
@@ -38,39 +40,40 @@
   private readonly hashed = new WeakMap<PromptOutline, readonly HashedPart[]>()
   private recent: PartPlacement[] = []
 
-  /// This daemon had a prompt computed at the engine. Its own part is of use to nobody else.
+  /// The engine has computed a prompt for this daemon. Only the shared parts are recorded: the last part is of
+  /// no use to other requests.
   addComputedPrompt(engineId: string, prompt: PromptOutline, capacityTokens: number): void {
     for (const {hash, tokens} of this.getSharedParts(prompt)) {
-      if (tokens >= MINIMUM_TOLD_TOKENS) this.recent.push([engineId, hash, tokens])
+      if (tokens >= MINIMUM_PUBLISHED_TOKENS) this.recent.push([engineId, hash, tokens])
       this.setTokens(this.getParts(engineId), hash, tokens, capacityTokens)
     }
     this.recent.splice(0, this.recent.length - MAXIMUM_RECENT)
   }
 
-  /// A peer had such a part computed.
+  /// Applies a placement that a peer has published.
   applyPeerPlacement([engineId, hash, tokens]: PartPlacement, capacityTokens: number): void {
     const engine = this.getParts(engineId)
     if (!engine.followed) this.setTokens(engine, hash, tokens, capacityTokens)
   }
 
-  /// The engine told of a change.
+  /// Applies a change that the engine reported.
   applyChange(engineId: string, {model, partId, tokens}: KvChange, capacityTokens: number): void {
     this.setTokens(this.getParts(engineId), hashPart(model, partId), tokens, capacityTokens)
   }
 
-  /// Whether the engine's own changes are followed from now on.
+  /// Sets whether this daemon follows the engine's changes.
   setFollowed(engineId: string, followed: boolean): void {
     this.getParts(engineId).followed = followed
   }
 
-  /// What this daemon had computed since the last call.
+  /// Returns the placements computed for this daemon since the last call.
   takeRecentPlacements(): PartPlacement[] {
     const {recent} = this
     this.recent = []
     return recent
   }
 
-  /// Tokens of the prompt, from its beginning, that the engine is believed to keep.
+  /// Number of tokens from the beginning of the prompt that the engine is assumed to keep.
   getKeptTokens(engineId: string, prompt: PromptOutline): number {
     const tokensByPart = this.engines.get(engineId)?.tokensByPart
     if (!tokensByPart) return 0
@@ -83,13 +86,13 @@
     return kept
   }
 
-  /// The engine has lost its cache, or is gone.
+  /// Removes an engine that has lost its cache or is gone.
   removeEngine(engineId: string): void {
     this.engines.delete(engineId)
   }
 
-  /// Parts that other requests may share: all but the last, which is the request's own. Every engine is
-  /// looked up for a prompt, some of them twice: the parts are hashed once.
+  /// Parts that other requests may share: all but the last, which is specific to the request. The hashes are
+  /// cached, since one prompt is looked up at every engine, at some of them twice.
   private getSharedParts(prompt: PromptOutline): readonly HashedPart[] {
     let parts = this.hashed.get(prompt)
     if (!parts) {
@@ -105,7 +108,8 @@
     return engine
   }
 
-  /// What was used longest ago gives way, as in the engine.
+  /// Sets the tokens kept of a part and evicts the least recently used parts beyond the capacity, as the engine
+  /// does.
   private setTokens(engine: EngineParts, hash: number, tokens: number, capacityTokens: number): void {
     engine.total += tokens - (engine.tokensByPart.get(hash) ?? 0)
     engine.tokensByPart.delete(hash)
--- a/src/forwarding/retry/attempt-outcomes.ts
+++ b/src/forwarding/retry/attempt-outcomes.ts
@@ -1,5 +1,5 @@
-/// Takes the outcome of each attempt: updates the session and the back end's health, then has the request
-/// sent again (who may is decided in retry-policy.ts), answered or finished.
+/// Handles the events of each attempt: updates the session and the back end's health, then has the request
+/// retried (as retry-policy.ts decides), answered or failed.
 import type {EffectSink} from "../../shared/effect-sink.js"
 import {FIRST_SERVER_ERROR_STATUS} from "../../shared/http-status.js"
 import {addFirstEventSample, addUnansweredSample, addWholeSample} from "../pace/attempt-pace.js"
@@ -16,9 +16,9 @@
 import type {RequestFinisher} from "../finish/request-finisher.js"
 import type {RetryPolicy} from "./retry-policy.js"
 
-/// Pause between two searches for another back end for a stalled request. Milliseconds; a search weighs every
-/// back end, and where all are saturated many requests are stalled at once.
-const LOOK_AGAIN_MS = 200
+/// Interval between searches for another back end for a stalled request. Milliseconds. A search examines
+/// every back end, and many requests stall at once when all back ends are saturated.
+const SEARCH_INTERVAL_MS = 200
 
 /// What the outcomes rely on.
 interface AttemptOutcomesDependencies {
@@ -30,18 +30,19 @@
   readonly limits: ForwardLimits
   readonly answers: ForwardAnswers
   readonly quarantineGate: QuarantineGate
-  /// Called once for each request of a tenant that a back end has begun to run, with the time of that.
-  /// Monotonic milliseconds.
+  /// Called once for each request of a tenant when a back end has begun to execute it, with the time at
+  /// which it began. Monotonic milliseconds.
   readonly onRequestBegan: (tenant: string, at: number) => void
+  /// Called with the signals that a back end sent in an answer.
   readonly onSignals: (view: BackendView, report: SignalReport, now: number) => void
   readonly emit: EffectSink<ForwardEffect>
 }
 
-/// The outcomes of the attempts of one daemon. Times are monotonic milliseconds.
+/// Handles the attempts of one daemon. Times are monotonic milliseconds.
 export class AttemptOutcomes {
   constructor(private readonly dependencies: AttemptOutcomesDependencies) {}
 
-  /// Takes an event of the live attempt of a request.
+  /// Handles an event of the live attempt of a request.
   receive(session: Session, attempt: LiveAttempt, event: ForwardAttemptEvent, now: number): void {
     this.applySignals(attempt, event, now)
     switch (event.kind) {
@@ -75,7 +76,8 @@
     }
   }
 
-  /// What an answer says of its back end counts for the incarnation that gave it.
+  /// Reports the signals in an answer, unless the back end has restarted since the attempt began: they apply
+  /// to the incarnation that sent them.
   private applySignals(
     {choice, startedAt, bornMs}: LiveAttempt,
     event: ForwardAttemptEvent,
@@ -86,11 +88,11 @@
     this.dependencies.onSignals(choice.backend, report, now)
   }
 
-  /// The attempt makes no progress: the request is sent to another back end, when there is one and the budget
-  /// has a retry for it.
+  /// The attempt makes no progress: moves the request to another back end, if one would take it and the
+  /// budget has a retry left.
   onStalled(session: Session, attempt: LiveAttempt, now: number): void {
     const {retryPolicy, sender} = this.dependencies
-    if (now - (attempt.lastSearchAt ?? -Infinity) < LOOK_AGAIN_MS) return
+    if (now - (attempt.lastSearchAt ?? -Infinity) < SEARCH_INTERVAL_MS) return
     attempt.lastSearchAt = now
     if (!retryPolicy.hasRetryLeft(session, now) || !sender.hasAlternative(session, attempt, now)) return
     addUnansweredSample(attempt, now)
@@ -149,7 +151,7 @@
     removeAttempt(session, attempt)
     session.prefills += 1
     this.dependencies.picker.addPromptSample(attempt.choice, now - attempt.startedAt)
-    this.addComputed(session, backend)
+    this.addComputedPrompt(session, backend)
     session.kvSource = {address: backend.record.address, handle}
     this.dependencies.answers.logDecision("request.prefilled", session, {
       backend: backend.record.id,
@@ -163,20 +165,20 @@
     attempt.choice.backend.onAnswering(attempt.attemptId, now)
     session.relaying = true
     session.mayHaveExecuted = true
-    this.addBegun(session, now)
+    this.onExecutionStarted(session, now)
     this.dependencies.answers.logDecision("request.streaming", session, {
       backend: attempt.choice.backend.record.id,
       afterMs: Math.round(now - session.request.arrivedAt)
     })
     addFirstEventSample(attempt, session.kvSource !== undefined, now)
     if (session.kvSource) session.kvSource = undefined
-    else this.addComputed(session, attempt.choice.backend)
+    else this.addComputedPrompt(session, attempt.choice.backend)
   }
 
   private onWhole(session: Session, attempt: LiveAttempt, status: number, now: number): void {
     const {backend} = attempt.choice
     this.dependencies.quarantineGate.addAnswer(session, now)
-    this.addRun(session, attempt)
+    this.addExecution(session, attempt)
     const failed = status >= FIRST_SERVER_ERROR_STATUS
     if (failed) backend.health.addFailure(now)
     else backend.health.addSuccess(now)
@@ -192,20 +194,20 @@
       this.dependencies.sender.send(session, now)
       return
     }
-    // A failure in place of the rest of a stream that the caller has part of: its end must not look like the
-    // stream's.
+    // The caller has part of a stream, and the resumed attempt answered with a failure: the answer must not
+    // look like a stream that ended normally.
     if (session.relaying && !attempt.streaming) {
       this.dropAnswer(attempt)
       this.dependencies.finisher.finishFailed(session, STATUS_BROKEN, "broken", undefined, now)
     } else this.dependencies.finisher.finishAnswered(session, attempt, status, now)
   }
 
-  /// The answer is kept until it is passed on or let go.
+  /// Discards an answer, which is otherwise buffered until it is passed on.
   private dropAnswer({attemptId}: LiveAttempt): void {
     this.dependencies.emit({kind: "abortAttempt", attemptId})
   }
 
-  /// The attempt broke off after its back end may have begun to run the request.
+  /// The attempt failed after its back end may have begun to execute the request.
   private onBroken(session: Session, attempt: LiveAttempt, reason: string, now: number): void {
     const {backend} = attempt.choice
     if (!attempt.connectionSilent) {
@@ -225,7 +227,7 @@
       this.onPrefillBroken(session, attempt, now)
       return
     }
-    this.addRun(session, attempt)
+    this.addExecution(session, attempt)
     session.kvSource = undefined
     if (this.dependencies.retryPolicy.tryRetryExecuted(session, now))
       this.dependencies.sender.send(session, now)
@@ -240,29 +242,30 @@
     this.sendAgainOrFinish(session, mayRetry, "turned-away", now)
   }
 
-  /// Sends the request again, or tells its caller that no back end served it.
+  /// Retries the request, or answers that no back end served it.
   private sendAgainOrFinish(session: Session, mayRetry: boolean, failure: ForwardFailure, now: number): void {
     if (mayRetry) this.dependencies.sender.send(session, now)
     else this.dependencies.finisher.finishNotServed(session, failure, now)
   }
 
-  /// The attempt is over, and its back end may have run the request.
-  private addRun(session: Session, attempt: LiveAttempt): void {
+  /// The attempt is over, and its back end may have executed the request.
+  private addExecution(session: Session, attempt: LiveAttempt): void {
     removeAttempt(session, attempt)
     session.arrivals += 1
     session.executions += 1
     session.mayHaveExecuted = true
-    this.addBegun(session, attempt.startedAt)
+    this.onExecutionStarted(session, attempt.startedAt)
   }
 
-  /// A back end has begun to run the request, at `at` as far as that is known.
-  private addBegun(session: Session, at: number): void {
+  /// A back end has begun to execute the request, at `at` as far as that is known. Reported once per request.
+  private onExecutionStarted(session: Session, at: number): void {
     if (session.countedForTenant || !session.tenant) return
     session.countedForTenant = true
     this.dependencies.onRequestBegan(session.tenant.name, at)
   }
 
-  private addComputed(session: Session, backend: BackendView): void {
+  /// Records that the back end now keeps the shared parts of the prompt.
+  private addComputedPrompt(session: Session, backend: BackendView): void {
     const {prompt} = session.request
     if (!prompt) return
     const engine = this.dependencies.limits.getEngine(session.service)
@@ -271,7 +274,7 @@
   }
 }
 
-/// Whether a back end gave this answer in the ordinary course of its work.
+/// Whether a back end sent this answer in normal operation, neither refusing the request nor failing.
 function isRegularAnswer(event: ForwardAttemptEvent): boolean {
   if (event.kind === "whole") return event.status < FIRST_SERVER_ERROR_STATUS
   return event.kind === "streamStarted" || event.kind === "prefilled"
--- a/src/forwarding/retry/attempt-sender.ts
+++ b/src/forwarding/retry/attempt-sender.ts
@@ -1,5 +1,5 @@
-/// Sends requests to the back ends that the picker chooses, or rejects them. At most one live attempt per
-/// request. Who may be sent again is decided in retry-policy.ts.
+/// Sends requests to the back ends that the picker chooses, or refuses them. A request has at most one live
+/// attempt. Whether it may be retried is decided in retry-policy.ts.
 import type {EffectSink} from "../../shared/effect-sink.js"
 import type {BackendPicker} from "../choose/backend-picker.js"
 import type {BackendView} from "../backends/backend-view.js"
@@ -16,7 +16,8 @@
 import type {RequestFinisher} from "../finish/request-finisher.js"
 import {isRepeatable, type RetryPolicy} from "./retry-policy.js"
 
-/// A back end that has just turned the request away may be backed off from like the others.
+/// Back ends that have already rejected the request count as well when looking for those that this daemon
+/// backs off from.
 const NONE_EXCLUDED: ReadonlySet<string> = new Set()
 
 /// What the sender relies on.
@@ -34,11 +35,11 @@
   readonly emit: EffectSink<ForwardEffect>
 }
 
-/// The sends of one daemon. Times are monotonic milliseconds.
+/// Sends the requests of one daemon. Times are monotonic milliseconds.
 export class AttemptSender {
   constructor(private readonly dependencies: AttemptSenderDependencies) {}
 
-  /// Sends the request to the back end that the picker chooses, or rejects it.
+  /// Sends the request to the back end that the picker chooses, or refuses it.
   send(session: Session, now: number): void {
     const {finisher, limits, quarantineGate, retryAfter, retryPolicy} = this.dependencies
     const refusedMs = quarantineGate.getRefusedMs(session, now)
@@ -46,11 +47,11 @@
       finisher.finishNotServed(session, "quarantined", now, refusedMs)
       return
     }
-    const limited = this.askPermits(session, now)
+    const limited = this.addPermitRequests(session, now)
     const choice = this.pickBackend(session, session.excluded, now)
     if (!choice) {
       if (limited.length > 0) this.waitForPermit(session, limited, now)
-      else this.rejectWithoutBackend(session, now)
+      else this.refuseWithoutBackend(session, now)
       return
     }
     session.awaitsPermit = false
@@ -63,7 +64,7 @@
     this.startAttempt(session, choice, now)
   }
 
-  /// Whether another back end would take the request now. An attempt is not aborted for nothing.
+  /// Whether another back end would take the request now: an attempt is aborted only if there is one.
   hasAlternative(session: Session, {choice: {backend}, connectionSilent}: LiveAttempt, now: number): boolean {
     const excluded = new Set(session.excluded)
     if (!connectionSilent) excluded.add(backend.record.id)
@@ -71,8 +72,8 @@
     return choice !== undefined && !this.dependencies.limits.isOverloaded(session, choice)
   }
 
-  /// Asks for permits of the back ends that name a limit. Returns these back ends.
-  private askPermits(session: Session, now: number): readonly BackendView[] {
+  /// Requests permits for the back ends that declare a limit. Returns these back ends.
+  private addPermitRequests(session: Session, now: number): readonly BackendView[] {
     const {permits, picker} = this.dependencies
     const demand = permits.getDemand(session.service)
     if (!demand) return []
@@ -86,8 +87,9 @@
     return groups.flatMap(({limited}) => limited)
   }
 
-  /// No back end takes the request: none is there, or this daemon backs off from all of them.
-  private rejectWithoutBackend(session: Session, now: number): void {
+  /// Refuses the request because no back end can take it: none is available, or this daemon backs off from
+  /// all of them.
+  private refuseWithoutBackend(session: Session, now: number): void {
     const {finisher, picker} = this.dependencies
     const backedOff = picker.findBackingOff(this.makeQuery(session, NONE_EXCLUDED, now), now)
     if (backedOff.length === 0) {
@@ -98,8 +100,8 @@
     finisher.finishNotServed(session, "backing-off", now, backOffEnd - now, {backends: getIds(backedOff)})
   }
 
-  /// Only a back end that names a limit could take the request: it waits for the answer to an ask for a
-  /// permit, if there is one under way, and is refused at once otherwise.
+  /// Only back ends that declare a limit could take the request: it waits for a permit if one has been
+  /// requested and not answered yet, and is refused immediately otherwise.
   private waitForPermit(session: Session, limited: readonly BackendView[], now: number): void {
     const {finisher, permits} = this.dependencies
     session.permitDueAt ??= now + getLongestWaitMs(session.route)
--- a/src/forwarding/routes/route-schema.ts
+++ b/src/forwarding/routes/route-schema.ts
@@ -1,4 +1,4 @@
-/// The checked form of a configuration of routes.
+/// Validates a route configuration.
 import * as z from "zod"
 import type {RouteConfiguration} from "./route.js"
 
@@ -69,7 +69,7 @@
   quota: quota.optional()
 })
 
-/// The schema; its issues name the field that is wrong.
+/// Schema of a route configuration; each issue names the invalid field.
 export const routeConfigurationSchema: z.ZodType<RouteConfiguration> = z.object({
   version: z.number().finite(),
   routes: z.array(route),
--- a/src/forwarding/routes/route-table.ts
+++ b/src/forwarding/routes/route-table.ts
@@ -1,4 +1,4 @@
-/// Finds the route of a request in one version of the configuration.
+/// Looks up the route of a request in one version of the configuration.
 import type {BackendService, Route, RouteConfiguration} from "./route.js"
 
 /// An index over the routes of one configuration.
--- a/src/forwarding/routes/route.ts
+++ b/src/forwarding/routes/route.ts
@@ -1,10 +1,11 @@
-/// Routes, back-end services and back ends as the daemon knows them, whatever form an operator writes them
-/// in.
+/// Routes, back-end services and back ends in the form that the daemon uses, independent of the format in
+/// which an operator writes them.
 
-/// How a request may be handled: whether it may run again, and whether its answer is a stream of events.
+/// How a request may be handled: whether it may be executed again, and whether its answer is a stream of
+/// events.
 export type RequestKind = "idempotent" | "nonIdempotent" | "stream"
 
-/// One part of a route's traffic.
+/// A service that receives part of a route's traffic.
 export interface RouteTarget {
   readonly service: string
   /// Share of the traffic, relative to the other targets of the route.
@@ -15,31 +16,31 @@
 export interface Route {
   readonly name: string
   readonly host: string
-  /// Begins and ends with a slash; the longest one that begins the path wins.
+  /// Begins and ends with a slash; the longest matching prefix wins.
   readonly pathPrefix: string
   readonly kind: RequestKind
-  /// Whether a stream may go on at another back end after its last event.
+  /// Whether a stream may be resumed at another back end after its last event.
   readonly resumable: boolean
-  /// The longest that a request may be held. Milliseconds.
+  /// Maximum time until a request is answered. Milliseconds.
   readonly timeoutMs: number
-  /// Time to the answer, or to a stream's first event, that the operator wants. Milliseconds.
+  /// Target time to the answer, or to the first event of a stream. Milliseconds.
   readonly targetLatencyMs: number
-  /// The longest pause between events that the operator wants. Milliseconds.
+  /// Target for the longest gap between two events of a stream. Milliseconds.
   readonly targetGapMs: number
   /// 0 is the most urgent.
   readonly priority: number
-  /// Back ends on which one request may run.
+  /// Maximum number of back ends at which one request may be executed.
   readonly maximumAttempts: number
-  /// Callers need no key, and what they claim about themselves counts for nothing.
+  /// Callers need no key, and what they claim about their identity is ignored.
   readonly isPublic: boolean
   readonly targets: readonly RouteTarget[]
 }
 
-/// What the operator says of a service's back ends.
+/// Configuration of a service and its back ends.
 export interface BackendService {
   readonly name: string
   readonly healthPath: string
-  /// Connections that one back end takes from all daemons together.
+  /// Connections that one back end accepts from all daemons together.
   readonly maximumConnections: number
   /// Present when the back ends are model engines.
   readonly engine: EngineTraits | undefined
@@ -47,101 +48,102 @@
   readonly scaling?: ScalingRules | undefined
 }
 
-/// What the operator allows of ordering back ends, and what they cost.
+/// Limits within which the daemons may order back ends, and the costs of these.
 export interface ScalingRules {
-  /// Back ends that a zone has at least, and at most, of both kinds together.
+  /// Minimum and maximum number of back ends in a zone, spot and others together.
   readonly min: number
   readonly max: number
-  /// From the order until a back end serves. Milliseconds.
+  /// Time from the order until a back end serves requests. Milliseconds.
   readonly bootMs: number
-  /// Price of a spot back end as a part of that of others; undefined where there are none.
+  /// Price of a spot back end relative to that of others; undefined where there are no spot back ends.
   readonly spotPrice: number | undefined
   /// Price of a back end for each zone in which the service runs.
   readonly zonePrices: Readonly<Record<string, number>>
 }
 
-/// What all model engines of a service have in common.
+/// Properties that all model engines of a service share.
 export interface EngineTraits {
-  /// Requests that run at once.
+  /// Requests that an engine executes concurrently.
   readonly slots: number
   /// Tokens that fit into the KV cache.
   readonly kvCapacityTokens: number
-  /// How long an exported KV cache is kept for its taker. Milliseconds.
+  /// How long an exported KV cache is kept for the engine that imports it. Milliseconds.
   readonly kvHandleLifetimeMs: number
-  /// How long an engine is away while it changes its stage. Milliseconds; not told by older daemons.
+  /// How long an engine is unavailable while it changes its stage. Milliseconds; not sent by older
+  /// daemons.
   readonly stageChangeMs?: number | undefined
-  /// Bytes that a token takes up in the KV cache, and the link over which engines copy it, in megabits per
-  /// second; not told by older daemons.
+  /// Size of a token in the KV cache, in bytes, and speed of the link over which engines copy it, in megabits
+  /// per second; not sent by older daemons.
   readonly tokenBytes?: number | undefined
   readonly linkMbps?: number | undefined
-  /// Whether a running request's KV cache can be copied to another engine, and whether it can be copied as it
-  /// grows.
+  /// Whether the KV cache of a running request can be copied to another engine, and whether it can be copied
+  /// continuously while it grows.
   readonly canMove?: boolean | undefined
   readonly canReplicate?: boolean | undefined
 }
 
-/// A customer of the operator. A caller proves with a key that it acts for one.
+/// A customer of the operator. A caller authenticates with a key as acting for one.
 export interface Tenant {
   readonly name: string
-  /// Digests of the keys that are valid now. Keys themselves are known to the platform's adapter alone.
+  /// Digests of the valid keys. Only the platform's adapter knows the keys themselves.
   readonly keyDigests: readonly string[]
-  /// Rank of its requests in place of the route's, 0 the most urgent; undefined leaves the route's.
+  /// Priority of its requests in place of the route's, 0 the most urgent; undefined for the route's.
   readonly priority?: number | undefined
-  /// What its requests may come to over all daemons; undefined where nothing limits them.
+  /// Limit on its requests over all daemons; undefined for no limit.
   readonly quota?: TenantQuota | undefined
 }
 
 /// A limit on a tenant's requests, in tokens or in requests.
 export interface TenantQuota {
   readonly ratePerSecond: number
-  /// Beyond the rate, at once.
+  /// What may be used beyond the rate in a burst.
   readonly burst: number
-  /// A request counts its prompt and the most that it may generate.
+  /// Whether the unit is tokens: a request costs its prompt tokens plus its maximum of generated ones.
   readonly countsTokens: boolean
-  /// What a request counts that says nothing of tokens, or any request where tokens are not counted.
+  /// Cost of a request that does not state its tokens, or of any request if the unit is requests.
   readonly plainCost: number
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 export interface CallerLimits {
   readonly maximumHeaderBytes: number
   readonly maximumBodyBytes: number
-  /// Milliseconds.
+  /// Time within which the whole request head must arrive. Milliseconds.
   readonly headerTimeoutMs: number
-  /// How long a connection may rest between requests. Milliseconds.
+  /// How long a connection may be idle between requests. Milliseconds.
   readonly idleTimeoutMs: number
 }
 
-/// One version of the operator's configuration. Versions rise.
+/// One version of the operator's configuration. Version numbers increase.
 export interface RouteConfiguration {
   readonly version: number
   readonly routes: readonly Route[]
   readonly services: readonly BackendService[]
   readonly limits: CallerLimits
-  /// Null where callers need no keys. A configuration that says nothing about tenants is not read at all:
-  /// taken for one without keys, it would open every route.
+  /// Null if callers need no keys. A configuration without the field is rejected: read as one without keys,
+  /// it would open every route to anybody.
   readonly tenants: readonly Tenant[] | null
 }
 
-/// Stage of a model engine: it computes prompts for others, or generates.
+/// Stage of a model engine: it computes prompts for other engines, or generates tokens.
 export type EngineStage = "prefill" | "decode"
 
 /// One incarnation of a back end.
 export interface BackendRecord {
-  /// A back end that starts again may keep it.
+  /// A back end may keep it when it restarts.
   readonly id: string
   readonly service: string
   /// `ip:port`.
   readonly address: string
   readonly zone: string
-  /// Requests that it works on at once.
+  /// Requests that it executes concurrently.
   readonly slots: number
   readonly state: "ready" | "draining"
   /// Undefined for back ends that are not model engines.
   readonly stage: EngineStage | undefined
-  /// It may be taken away at any time, together with all others of its zone, and costs less.
+  /// A spot back end: it may be reclaimed at any time, together with all others of its zone, and costs less.
   readonly isSpot?: boolean | undefined
-  /// The time of day of its start, which tells incarnations with one id apart. Milliseconds; undefined where
-  /// the platform does not tell.
+  /// Wall-clock time of its start, which distinguishes incarnations with the same id. Milliseconds; undefined
+  /// if the platform does not report it.
   readonly bornMs?: number | undefined
 }
--- a/src/forwarding/routes/tenant-directory.ts
+++ b/src/forwarding/routes/tenant-directory.ts
@@ -1,14 +1,14 @@
-/// Whose key a caller shows. One look-up a request, at any number of tenants; a new configuration touches
-/// only the tenants that it changes.
+/// Finds the tenant of a caller by its key. One map look-up per request for any number of tenants; a new
+/// configuration updates only the tenants that it changes.
 import type {Route, Tenant, TenantQuota} from "./route.js"
 
-/// Who a caller acts for.
+/// An authenticated caller.
 export interface Caller {
-  /// Undefined where callers need no key.
+  /// The tenant for whom it acts; undefined where callers need no key.
   readonly tenant: Tenant | undefined
 }
 
-const ANYBODY: Caller = {tenant: undefined}
+const ANONYMOUS_CALLER: Caller = {tenant: undefined}
 
 /// The tenants of one daemon.
 export class TenantDirectory {
@@ -16,20 +16,20 @@
   private readonly byKeyDigest = new Map<string, Caller>()
   private needsKeys = false
 
-  /// Takes the tenants of a configuration; null when callers need no keys.
+  /// Applies the tenants of a configuration; null if callers need no keys.
   apply(tenants: readonly Tenant[] | null): void {
     this.needsKeys = tenants !== null
     const next = new Map((tenants ?? []).map(tenant => [tenant.name, tenant]))
     const changed = [...next.values()].filter(tenant => !isSame(this.byName.get(tenant.name), tenant))
-    // Removals first: a key may go from one tenant to another.
+    // Removals first: a key may move from one tenant to another.
     for (const known of this.byName.values()) if (!isSame(next.get(known.name), known)) this.remove(known)
     for (const tenant of changed) this.add(tenant)
   }
 
-  /// Who the caller of a request on `route` is; undefined when the route asks for a key and this one is not
+  /// The caller of a request on `route`; undefined if the route requires a key and this one is missing or not
   /// valid.
   findCaller(route: Route, keyDigest: string | undefined): Caller | undefined {
-    if (!this.needsKeys || route.isPublic) return ANYBODY
+    if (!this.needsKeys || route.isPublic) return ANONYMOUS_CALLER
     return keyDigest === undefined ? undefined : this.byKeyDigest.get(keyDigest)
   }
 
