--- a/test/forwarding-harness.ts
+++ b/test/forwarding-harness.ts
@@ -1,4 +1,4 @@
-/** One daemon's decisions on forwarded requests, without sockets: for tests in virtual time. */
+/** Runs the forwarding machine of one daemon without sockets, for tests in virtual time. */
 import { labBackend, labConfiguration } from '../lab/forwarding-site.js';
 import { BackendDirectory } from '../src/forwarding/backends/backend-directory.js';
 import { BackendDistance } from '../src/forwarding/choose/backend-distance.js';
@@ -24,13 +24,13 @@
 
 const SEED = 20261202;
 
-/** The ways of a daemon in `zone-a`; all zones lie in one region unless these say otherwise. */
+/** Distances from a daemon in `zone-a`; zones without an entry in `regionByZone` lie in the same region. */
 function makeDistance(regionByZone: RegionByZone, roundTrips: RoundTrips): BackendDistance {
   const cost = new DistanceCost(DEFAULT_DISTANCE_SETTINGS, new Places(regionByZone), roundTrips);
   return new BackendDistance('zone-a', cost);
 }
 
-/** The permits of a daemon that is alone. */
+/** Permits of a daemon without peers. */
 export function makePermits(): PermitManager {
   return new PermitManager({
     selfId: 'daemon-1',
@@ -41,7 +41,7 @@
   });
 }
 
-/** One daemon's forwarding with its effects collected. */
+/** The forwarding machine of one daemon, with its effects collected. */
 export class Forwarding {
   readonly effects: ForwardEffect[] = [];
   readonly directory = new BackendDirectory(DEFAULT_BACKEND_HEALTH_SETTINGS);
@@ -54,7 +54,7 @@
   stale = false;
   readonly roundTrips = new RoundTrips(DEFAULT_DISTANCE_SETTINGS.roundTripMs);
   readonly distance: BackendDistance;
-  /** What was charged or given back, and requests that stopped waiting, with 0. */
+  /** Charges and refunds by tenant; requests that were removed while waiting are recorded by id, with 0. */
   readonly quotaCharges: [string, number][] = [];
   takeQuota: (request: QuotaRequest) => QuotaAnswer | undefined = () => undefined;
 
--- a/test/forwarding.test.ts
+++ b/test/forwarding.test.ts
@@ -1,4 +1,4 @@
-/** Decisions of forwarding in virtual time: what runs where, what is repeated, what a caller is told. */
+/** Decisions of forwarding in virtual time: which back end gets a request, what is retried, what callers get. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { labConfiguration, labRoute } from '../lab/forwarding-site.js';
@@ -12,7 +12,7 @@
 const STREAM: Partial<Route> = { kind: 'stream', maximumAttempts: 1 };
 
 describe('routes', () => {
-  it('the longest prefix of the host wins; port, query and the case of the host do not matter', () => {
+  it('the longest prefix of the host wins; port, query and the case of the host are ignored', () => {
     const table = new RouteTable(
       labConfiguration(1, [
         labRoute({ name: 'short', pathPrefix: '/a/' }),
@@ -26,7 +26,7 @@
     expect(table.findRoute('other.example', '/a/b/')?.name).to.equal('other');
   });
 
-  it('a split gives each target its exact share in every whole round', () => {
+  it('a weighted split gives each target its exact share in every full round', () => {
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 1, maxLength: 4 }), (weights) => {
         const targets = weights.map((weight, index) => ({ service: `s${index}`, weight }));
@@ -46,7 +46,7 @@
 });
 
 describe('forwarding', () => {
-  it('work that may not be repeated is never sent again once a back end may have seen it', () => {
+  it('a non-idempotent request is never retried once a back end may have received it', () => {
     const site = new Forwarding([labRoute({ kind: 'nonIdempotent', maximumAttempts: 3 })], PLAIN);
     site.begin();
     site.event({ kind: 'broken', reason: 'reset' }, 10);
@@ -54,7 +54,7 @@
     expect(site.failures()).to.deep.equal([502]);
   });
 
-  it('work that no back end saw goes elsewhere, whatever its kind, and costs no budget', () => {
+  it('a request that no back end received is retried elsewhere, whatever its kind, without charge to the budget', () => {
     const site = new Forwarding([labRoute({ kind: 'nonIdempotent' })], PLAIN, 0);
     site.begin();
     site.event({ kind: 'unreachable', reason: 'refused' }, 10);
@@ -62,7 +62,7 @@
     expect(site.starts()[1].backend.id).not.to.equal(site.starts()[0].backend.id);
   });
 
-  it('work that a back end turned away is refused as not run when the budget is used up', () => {
+  it('a rejected request is refused as not executed when the retry budget is used up', () => {
     const site = new Forwarding([labRoute({})], PLAIN, 0);
     site.begin();
     site.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 10);
@@ -72,7 +72,7 @@
     expect(refusal).to.have.property('retryAfterMs').that.is.greaterThan(0);
   });
 
-  it('a request runs on no more back ends than its route allows', () => {
+  it('a request is executed at no more back ends than its route allows', () => {
     const site = new Forwarding([labRoute({ maximumAttempts: 2 })], PLAIN);
     site.begin();
     site.event({ kind: 'broken', reason: 'reset' }, 10);
@@ -81,7 +81,7 @@
     expect(site.failures()).to.deep.equal([502]);
   });
 
-  it('at the time-out the answer comes at once: not run only when that is certain', () => {
+  it('at the timeout the answer is immediate: refused as not executed only if that is certain', () => {
     const site = new Forwarding([labRoute({ kind: 'nonIdempotent', timeoutMs: 500 })], PLAIN);
     site.begin();
     site.manager.tick(499);
@@ -91,14 +91,14 @@
     expect(site.getEffects('abortAttempt')).to.have.length(1);
   });
 
-  it('a back end gets no more time than the caller and the route leave', () => {
+  it('a back end gets no more time than the deadlines of the caller and the route leave', () => {
     const site = new Forwarding([labRoute({ timeoutMs: 800 })], PLAIN);
     site.begin({ callerDeadlineMs: 600 });
     site.event({ kind: 'unreachable', reason: 'refused' }, 100);
     expect(site.starts().map((start) => start.remainingMs)).to.deep.equal([600, 500]);
   });
 
-  it('a caller that goes away frees its back end', () => {
+  it('a request whose caller disconnects is aborted and removed from its back end', () => {
     const site = new Forwarding([labRoute({})], PLAIN);
     site.begin();
     site.manager.cancel('r1', 10);
@@ -107,7 +107,7 @@
     expect([...site.directory.all()].reduce((sum, view) => sum + view.inFlight(), 0)).to.equal(0);
   });
 
-  it('a path without a route is not found only while the configuration is confirmed', () => {
+  it('a path without a route gets 404 only while the configuration is confirmed, else 503', () => {
     const site = new Forwarding([labRoute({})], PLAIN);
     site.begin({ path: '/none' });
     site.stale = true;
@@ -115,7 +115,7 @@
     expect(site.failures()).to.deep.equal([404, 503]);
   });
 
-  it('after the last moment for new requests they are refused with a time to come back', () => {
+  it('requests after admission has closed are refused with a Retry-After', () => {
     const site = new Forwarding([labRoute({})], PLAIN);
     site.manager.closeForNew();
     site.begin();
@@ -123,7 +123,7 @@
     expect(site.starts()).to.have.length(0);
   });
 
-  it('a back end gets no more requests at once than its connections allow this daemon', () => {
+  it('a back end gets no more concurrent requests than this daemon’s share of its connections', () => {
     const [only] = PLAIN;
     const site = new Forwarding([labRoute({})], [{ ...only, slots: 1000 }]);
     for (let count = 0; count < 95; count += 1) site.begin({ id: `r${count}` });
@@ -131,7 +131,7 @@
     expect(site.failures()).to.deep.equal([503, 503, 503, 503, 503]);
   });
 
-  it('another incarnation at the address gets nothing more', () => {
+  it('no further requests go to an address that another incarnation has taken over', () => {
     const site = new Forwarding([labRoute({})], PLAIN);
     site.begin();
     const [{ backend }] = site.starts();
@@ -141,7 +141,7 @@
 });
 
 describe('streams', () => {
-  it('a resumable stream goes on elsewhere after its last whole event', () => {
+  it('a resumable stream is resumed at another back end after its last complete event', () => {
     const site = new Forwarding([labRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
@@ -150,7 +150,7 @@
     expect(site.starts()[1].resumeAfter).to.equal('7');
   });
 
-  it('a prompt that was computed apart is computed apart again only where the attempts of the route allow both', () => {
+  it('a prompt is computed separately again only where the attempts of the route allow that and the generation', () => {
     const route = labRoute({ ...STREAM, resumable: true, maximumAttempts: 2 });
     const site = new Forwarding([route], [...ENGINES, engine('p3', 'prefill'), engine('d3', 'decode')]);
     site.begin({ prompt: prompt(400, 100) });
@@ -164,7 +164,7 @@
     expect(site.failures()).to.deep.equal(['broken']);
   });
 
-  it('a stream is not moved because this process stood still', () => {
+  it('a stream is not moved because of a process pause', () => {
     const site = new Forwarding([labRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
     site.begin({ callerDeadlineMs: 9000 });
     site.event({ kind: 'streamStarted' }, 10);
@@ -176,7 +176,7 @@
     expect(site.starts()).to.have.length(1);
   });
 
-  it('a stream whose next engine is lost too goes on at a third', () => {
+  it('a stream whose second engine is lost too is resumed at a third', () => {
     const route = labRoute({ ...STREAM, resumable: true, maximumAttempts: 4 });
     const site = new Forwarding([route], [...ENGINES, engine('p3', 'prefill'), engine('d3', 'decode')]);
     site.begin({ prompt: prompt(400, 100) });
@@ -188,7 +188,7 @@
     expect(site.starts()).to.have.length(4);
   });
 
-  it('a stream whose next engine answers with a failure is broken off, not ended as if it were complete', () => {
+  it('a stream whose second engine answers with a failure is broken off, not ended as if it were complete', () => {
     const site = new Forwarding([labRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
@@ -199,7 +199,7 @@
     expect(site.getEffects('replyWhole')).to.have.length(0);
   });
 
-  it('a stream that may not be resumed is broken off, never finished by another run', () => {
+  it('a stream that is not resumable is broken off, never finished by another attempt', () => {
     const site = new Forwarding([labRoute(STREAM)], PLAIN);
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
@@ -219,7 +219,7 @@
     expect(site.starts()[1].kvSource?.handle).to.equal('h1');
   });
 
-  it('a KV cache that nobody takes is freed', () => {
+  it('a KV cache that will not be used is freed', () => {
     const site = new Forwarding([labRoute(STREAM)], ENGINES);
     site.begin({ prompt: prompt(3000, 13_000) });
     site.event({ kind: 'prefilled', handle: 'h1' }, 100);
@@ -227,7 +227,7 @@
     expect(site.getEffects('freeKv')).to.have.length(1);
   });
 
-  it('a prompt that is computed again costs the retry budget as much as the run after it', () => {
+  it('computing a prompt again takes as much of the retry budget as the generation after it', () => {
     const slack = 10;
     const engines = ['a', 'b', 'c', 'd', 'e'].flatMap((name) => [
       engine(`p${name}`, 'prefill'),
@@ -250,9 +250,9 @@
         if (site.starts().length === before) break;
       }
     }
-    // The first call that has a prompt computed is free, and the first arrival beside it is no repeat.
-    const repeats = site.starts().length - 2 * requests;
-    expect(repeats).to.be.within(1, slack);
+    // The first separate computation of a prompt is free, and the first generation after it is no retry.
+    const retries = site.starts().length - 2 * requests;
+    expect(retries).to.be.within(1, slack);
   });
 
   it('a long prompt yields to short ones of the same priority, never to a lower priority', () => {
@@ -265,7 +265,7 @@
     expect(urgency(1, 20_000)).to.be.lessThan(urgency(2, 2000));
   });
 
-  it('when every decode engine is in trouble one of them is tried all the same: no prefill engine can stand in', () => {
+  it('if every decode engine is unhealthy one of them is tried anyway: no prefill engine can replace it', () => {
     const site = new Forwarding([labRoute(STREAM)], ENGINES);
     for (const id of ['d1', 'd2']) site.directory.get(id)?.health.onUnreachable(0);
     site.begin({ prompt: prompt(100, 50) });
@@ -283,7 +283,7 @@
     expect(site.starts()[0].prefillOnly).to.equal(false);
   });
 
-  it('prompts with the same shared parts go to one home, which every daemon finds by itself', () => {
+  it('prompts with the same shared parts go to one home engine, which every daemon computes by itself', () => {
     const homes = new Set<string>();
     for (let daemon = 0; daemon < 5; daemon += 1) {
       const site = new Forwarding([labRoute(STREAM)], ENGINES);
@@ -293,7 +293,7 @@
     expect(homes.size).to.equal(1);
   });
 
-  it('a busy engine is not taken for a silent one: the time allowed grows with the prompts that wait', () => {
+  it('a busy engine is not taken for a silent one: the stall limit grows with the queued prompts', () => {
     const site = new Forwarding([labRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
     site.begin({ prompt: prompt(50_000, 2000), callerDeadlineMs: 9000 });
     site.manager.tick(2500);
@@ -303,8 +303,8 @@
   });
 });
 
-describe('a home that has not read the shared parts yet', () => {
-  it('is given the time that the whole prompt takes', () => {
+describe('a home engine that has not computed the shared parts yet', () => {
+  it('is allowed the time that the whole prompt takes', () => {
     const site = new Forwarding([labRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
     site.begin({ prompt: prompt(2000, 40_000), callerDeadlineMs: 9000 });
     site.manager.tick(2000);
@@ -312,7 +312,7 @@
     expect(site.directory.get(site.starts()[0].backend.id)?.pendingTokens()).to.equal(42_000);
   });
 
-  it('saves their tokens once they are known to be kept', () => {
+  it('saves their tokens once they are known to be in its KV cache', () => {
     const site = new Forwarding([labRoute(STREAM)], ENGINES);
     site.begin({ prompt: prompt(2000, 13_000) });
     site.event({ kind: 'prefilled', handle: 'h' }, 300);
--- a/test/kv-index.test.ts
+++ b/test/kv-index.test.ts
@@ -1,4 +1,4 @@
-/** What a daemon knows of engines' KV caches: parts, changes that engines tell, and who follows whom. */
+/** What a daemon knows of engines' KV caches: parts, changes that engines report, and which engines it follows. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { labBackend } from '../lab/forwarding-site.js';
@@ -30,31 +30,32 @@
 }
 
 describe('index of KV caches', () => {
-  it('a part saves its tokens only where every part before it is kept', () => {
+  it('the tokens of a part are saved only if every part before it is kept', () => {
     const index = new KvIndex();
     const snapshot = new Snapshot('kv-index-parts');
-    const tell = (what: string) => snapshot.add(`${what}: ${index.getKeptTokens('e1', PROMPT)} tokens kept`);
-    tell('nothing known');
+    const addLine = (what: string) =>
+      snapshot.add(`${what}: ${index.getKeptTokens('e1', PROMPT)} tokens kept`);
+    addLine('nothing known');
     index.applyChange('e1', change('subject', 3000), CAPACITY);
-    tell('the second part alone');
+    addLine('the second part alone');
     index.applyChange('e1', change('common', 1500), CAPACITY);
-    tell('and half of the first');
+    addLine('and half of the first');
     index.applyChange('e1', change('common', 2000), CAPACITY);
-    tell('and the whole first');
+    addLine('and the whole first');
     index.applyChange('e1', change('subject', 0), CAPACITY);
-    tell('the second is gone');
+    addLine('the second is gone');
     index.addComputedPrompt('e1', PROMPT, CAPACITY);
-    tell('computed there again');
+    addLine('computed there again');
     index.removeEngine('e1');
-    tell('the engine has lost its cache');
+    addLine('the engine has lost its cache');
     snapshot.check();
   });
 
-  it('what peers say counts only for an engine that is not followed', () => {
-    const teller = new KvIndex();
-    teller.addComputedPrompt('e1', PROMPT, CAPACITY);
-    const placements = teller.takeRecentPlacements();
-    expect(teller.takeRecentPlacements()).to.deep.equal([]);
+  it('placements from peers apply only to an engine that is not followed', () => {
+    const publisher = new KvIndex();
+    publisher.addComputedPrompt('e1', PROMPT, CAPACITY);
+    const placements = publisher.takeRecentPlacements();
+    expect(publisher.takeRecentPlacements()).to.deep.equal([]);
     const [followed, unfollowed] = [new KvIndex(), new KvIndex()];
     followed.setFollowed('e1', true);
     for (const placement of placements) {
@@ -65,7 +66,7 @@
     expect(unfollowed.getKeptTokens('e1', PROMPT)).to.equal(5000);
   });
 
-  it('never believes that an engine keeps more than fits, nor more than the shared parts', () => {
+  it('never assumes that an engine keeps more than its capacity, nor more than the shared parts', () => {
     const step = fc.tuple(fc.integer({ min: 0, max: 30 }), fc.integer({ min: 0, max: 4000 }));
     fc.assert(
       fc.property(fc.array(step, { maxLength: 200 }), (steps) => {
@@ -84,8 +85,8 @@
   });
 });
 
-/** A follower before two engines, with its calls collected. */
-class Following {
+/** A follower of engines, with its calls collected; the directory holds a plain back end as well. */
+class FollowerSite {
   readonly calls: KvChangesCall[] = [];
   readonly index = new KvIndex();
   readonly directory = new BackendDirectory(DEFAULT_BACKEND_HEALTH_SETTINGS);
@@ -110,9 +111,9 @@
   }
 }
 
-describe('following engines', () => {
-  it('asks engines only, one call at a time, and goes on where the last answer ended', () => {
-    const site = new Following();
+describe('follower of KV caches', () => {
+  it('calls only engines, one call at a time, and continues where the last answer ended', () => {
+    const site = new FollowerSite();
     site.follower.tick(0);
     site.follower.tick(500);
     expect(site.calls.map((call) => [call.backend.id, call.since])).to.deep.equal([['e1', 0]]);
@@ -123,8 +124,8 @@
     expect(site.calls[1].since).to.equal(7);
   });
 
-  it('a restart of the engine or a gap in what it tells forgets what was kept before', () => {
-    const site = new Following();
+  it('a restart of the engine or a gap in its changes discards what was known before', () => {
+    const site = new FollowerSite();
     site.follower.tick(0);
     site.answer('a', 1, ['common']);
     expect(site.index.getKeptTokens('e1', PROMPT)).to.equal(2000);
@@ -138,8 +139,8 @@
     expect(site.index.getKeptTokens('e1', PROMPT)).to.equal(0);
   });
 
-  it('an engine that gives no answer is asked again after a while, and peers are believed meanwhile', () => {
-    const site = new Following();
+  it('an engine whose call failed is called again after a delay, and placements from peers apply until then', () => {
+    const site = new FollowerSite();
     site.follower.tick(0);
     site.follower.receive(site.calls[0].backend, undefined, 0);
     site.follower.tick(900);
@@ -149,11 +150,11 @@
     site.index.applyPeerPlacement(['e1', 1, 100], CAPACITY);
   });
 
-  it('each engine is followed by every daemon, or by none where it would not hold a call for each', () => {
+  it('each engine is followed by every daemon, or by none if it cannot hold a call for each', () => {
     const engines = Array.from({ length: 12 }, (_unused, index) => `e${index}`);
     const most = DEFAULT_KV_FOLLOWER_SETTINGS.followers;
     for (const daemons of [1, most - 1, most, most + 1, 66, 195]) {
-      const site = new Following(engines, daemons);
+      const site = new FollowerSite(engines, daemons);
       site.follower.tick(0);
       const followed = site.calls.map(({ backend }) => backend.id);
       expect(followed).to.deep.equal(daemons <= most ? engines : []);
@@ -164,7 +165,7 @@
 describe('changes of KV caches on the wire', () => {
   const dialect = new HttpDialect();
 
-  it('are read as they are told', () => {
+  it('are parsed as the engine sends them', () => {
     const body =
       '{"epoch":240377,"next_token":3,"lost":false,"events":[[1,"+","","ee",52,"m"],[2,"-","","9f",0,"m"]]}';
     expect(dialect.kvChanges(200, body)).to.deep.equal({
@@ -178,7 +179,7 @@
     });
   });
 
-  it('what cannot be read is no answer, whatever it is', () => {
+  it('anything that cannot be parsed counts as no answer', () => {
     const bodies = [
       '',
       '{',
--- a/test/quota-requests.test.ts
+++ b/test/quota-requests.test.ts
@@ -1,4 +1,4 @@
-/** What a quota does to a request: 429, waiting, what counts and what is given back; and how limits are read. */
+/** Effects of a quota on a request: 429, waiting, charges and refunds; and how quotas are parsed. */
 import { expect } from 'chai';
 import { labRoute } from '../lab/forwarding-site.js';
 import { HttpDialect } from '../platform/http-dialect.js';
@@ -13,7 +13,7 @@
 
 const LIMIT = { ratePerSecond: 62_000, burst: 62_000 };
 
-describe('quotas before requests', () => {
+describe('quotas of requests', () => {
   const KEY = 'key';
   const tenant: Tenant = {
     name: 'mary',
@@ -22,7 +22,7 @@
   };
   const REFUSED = { kind: 'refused', retryAfterMs: 700, fields: { reason: 'limit' } } as const;
 
-  function forwarding(
+  function makeForwarding(
     answer: QuotaAnswer,
     backends = PLAIN,
     route = labRoute({ kind: 'idempotent' }),
@@ -40,8 +40,8 @@
     daemon.begin({ keyDigest: digestKey(KEY), ...fields });
   }
 
-  it('get back what was only having its prompt read when the caller left', () => {
-    const daemon = forwarding({ kind: 'granted' }, ENGINES, labRoute({ kind: 'stream' }));
+  it('are refunded if only the prompt was being computed when the caller disconnected', () => {
+    const daemon = makeForwarding({ kind: 'granted' }, ENGINES, labRoute({ kind: 'stream' }));
     begin(daemon, { prompt: prompt(500, 500), usageTokens: 1010 });
     daemon.manager.cancel('r1', 3);
     expect(daemon.quotaCharges).to.deep.equal([
@@ -50,8 +50,8 @@
     ]);
   });
 
-  it('answer 429 with a time to come back, before anything is sent', () => {
-    const daemon = forwarding(REFUSED);
+  it('answer 429 with a Retry-After, before anything is sent', () => {
+    const daemon = makeForwarding(REFUSED);
     begin(daemon);
     expect(daemon.starts()).to.deep.equal([]);
     expect(daemon.getEffects('replyFailure')).to.deep.include({
@@ -68,36 +68,36 @@
     expect(daemon.quotaCharges).to.deep.equal([['asked', 200]]);
   });
 
-  it('count the tokens that the caller states, and nothing without a quota', () => {
-    const daemon = forwarding({ kind: 'granted' });
+  it('charge the tokens that the caller states, and nothing without a quota', () => {
+    const daemon = makeForwarding({ kind: 'granted' });
     begin(daemon, { usageTokens: 1540 });
     expect(daemon.quotaCharges).to.deep.equal([['asked', 1540]]);
-    const free = forwarding({ kind: 'granted' });
-    free.tenants.apply([{ ...tenant, quota: undefined }]);
-    begin(free);
-    expect(free.quotaCharges).to.deep.equal([]);
-    expect(free.starts().length).to.equal(1);
+    const unlimited = makeForwarding({ kind: 'granted' });
+    unlimited.tenants.apply([{ ...tenant, quota: undefined }]);
+    begin(unlimited);
+    expect(unlimited.quotaCharges).to.deep.equal([]);
+    expect(unlimited.starts().length).to.equal(1);
   });
 
-  it('hold a request until they are decided, and let its caller leave meanwhile', () => {
-    const daemon = forwarding({ kind: 'waiting' });
+  it('delay a request until they are decided, and let its caller disconnect meanwhile', () => {
+    const daemon = makeForwarding({ kind: 'waiting' });
     begin(daemon);
     expect(daemon.starts()).to.deep.equal([]);
     daemon.manager.applyQuota('r1', { kind: 'granted' }, 5);
     expect(daemon.starts().length).to.equal(1);
-    const left = forwarding({ kind: 'waiting' });
-    begin(left);
-    left.manager.cancel('r1', 3);
-    left.manager.applyQuota('r1', { kind: 'granted' }, 5);
-    expect(left.starts()).to.deep.equal([]);
-    expect(left.quotaCharges).to.deep.equal([
+    const cancelled = makeForwarding({ kind: 'waiting' });
+    begin(cancelled);
+    cancelled.manager.cancel('r1', 3);
+    cancelled.manager.applyQuota('r1', { kind: 'granted' }, 5);
+    expect(cancelled.starts()).to.deep.equal([]);
+    expect(cancelled.quotaCharges).to.deep.equal([
       ['asked', 200],
       ['r1', 0],
     ]);
   });
 
-  it('get back what no back end ran', () => {
-    const daemon = forwarding({ kind: 'granted' });
+  it('are refunded if no back end executed the request', () => {
+    const daemon = makeForwarding({ kind: 'granted' });
     begin(daemon);
     for (let i = 0; i < PLAIN.length; i += 1) daemon.event({ kind: 'unreachable', reason: 'refused' }, i);
     expect(daemon.failures()).to.deep.equal([503]);
@@ -107,21 +107,21 @@
     ]);
   });
 
-  it('keep what a back end may have run when the caller leaves', () => {
-    const daemon = forwarding({ kind: 'granted' });
+  it('are not refunded if a back end may have executed the request when the caller disconnects', () => {
+    const daemon = makeForwarding({ kind: 'granted' });
     begin(daemon);
     daemon.manager.cancel('r1', 3);
     expect(daemon.quotaCharges).to.deep.equal([['asked', 200]]);
   });
 
-  it('count a request again for each back end after one that may have run it, not after one that turned it away', () => {
+  it('charge a request again after a back end that may have executed it, not after one that rejected it', () => {
     const route = labRoute({ kind: 'idempotent', maximumAttempts: 3 });
-    const turned = forwarding({ kind: 'granted' }, PLAIN, route);
-    begin(turned);
-    turned.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 1);
-    expect(turned.starts().length).to.equal(2);
-    expect(turned.quotaCharges).to.deep.equal([['asked', 200]]);
-    const broken = forwarding({ kind: 'granted' }, PLAIN, route);
+    const rejected = makeForwarding({ kind: 'granted' }, PLAIN, route);
+    begin(rejected);
+    rejected.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 1);
+    expect(rejected.starts().length).to.equal(2);
+    expect(rejected.quotaCharges).to.deep.equal([['asked', 200]]);
+    const broken = makeForwarding({ kind: 'granted' }, PLAIN, route);
     begin(broken);
     broken.event({ kind: 'broken', reason: 'reset' }, 1);
     expect(broken.starts().length).to.equal(2);
@@ -131,8 +131,8 @@
     ]);
   });
 
-  it('count a prompt that is computed apart and then generated from once', () => {
-    const daemon = forwarding({ kind: 'granted' }, ENGINES, labRoute({ kind: 'stream' }));
+  it('charge a request once whose prompt is computed separately', () => {
+    const daemon = makeForwarding({ kind: 'granted' }, ENGINES, labRoute({ kind: 'stream' }));
     begin(daemon, { prompt: prompt(500, 500), usageTokens: 1010 });
     daemon.event({ kind: 'prefilled', handle: 'h' }, 10);
     expect(daemon.starts().length).to.equal(2);
@@ -141,28 +141,32 @@
 });
 
 describe('quotas of a configuration', () => {
-  function read(fields: object): Tenant | undefined {
+  function readTenant(fields: object): Tenant | undefined {
     const tenants = [{ name: 'mary', api_keys: [], ...fields }];
     return readConfiguration(JSON.stringify({ version: 1, routes: [], services: [], tenants })).tenants?.[0];
   }
 
-  it('are read in tokens or in requests, and are none without a rate', () => {
+  it('are parsed in tokens or in requests, and are absent without a rate', () => {
     const tokens = { rate_per_s: 100, burst: 50, unit: 'token_count', uncached_tokens: 200 };
     const common = { ratePerSecond: 100, burst: 50 };
-    expect(read(tokens)?.quota).to.deep.equal({ ...common, countsTokens: true, plainCost: 200 });
-    expect(read({ ...tokens, unit: undefined })?.quota).to.deep.equal({
+    expect(readTenant(tokens)?.quota).to.deep.equal({ ...common, countsTokens: true, plainCost: 200 });
+    expect(readTenant({ ...tokens, unit: undefined })?.quota).to.deep.equal({
       ...common,
       countsTokens: false,
       plainCost: 1,
     });
-    for (const none of [{}, { ...tokens, rate_per_s: 0 }]) expect(read(none)?.quota).to.equal(undefined);
+    for (const none of [{}, { ...tokens, rate_per_s: 0 }])
+      expect(readTenant(none)?.quota).to.equal(undefined);
   });
 
-  it('are refused with the name of the field when the unit is not known', () => {
-    expect(() => read({ rate_per_s: 100, unit: 'bushels' })).to.throw(ValidationError, /tenants\.0\.unit/);
+  it('are rejected with the name of the field if the unit is unknown', () => {
+    expect(() => readTenant({ rate_per_s: 100, unit: 'bushels' })).to.throw(
+      ValidationError,
+      /tenants\.0\.unit/,
+    );
   });
 
-  it('change a tenant whose keys stay as they are', () => {
+  it('are updated for a tenant whose keys do not change', () => {
     const directory = new TenantDirectory();
     const mary = (ratePerSecond: number): Tenant => ({
       name: 'mary',
@@ -173,7 +177,7 @@
     expect(directory.findCaller(labRoute({}), 'd')?.tenant?.quota?.ratePerSecond).to.equal(7);
   });
 
-  it('count both numbers of a request, whatever else it says', () => {
+  it('add both token numbers of a request and ignore invalid ones', () => {
     const dialect = new HttpDialect();
     const tokensOf = (value: string): number | undefined =>
       dialect.callerHead(['X-Token-Usage', value]).usageTokens;
--- a/test/retry-allowance.test.ts
+++ b/test/retry-allowance.test.ts
@@ -1,4 +1,4 @@
-/** One daemon's part of the retry budget, and what the parts of all daemons and of all their restarts add up to. */
+/** One daemon's share of the retry budget, and the sum of the shares over all daemons and all their restarts. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { RetryAllowance } from '../src/forwarding/retry/retry-allowance.js';
@@ -7,12 +7,12 @@
 const SEED = 20261202;
 
 describe('retry allowance', () => {
-  it('over all daemons no window has more repeats than ratio and slack allow', () => {
+  it('over all daemons no window has more retries than ratio and slack allow', () => {
     const steps = fc.array(
       fc.record({
         daemon: fc.integer({ min: 0, max: 3 }),
         waitMs: fc.integer({ min: 0, max: 400 }),
-        repeat: fc.boolean(),
+        retry: fc.boolean(),
       }),
       { minLength: 50, maxLength: 400 },
     );
@@ -21,19 +21,19 @@
         const settings = { ratio: 0.2, slack: 20, windowMs: 5000, firstStart: true };
         const daemons = [0, 1, 2, 3].map(() => new RetryAllowance(settings, 0));
         const requests: number[] = [];
-        const repeats: number[] = [];
+        const retries: number[] = [];
         let now = 0;
-        for (const { daemon, waitMs, repeat } of plan) {
+        for (const { daemon, waitMs, retry } of plan) {
           now += waitMs;
-          if (!repeat) {
+          if (!retry) {
             daemons[daemon].addRequest('s', now);
             requests.push(now);
-          } else if (daemons[daemon].tryTakeRetry('s', daemons.length, now)) repeats.push(now);
+          } else if (daemons[daemon].tryTakeRetry('s', daemons.length, now)) retries.push(now);
         }
-        for (const end of repeats) {
+        for (const end of retries) {
           const inside = (at: number): boolean => at > end - settings.windowMs && at <= end;
           const allowed = settings.ratio * requests.filter(inside).length + settings.slack;
-          expect(repeats.filter(inside).length).to.be.at.most(allowed + 1);
+          expect(retries.filter(inside).length).to.be.at.most(allowed + 1);
         }
       }),
       { seed: SEED, numRuns: 100 },
@@ -41,14 +41,14 @@
   });
 });
 
-describe('retry allowance of daemons that end and begin again', () => {
+describe('retry allowance of daemons that are killed and restarted', () => {
   const WINDOW_MS = 10_000;
   const STEP_MS = 20;
   const END_MS = 45_000;
-  const TROUBLE_MS = 15_000;
+  const FAILURES_FROM_MS = 15_000;
 
-  /** A fleet whose back ends fail from some time on; a daemon that is killed has just spent all it had. */
-  interface History {
+  /** A fleet whose back ends fail after `FAILURES_FROM_MS`; a daemon spends its whole allowance before it is killed. */
+  interface Scenario {
     readonly daemons: number;
     readonly perSecond: number;
     readonly slack: number;
@@ -60,50 +60,54 @@
     readonly seed: number;
   }
 
-  function play(history: History): { requests: number[]; repeats: number[] } {
-    const { daemons, perSecond, slack, killGapMs, downMs, victims, bursts, seed } = history;
+  function runScenario(scenario: Scenario): { requests: number[]; retries: number[] } {
+    const { daemons, perSecond, slack, killGapMs, downMs, victims, bursts, seed } = scenario;
     const random = new SeededRandom(seed);
     const settings = { ratio: 0.2, slack, windowMs: WINDOW_MS, firstStart: false };
-    const places = Array.from({ length: daemons }, () => ({
-      life: new RetryAllowance({ ...settings, firstStart: true }, 0) as RetryAllowance | undefined,
+    const slots = Array.from({ length: daemons }, () => ({
+      allowance: new RetryAllowance({ ...settings, firstStart: true }, 0) as RetryAllowance | undefined,
       downUntil: 0,
     }));
     const requests: number[] = [];
-    const repeats: number[] = [];
-    let killAt = TROUBLE_MS;
+    const retries: number[] = [];
+    let killAt = FAILURES_FROM_MS;
     let turn = 0;
     const pickVictims = () => {
-      if (victims === 'all') return places;
-      if (victims === 'half') return places.filter(() => random.next() < 0.5);
+      if (victims === 'all') return slots;
+      if (victims === 'half') return slots.filter(() => random.next() < 0.5);
       turn = victims === 'next' ? turn + 1 : random.below(daemons);
-      return [places[turn % daemons]];
+      return [slots[turn % daemons]];
     };
     for (let now = 0; now < END_MS; now += STEP_MS) {
       if (now >= killAt) {
         killAt += killGapMs * (0.5 + random.next());
-        for (const place of pickVictims()) {
-          while (place.life?.tryTakeRetry('s', daemons, now)) repeats.push(now);
-          if (place.life) place.downUntil = now + downMs;
-          place.life = undefined;
+        for (const slot of pickVictims()) {
+          while (slot.allowance?.tryTakeRetry('s', daemons, now)) retries.push(now);
+          if (slot.allowance) slot.downUntil = now + downMs;
+          slot.allowance = undefined;
         }
       }
-      for (const place of places)
-        if (!place.life && place.downUntil <= now) place.life = new RetryAllowance(settings, now);
-      const lives = places.flatMap(({ life }) => (life ? [life] : []));
-      const failing = now > TROUBLE_MS && (!bursts || Math.floor(now / 2500) % 3 === 0);
-      for (let count = (perSecond * STEP_MS) / 1000; random.next() < count && lives.length > 0; count -= 1) {
-        const life = lives[random.below(lives.length)];
+      for (const slot of slots)
+        if (!slot.allowance && slot.downUntil <= now) slot.allowance = new RetryAllowance(settings, now);
+      const running = slots.flatMap(({ allowance }) => (allowance ? [allowance] : []));
+      const failing = now > FAILURES_FROM_MS && (!bursts || Math.floor(now / 2500) % 3 === 0);
+      for (
+        let count = (perSecond * STEP_MS) / 1000;
+        random.next() < count && running.length > 0;
+        count -= 1
+      ) {
+        const allowance = running[random.below(running.length)];
         requests.push(now);
-        life.addRequest('s', now);
+        allowance.addRequest('s', now);
         for (let wished = 0; failing && wished < 2; wished += 1)
-          if (life.tryTakeRetry('s', daemons, now)) repeats.push(now);
+          if (allowance.tryTakeRetry('s', daemons, now)) retries.push(now);
       }
     }
-    return { requests, repeats };
+    return { requests, retries };
   }
 
-  it('together keep the budget in every window, whenever they are killed', () => {
-    const histories: fc.Arbitrary<History> = fc.record({
+  it('keep the budget together in every window, whenever they are killed', () => {
+    const scenarios: fc.Arbitrary<Scenario> = fc.record({
       daemons: fc.constantFrom(2, 5, 9, 30),
       perSecond: fc.constantFrom(5, 40, 140, 400),
       slack: fc.constantFrom(0, 20, 58, 184),
@@ -114,13 +118,13 @@
       seed: fc.nat(),
     });
     fc.assert(
-      fc.property(histories, (history) => {
-        const { requests, repeats } = play(history);
-        const count = (moments: number[], from: number): number =>
-          moments.filter((at) => at >= from && at < from + WINDOW_MS).length;
-        for (const from of new Set(repeats)) {
+      fc.property(scenarios, (scenario) => {
+        const { requests, retries } = runScenario(scenario);
+        const count = (times: number[], from: number): number =>
+          times.filter((at) => at >= from && at < from + WINDOW_MS).length;
+        for (const from of new Set(retries)) {
           const most = Math.max(...[0, 0.5, 1].map((back) => count(requests, from - back * WINDOW_MS)));
-          expect(count(repeats, from)).to.be.at.most(0.2 * most + history.slack);
+          expect(count(retries, from)).to.be.at.most(0.2 * most + scenario.slack);
         }
       }),
       { seed: SEED, numRuns: 60 },
--- a/test/true-refusals.test.ts
+++ b/test/true-refusals.test.ts
@@ -1,4 +1,7 @@
-/** A refusal says that a request has not run and will not: never where a back end may have run it. Answers that are not used are let go. */
+/**
+ * A refusal promises that a request has not been executed and will not be, so none is sent if a back end may
+ * have executed it. Answers that are not passed on are discarded.
+ */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { labBackend, labRoute } from '../lab/forwarding-site.js';
@@ -16,8 +19,8 @@
   promptTokens: 16_000,
   maximumOutputTokens: 10,
 };
-/** Answers that promise that the request has not run. */
-const REFUSALS: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that promise that the request has not been executed. */
+const REFUSAL_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 type Step = { readonly event: ForwardAttemptEvent } | { readonly waitMs: number };
 
@@ -38,13 +41,13 @@
   fc.nat(900).map((waitMs) => ({ waitMs })),
 );
 
-/** What back ends know of the attempts: the events of each, in order. */
-class Attempts {
+/** The events of each attempt, in order, as its back end sees them. */
+class AttemptEvents {
   private readonly events = new Map<string, ForwardAttemptEvent['kind'][]>();
 
-  /** Whether a back end can tell this of the attempt now. */
+  /** Whether this event can follow those that the attempt has had. */
   isPossible({ attemptId, prefillOnly, stream }: AttemptStart, { kind }: ForwardAttemptEvent): boolean {
-    const started = this.of(attemptId).includes('streamStarted');
+    const started = this.getEvents(attemptId).includes('streamStarted');
     switch (kind) {
       case 'prefilled':
         return prefillOnly;
@@ -63,36 +66,36 @@
   }
 
   add({ attemptId }: AttemptStart, { kind }: ForwardAttemptEvent): void {
-    this.events.set(attemptId, [...this.of(attemptId), kind]);
+    this.events.set(attemptId, [...this.getEvents(attemptId), kind]);
   }
 
-  /** Whether the back end may have run the request: always, unless it saw nothing of it or said that it did not. */
-  mayHaveRun({ attemptId, prefillOnly }: AttemptStart): boolean {
-    const known = this.of(attemptId);
-    return !prefillOnly && !known.includes('unreachable') && !known.includes('notExecuted');
+  /** Whether the back end may have executed the request: yes, unless it was unreachable or rejected it. */
+  mayHaveExecuted({ attemptId, prefillOnly }: AttemptStart): boolean {
+    const events = this.getEvents(attemptId);
+    return !prefillOnly && !events.includes('unreachable') && !events.includes('notExecuted');
   }
 
-  private of(attemptId: string): ForwardAttemptEvent['kind'][] {
+  private getEvents(attemptId: string): ForwardAttemptEvent['kind'][] {
     return this.events.get(attemptId) ?? [];
   }
 }
 
-describe('answers of the daemon itself', () => {
+describe('answers that the daemon generates', () => {
   for (const kind of ['idempotent', 'nonIdempotent', 'stream'] as const) {
-    it(`never refuse as not run what may have run: ${kind}`, () => {
+    it(`never refuse as not executed what may have been executed: ${kind}`, () => {
       const scenario = fc.record({
         engines: fc.boolean(),
         slack: fc.nat(3),
         steps: fc.array(steps, { maxLength: 14 }),
       });
       fc.assert(
-        fc.property(scenario, ({ engines, slack, steps: played }) => {
+        fc.property(scenario, ({ engines, slack, steps: scenarioSteps }) => {
           const route = labRoute({ kind, resumable: true, maximumAttempts: 3, timeoutMs: 3000 });
           const site = new Forwarding([route], engines ? ENGINES : BACKENDS, slack);
           site.begin({ callerDeadlineMs: 3000, ...(engines ? { prompt: PROMPT } : {}) });
-          const attempts = new Attempts();
+          const attempts = new AttemptEvents();
           let now = 0;
-          for (const step of played) {
+          for (const step of scenarioSteps) {
             const last = site.starts().at(-1);
             if ('waitMs' in step) site.manager.tick((now += step.waitMs));
             else if (last && attempts.isPossible(last, step.event)) {
@@ -101,16 +104,18 @@
             }
           }
           site.manager.tick((now += 4000));
-          const refused = site.failures().some((status) => status !== 'broken' && REFUSALS.has(status));
-          const mayHaveRun = site.starts().some((start) => attempts.mayHaveRun(start));
-          if (refused) expect(mayHaveRun).to.equal(false);
+          const refused = site
+            .failures()
+            .some((status) => status !== 'broken' && REFUSAL_STATUSES.has(status));
+          const mayHaveExecuted = site.starts().some((start) => attempts.mayHaveExecuted(start));
+          if (refused) expect(mayHaveExecuted).to.equal(false);
         }),
         { numRuns: 2000, seed: 20261202 },
       );
     });
   }
 
-  it('let go of an answer that is not passed on', () => {
+  it('discard an answer that is not passed on', () => {
     const site = new Forwarding([labRoute({ maximumAttempts: 2 })], BACKENDS);
     site.begin();
     const [first] = site.starts();
@@ -121,7 +126,7 @@
     ]);
   });
 
-  it('let go of a failure in place of the rest of a stream', () => {
+  it('discard a failure that arrives in place of the rest of a stream', () => {
     const site = new Forwarding(
       [labRoute({ kind: 'stream', resumable: true, maximumAttempts: 2 })],
       BACKENDS,
