--- a/src/forwarding/admit/quarantine-gate.ts
+++ b/src/forwarding/admit/quarantine-gate.ts
@@ -7,7 +7,7 @@
 export interface QuarantineContext {
   /// Remaining quarantine of a request; undefined when it may be sent. Milliseconds.
   getQuarantineMs(key: string, now: number): number | undefined
-  /// The caller, if it is isolated: all of its requests may run at one back end only. Undefined for most
+  /// The caller, if it is isolated: its requests may be executed at one back end only. Undefined for most
   /// requests.
   getIsolatedCaller(key: string, now: number): string | undefined
   /// The connection of an attempt closed before the answer was complete.
--- a/src/forwarding/admit/tenant-quota.ts
+++ b/src/forwarding/admit/tenant-quota.ts
@@ -1,4 +1,4 @@
-/// The questions of the forwarding machine to the tenants' quotas, and the answers.
+/// Types of the interface between the forwarding machine and the tenants' quotas.
 import type {ForwardRequest} from "../forward-request.js"
 import type {Tenant} from "../routes/route.js"
 
--- a/src/forwarding/retry/attempt-outcomes.ts
+++ b/src/forwarding/retry/attempt-outcomes.ts
@@ -257,7 +257,8 @@
     this.onExecutionStarted(session, attempt.startedAt)
   }
 
-  /// A back end has begun to execute the request, at `at` as far as that is known. Reported once per request.
+  /// A back end has begun to execute the request, at `at` as far as that is known. Reports this once for each
+  /// request of a tenant.
   private onExecutionStarted(session: Session, at: number): void {
     if (session.countedForTenant || !session.tenant) return
     session.countedForTenant = true
--- a/src/forwarding/routes/route.ts
+++ b/src/forwarding/routes/route.ts
@@ -21,7 +21,7 @@
   readonly kind: RequestKind
   /// Whether a stream may be resumed at another back end after its last event.
   readonly resumable: boolean
-  /// Maximum time until a request is answered. Milliseconds.
+  /// Maximum time until the answer to a request is complete. Milliseconds.
   readonly timeoutMs: number
   /// Target time to the answer, or to the first event of a stream. Milliseconds.
   readonly targetLatencyMs: number
@@ -48,7 +48,7 @@
   readonly scaling?: ScalingRules | undefined
 }
 
-/// Limits within which the daemons may order back ends, and the costs of these.
+/// Limits on the back ends that daemons may order, and their prices.
 export interface ScalingRules {
   /// Minimum and maximum number of back ends in a zone, spot and others together.
   readonly min: number
