--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -134,7 +134,7 @@
   return new RunQuarantine({
     selfId: identity.id,
     members: () => membership.active(),
-    hasOlderRun: (id, before) => managers().some((manager) => manager.hasOlderRun(id, before)),
+    hasOlderRun: (id, before) => managers().some((manager) => manager.hasOlderAttempt(id, before)),
     random,
     emit,
     now,
