--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -91,7 +91,7 @@
     directory,
     picker: new EnginePicker(settings.picker, identity.zone, random),
     emit: createCompletionSink(emit, () => ({ demand, admission })),
-    runs,
+    attemptListener: runs,
   });
   const onCall = createApplicationSink(emit, () => admission);
   const applications: ApplicationManager = new ApplicationManager(ledger, random, onCall, runs);
--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -23,7 +23,7 @@
 import { ApplicationServers, type ApplicationServer } from './application-servers.js';
 import { NO_SERVER_RETRY_AFTER_MS } from './retry-after.js';
 import { RetryRule, type RetryRuleSettings } from './retry-rule.js';
-import { NoRunListener, type AttemptListener } from './run-listener.js';
+import { NoAttemptListener, type AttemptListener } from './run-listener.js';
 
 interface CallSession {
   readonly call: ApplicationCall;
@@ -58,7 +58,7 @@
     private readonly ledger: OnceLedger,
     random: RandomSource,
     private readonly emit: EffectSink<ApplicationEffect>,
-    private readonly runs: AttemptListener = new NoRunListener(),
+    private readonly runs: AttemptListener = new NoAttemptListener(),
   ) {
     this.servers = new ApplicationServers(random);
   }
@@ -138,7 +138,7 @@
   }
 
   /** Takes an event of a call that was sent. */
-  callEvent(requestId: string, attemptId: string, event: ApplicationEvent, now: number): void {
+  onCallEvent(requestId: string, attemptId: string, event: ApplicationEvent, now: number): void {
     const session = this.sessions.get(requestId);
     const attempt = session?.attempt;
     if (!session || attempt?.attemptId !== attemptId) return;
--- a/src/routing/run-listener.ts
+++ b/src/routing/run-listener.ts
@@ -22,7 +22,7 @@
 }
 
 /** Hears nothing and keeps nothing away. */
-export class NoRunListener extends AttemptListener {
+export class NoAttemptListener extends AttemptListener {
   override getQuarantineMs(): undefined {
     return undefined;
   }
