--- a/src/allocation/cell-coordinator.ts
+++ b/src/allocation/cell-coordinator.ts
@@ -92,12 +92,12 @@
   target: EngineAssignment | undefined;
   drainingSince: number | undefined;
   /** Set while a control request is on its way. One at a time keeps orders in sequence. */
-  busy: boolean;
+  requestInFlight: boolean;
   /** Whether that request is an order. */
   orderInFlight: boolean;
   /** An order without an answer may still take effect until then; 0 when there is none. */
   unconfirmedUntil: number;
-  silentSince: number | undefined;
+  unansweredSince: number | undefined;
 }
 
 /** A report counts for so many intervals of reports. */
@@ -127,13 +127,13 @@
 
   /** The engines' last reports, for digests. */
   reports(): ReportedEngine[] {
-    const known: ReportedEngine[] = [];
+    const reported: ReportedEngine[] = [];
     for (const engine of this.engines.values()) {
       const { id, address, zone, report, reportReceivedAt } = engine;
-      if (report && engine.silentSince === undefined)
-        known.push({ id, address, zone, report, receivedAt: reportReceivedAt });
+      if (report && engine.unansweredSince === undefined)
+        reported.push({ id, address, zone, report, receivedAt: reportReceivedAt });
     }
-    return known;
+    return reported;
   }
 
   /**
@@ -167,10 +167,10 @@
         sealedEpoch: 0,
         target: undefined,
         drainingSince: undefined,
-        busy: false,
+        requestInFlight: false,
         orderInFlight: false,
         unconfirmedUntil: 0,
-        silentSince: undefined,
+        unansweredSince: undefined,
       });
     }
   }
@@ -181,14 +181,14 @@
    * @param demands what the services ask of the cell
    */
   tick(now: number, lease: HeldLease | undefined, demands: () => readonly ModelDemand[]): void {
-    if (lease && lease.epoch !== this.epoch) this.beginEpoch(lease.epoch, now);
+    if (lease && lease.epoch !== this.epoch) this.startEpoch(lease.epoch, now);
     for (const engine of this.engines.values()) {
-      if (engine.busy) continue;
+      if (engine.requestInFlight) continue;
       if (lease && engine.sealedEpoch !== lease.epoch) this.seal(engine, lease.epoch, now);
       else if (lease && this.continueChange(engine, lease, now)) continue;
-      else if (now >= engine.nextReportAt) this.askReport(engine, now);
+      else if (now >= engine.nextReportAt) this.requestReport(engine, now);
     }
-    if (!lease || now < this.nextDecisionAt || !this.sealed(now)) return;
+    if (!lease || now < this.nextDecisionAt || !this.isSealed(now)) return;
     this.nextDecisionAt = now + this.settings.reportIntervalMs;
     this.decide(now, lease, demands());
   }
@@ -197,49 +197,49 @@
   receiveControlResult(engineId: string, result: EngineControlResult, now: number): void {
     const engine = this.engines.get(engineId);
     if (!engine) return;
-    engine.busy = false;
+    engine.requestInFlight = false;
     if (result.kind !== 'noAnswer' && engine.orderInFlight) engine.unconfirmedUntil = 0;
     engine.orderInFlight = false;
     switch (result.kind) {
       case 'report':
       case 'notApplicable':
-        this.takeReport(engine, result.report, now);
+        this.applyReport(engine, result.report, now);
         break;
       case 'fenced':
         engine.sealedEpoch = 0;
         engine.nextReportAt = now;
         break;
       case 'noAnswer':
-        engine.silentSince ??= now;
+        engine.unansweredSince ??= now;
         break;
     }
   }
 
-  private beginEpoch(epoch: number, now: number): void {
+  private startEpoch(epoch: number, now: number): void {
     this.epoch = epoch;
     this.epochSince = now;
     for (const engine of this.engines.values()) engine.target = undefined;
   }
 
   private seal(engine: EngineState, epoch: number, now: number): void {
-    if (now < engine.nextReportAt && engine.silentSince !== undefined) return;
-    this.control(engine, { kind: 'seal', epoch }, now);
+    if (now < engine.nextReportAt && engine.unansweredSince !== undefined) return;
+    this.sendControl(engine, { kind: 'seal', epoch }, now);
   }
 
-  private askReport(engine: EngineState, now: number): void {
-    this.control(engine, { kind: 'report' }, now);
+  private requestReport(engine: EngineState, now: number): void {
+    this.sendControl(engine, { kind: 'report' }, now);
   }
 
-  private control(engine: EngineState, request: EngineControlRequest, now: number): void {
-    engine.busy = true;
+  private sendControl(engine: EngineState, request: EngineControlRequest, now: number): void {
+    engine.requestInFlight = true;
     engine.nextReportAt = now + this.settings.reportIntervalMs;
     this.emit({ kind: 'engineControl', engineId: engine.id, address: engine.address, request });
   }
 
-  private takeReport(engine: EngineState, report: EngineReport, now: number): void {
+  private applyReport(engine: EngineState, report: EngineReport, now: number): void {
     engine.report = report;
     engine.reportReceivedAt = now;
-    engine.silentSince = undefined;
+    engine.unansweredSince = undefined;
     if (report.epoch > engine.sealedEpoch) engine.sealedEpoch = report.epoch;
     const target = engine.target;
     if (target && report.phase === 'active' && sameAssignment(report.assignment, target)) {
@@ -249,10 +249,11 @@
   }
 
   /** Every reachable engine carries this epoch, or has been silent for the time limit. */
-  private sealed(now: number): boolean {
+  private isSealed(now: number): boolean {
     for (const engine of this.engines.values()) {
       if (engine.sealedEpoch === this.epoch) continue;
-      const silent = engine.silentSince !== undefined && now - this.epochSince > this.settings.sealTimeoutMs;
+      const silent =
+        engine.unansweredSince !== undefined && now - this.epochSince > this.settings.sealTimeoutMs;
       if (!silent) return false;
     }
     return this.engines.size > 0;
@@ -265,30 +266,30 @@
     if (!engine.target) {
       // An earlier holder drained this engine and its plan is gone: put it back to work.
       if (report.phase !== 'draining') return false;
-      return this.order(engine, lease, { kind: 'resume' }, now);
+      return this.sendOrder(engine, lease, { kind: 'resume' }, now);
     }
     const hot = isHotChange(report.assignment, engine.target);
     if (report.phase === 'active' && hot)
-      return this.order(engine, lease, { kind: 'change', assignment: engine.target }, now);
+      return this.sendOrder(engine, lease, { kind: 'change', assignment: engine.target }, now);
     if (report.phase === 'active') {
       engine.drainingSince = now;
-      return this.order(engine, lease, { kind: 'drain' }, now);
+      return this.sendOrder(engine, lease, { kind: 'drain' }, now);
     }
     const drained = report.phase === 'draining' && report.streams === 0;
     if (drained && engine.drainingSince !== undefined) {
       this.drainMs += DRAIN_SMOOTHING * (now - engine.drainingSince - this.drainMs);
       engine.drainingSince = undefined;
     }
-    return drained && this.order(engine, lease, { kind: 'change', assignment: engine.target }, now);
+    return drained && this.sendOrder(engine, lease, { kind: 'change', assignment: engine.target }, now);
   }
 
-  private order(engine: EngineState, lease: HeldLease, action: OrderAction, now: number): boolean {
+  private sendOrder(engine: EngineState, lease: HeldLease, action: OrderAction, now: number): boolean {
     const report = engine.report;
     if (!report || engine.sealedEpoch !== lease.epoch) return false;
     // The report was made no later than it was received, so this expiry cannot lie after the lease's end.
     const expiresAtClockMs = report.clockMs + (lease.validUntil - engine.reportReceivedAt);
     const sequence = report.sequence + 1;
-    this.control(engine, { kind: 'order', epoch: lease.epoch, sequence, expiresAtClockMs, action }, now);
+    this.sendControl(engine, { kind: 'order', epoch: lease.epoch, sequence, expiresAtClockMs, action }, now);
     engine.orderInFlight = true;
     engine.unconfirmedUntil = Math.max(engine.unconfirmedUntil, lease.validUntil);
     this.emit({ kind: 'orderGiven', engineId: engine.id, epoch: lease.epoch, action });
@@ -304,7 +305,7 @@
     engine.target = change.assignment;
     this.lastChangeAt = now;
     if (!isHotChange(engine.report?.assignment, change.assignment)) this.changesOrdered += 1;
-    if (!engine.busy) this.continueChange(engine, lease, now);
+    if (!engine.requestInFlight) this.continueChange(engine, lease, now);
   }
 
   private allocatable(now: number): AllocatableEngine[] {
--- a/src/allocation/role-allocator.ts
+++ b/src/allocation/role-allocator.ts
@@ -90,12 +90,12 @@
   settings: AllocationSettings,
 ): PlannedChange | undefined {
   if (settings.policy === 'fixed') return undefined;
-  const computed = demands.map((demand) => withoutCached(engines, demand));
-  return planWith(engines, computed, settings);
+  const computed = demands.map((demand) => subtractCached(engines, demand));
+  return planUncached(engines, computed, settings);
 }
 
 /** The demand less what the prefix caches of the model's engines save. */
-function withoutCached(engines: readonly AllocatableEngine[], demand: ModelDemand): ModelDemand {
+function subtractCached(engines: readonly AllocatableEngine[], demand: ModelDemand): ModelDemand {
   const group = engines.filter((engine) => serves(engine, demand));
   // Engines of the decode role compute few prompts; their caches say little.
   const computing = group.filter((engine) => engine.assignment.role !== 'decode');
@@ -104,7 +104,7 @@
   return { ...demand, prefillPerSecond: demand.prefillPerSecond * (1 - saved) };
 }
 
-function planWith(
+function planUncached(
   engines: readonly AllocatableEngine[],
   demands: readonly ModelDemand[],
   settings: AllocationSettings,
@@ -139,30 +139,30 @@
   const unused = engines.find(
     (engine) => !engine.changing && !demands.some((demand) => serves(engine, demand)),
   );
-  const rated = demands
+  const ratedGroups = demands
     .map((demand) => rateGroup(engines, demand))
     .sort((left, right) => left.factor - right.factor);
-  const poorest = rated[0];
-  if (!poorest) return undefined;
-  const { model, version, adapters } = poorest.demand;
+  const mostLoaded = ratedGroups[0];
+  if (!mostLoaded) return undefined;
+  const { model, version, adapters } = mostLoaded.demand;
   const assignment: EngineAssignment = { role: 'mixed', model, version, adapters };
   if (unused) return { engineId: unused.id, assignment, netGainSeconds: Infinity };
-  const richest = rated[rated.length - 1];
-  const donor = richest.group
+  const leastLoaded = ratedGroups[ratedGroups.length - 1];
+  const donor = leastLoaded.group
     .filter((engine) => !engine.changing)
     .sort((left, right) => left.streams - right.streams)[0];
-  if (richest === poorest || !donor || !canSpare(donor, engines, demands, settings)) return undefined;
+  if (leastLoaded === mostLoaded || !donor || !canSpare(donor, engines, demands, settings)) return undefined;
   const gain =
-    groupValue([...poorest.group, { ...donor, assignment }], poorest.demand, settings) -
-    poorest.value(settings);
+    getGroupValue([...mostLoaded.group, { ...donor, assignment }], mostLoaded.demand, settings) -
+    mostLoaded.getValue(settings);
   const loss =
-    richest.value(settings) -
-    groupValue(
-      richest.group.filter((engine) => engine !== donor),
-      richest.demand,
+    leastLoaded.getValue(settings) -
+    getGroupValue(
+      leastLoaded.group.filter((engine) => engine !== donor),
+      leastLoaded.demand,
       settings,
     );
-  const gainPerSecond = gain * poorest.group.length - loss * richest.group.length;
+  const gainPerSecond = gain * mostLoaded.group.length - loss * leastLoaded.group.length;
   const cost = MODEL_MOVE_COST_FACTOR * changeCost(donor, settings);
   const netGainSeconds = gainPerSecond * settings.horizonSeconds - cost;
   return netGainSeconds > 0 ? { engineId: donor.id, assignment, netGainSeconds } : undefined;
@@ -172,21 +172,21 @@
   readonly demand: ModelDemand;
   readonly group: readonly AllocatableEngine[];
   readonly factor: number;
-  value(settings: AllocationSettings): number;
+  getValue(settings: AllocationSettings): number;
 }
 
 function rateGroup(engines: readonly AllocatableEngine[], demand: ModelDemand): RatedGroup {
   const group = engines.filter((engine) => serves(engine, demand));
   const factor = group.length === 0 ? 0 : servableFactor(countRoles(group), demand, group[0].capability);
-  return { demand, group, factor, value: (settings) => groupValue(group, demand, settings) };
+  return { demand, group, factor, getValue: (settings) => getGroupValue(group, demand, settings) };
 }
 
-function groupValue(
+function getGroupValue(
   group: readonly AllocatableEngine[],
   demand: ModelDemand,
   settings: AllocationSettings,
 ): number {
-  return group.length === 0 ? 0 : value(countRoles(group), demand, group[0].capability, settings);
+  return group.length === 0 ? 0 : getValue(countRoles(group), demand, group[0].capability, settings);
 }
 
 /** An adapter that a service needs and no engine of its model has yet. Loading one interrupts nothing. */
@@ -213,7 +213,9 @@
   settings: AllocationSettings,
 ): PlannedChange | undefined {
   for (const demand of demands) {
-    if (wholeRequestEngines(engines.filter((engine) => serves(engine, demand))) >= settings.floorPerModel)
+    if (
+      countWholeRequestEngines(engines.filter((engine) => serves(engine, demand))) >= settings.floorPerModel
+    )
       continue;
     const donor = engines
       .filter((engine) => !engine.changing && canSpare(engine, engines, demands, settings))
@@ -236,10 +238,10 @@
   demands: readonly ModelDemand[],
   settings: AllocationSettings,
 ): boolean {
-  const own = demands.find((demand) => serves(engine, demand));
-  if (!own) return true;
-  const remaining = engines.filter((other) => other.id !== engine.id && serves(other, own));
-  return wholeRequestEngines(remaining) >= settings.floorPerModel;
+  const donorDemand = demands.find((demand) => serves(engine, demand));
+  if (!donorDemand) return true;
+  const remaining = engines.filter((other) => other.id !== engine.id && serves(other, donorDemand));
+  return countWholeRequestEngines(remaining) >= settings.floorPerModel;
 }
 
 /** The best change of one engine's role within its model. */
@@ -268,9 +270,9 @@
 ): PlannedChange | undefined {
   const counts = countRoles(group);
   const capability = group[0].capability;
-  const presentValue = value(counts, demand, capability, settings);
+  const presentValue = getValue(counts, demand, capability, settings);
   let best: PlannedChange | undefined;
-  for (const engine of quietestPerRole(group)) {
+  for (const engine of findLeastBusyPerRole(group)) {
     for (const role of ROLES) {
       if (role === engine.assignment.role) continue;
       const next = {
@@ -278,8 +280,8 @@
         [engine.assignment.role]: counts[engine.assignment.role] - 1,
         [role]: counts[role] + 1,
       };
-      if (!keepsFloor(next, settings)) continue;
-      const gainPerSecond = (value(next, demand, capability, settings) - presentValue) * group.length;
+      if (!hasFloor(next, settings)) continue;
+      const gainPerSecond = (getValue(next, demand, capability, settings) - presentValue) * group.length;
       const cost = changeCost(engine, settings);
       const netGainSeconds = gainPerSecond * settings.horizonSeconds - cost;
       if (netGainSeconds > 0 && (!best || netGainSeconds > best.netGainSeconds)) {
@@ -292,8 +294,8 @@
 
 /** What a change takes, in seconds of one engine: a draining engine still does about half of its work. */
 function changeCost(engine: AllocatableEngine, settings: AllocationSettings): number {
-  const awayMs = engine.capability.roleChangeMs + engine.drainMs * DRAIN_LOSS;
-  return awayMs / 1000 + settings.roleChangeCostSeconds;
+  const unavailableMs = engine.capability.roleChangeMs + engine.drainMs * DRAIN_LOSS;
+  return unavailableMs / 1000 + settings.roleChangeCostSeconds;
 }
 
 /**
@@ -312,13 +314,13 @@
   const counts = countRoles(group);
   const role: EngineRole = counts.prefill < target ? 'prefill' : 'decode';
   const needsChange = counts.prefill !== target || counts.mixed > 0;
-  const donor = quietestPerRole(group).find((engine) => engine.assignment.role !== role);
+  const donor = findLeastBusyPerRole(group).find((engine) => engine.assignment.role !== role);
   if (!needsChange || !donor) return undefined;
   return { engineId: donor.id, assignment: { ...donor.assignment, role }, netGainSeconds: 0 };
 }
 
 /** Share of the demand that is carried, plus a little for headroom. */
-function value(
+function getValue(
   counts: RoleCounts,
   demand: TokenDemand,
   capability: EngineCapability,
@@ -329,11 +331,11 @@
   return Math.min(factor, 1) + HEADROOM_VALUE * headroom;
 }
 
-function keepsFloor(counts: RoleCounts, settings: AllocationSettings): boolean {
+function hasFloor(counts: RoleCounts, settings: AllocationSettings): boolean {
   return counts.mixed + Math.min(counts.prefill, counts.decode) >= settings.floorPerModel;
 }
 
-function wholeRequestEngines(engines: readonly AllocatableEngine[]): number {
+function countWholeRequestEngines(engines: readonly AllocatableEngine[]): number {
   const counts = countRoles(engines);
   return counts.mixed + Math.min(counts.prefill, counts.decode);
 }
@@ -344,14 +346,14 @@
   return counts;
 }
 
-function quietestPerRole(group: readonly AllocatableEngine[]): AllocatableEngine[] {
-  const quietest = new Map<EngineRole, AllocatableEngine>();
+function findLeastBusyPerRole(group: readonly AllocatableEngine[]): AllocatableEngine[] {
+  const leastBusy = new Map<EngineRole, AllocatableEngine>();
   for (const engine of group) {
     if (engine.changing) continue;
-    const current = quietest.get(engine.assignment.role);
-    if (!current || engine.streams < current.streams) quietest.set(engine.assignment.role, engine);
+    const current = leastBusy.get(engine.assignment.role);
+    if (!current || engine.streams < current.streams) leastBusy.set(engine.assignment.role, engine);
   }
-  return [...quietest.values()];
+  return [...leastBusy.values()];
 }
 
 function serves(engine: AllocatableEngine, demand: ModelDemand): boolean {
--- a/src/allocation/stage-coordinator.ts
+++ b/src/allocation/stage-coordinator.ts
@@ -46,7 +46,7 @@
   | { readonly kind: 'orderEngine'; readonly order: StageOrder };
 
 /** What the coordinator reads of its service at each tick. */
-interface StageSituation {
+interface StageContext {
   readonly views: readonly BackendView[];
   readonly slots: number;
   readonly loaded: boolean;
@@ -71,16 +71,16 @@
  * slower than its group is as good as three requests fewer to move to decode, and as bad to move to
  * prefill.
  */
-const REQUESTS_PER_FACTOR = 10;
+const REQUESTS_PER_PACE = 10;
 /** More than so much slower or faster is a passing trouble, not the machine. Share of the group's pace. */
-const MAXIMUM_LASTING = 0.5;
+const MAXIMUM_PACE_DEVIATION = 0.5;
 
 /** The coordinator of one service in one daemon. Times are monotonic milliseconds. */
 export class StageCoordinator {
   private readonly lease: CellLease;
   private readonly pending = new Map<string, PendingChange>();
   private nextOrderAt = 0;
-  private ordersFrom = Infinity;
+  private ordersAllowedFrom = Infinity;
   private tickedAt = 0;
   /** Since when a change has been due. */
   private dueSince: number | undefined;
@@ -103,17 +103,17 @@
   }
 
   /** Advances the lease and, while it is held, the plan. */
-  tick(situation: StageSituation, now: number): void {
+  tick(context: StageContext, now: number): void {
     this.tickedAt = now;
-    this.forgetFinished(situation.views, now);
-    const steps = this.planSteps(situation, now);
-    this.setDue(situation.shouldLead && steps.length > 0, now);
-    this.lease.tick(now, this.hasBeenDue(situation.standbyDelayMs ?? 0, now));
-    if (!situation.shouldLead) this.release(now);
+    this.removeFinished(context.views, now);
+    const steps = this.planSteps(context, now);
+    this.setDue(context.shouldLead && steps.length > 0, now);
+    this.lease.tick(now, this.hasBeenDue(context.standbyDelayMs ?? 0, now));
+    if (!context.shouldLead) this.release(now);
     const held = this.lease.current(now);
-    if (!held || now < this.ordersFrom) return;
-    for (let next = steps; next.length > 0; next = this.planSteps(situation, now))
-      if (!next.some((step) => this.startChange(situation, step, now))) return;
+    if (!held || now < this.ordersAllowedFrom) return;
+    for (let next = steps; next.length > 0; next = this.planSteps(context, now))
+      if (!next.some((step) => this.startChange(context, step, now))) return;
   }
 
   private setDue(due: boolean, now: number): void {
@@ -127,13 +127,13 @@
   }
 
   /** Asks one engine for its state, to change its stage; false when none may change now. */
-  private startChange(situation: StageSituation, { region, step }: RegionStep, now: number): boolean {
-    const { views, loaded } = situation;
+  private startChange(context: StageContext, { region, step }: RegionStep, now: number): boolean {
+    const { views, loaded } = context;
     const { changingShare, idleChangingShare } = this.settings;
     const atOnce = Math.max(1, Math.floor(views.length * (loaded ? changingShare : idleChangingShare)));
     if (this.pending.size >= atOnce || now < this.nextOrderAt) return false;
     const stage = step === 'toPrefill' ? 'prefill' : 'decode';
-    const group = this.groupViews(situation, now).get(region) ?? [];
+    const group = this.groupViews(context, now).get(region) ?? [];
     const candidates = group.filter((view) => !this.isChanging(view.record.id));
     const backend = pickEngine(candidates, stage === 'prefill' ? 'decode' : 'prefill');
     if (!backend) return false;
@@ -182,25 +182,25 @@
   }
 
   /** The planner's steps by region; an engine is given back only when it has been spare for a while. */
-  private planSteps(situation: StageSituation, now: number): RegionStep[] {
+  private planSteps(context: StageContext, now: number): RegionStep[] {
     const demands = new Map<string, StageDemand>();
-    for (const [region, views] of this.groupViews(situation, now))
-      demands.set(region, this.demand(views, situation.slots));
+    for (const [region, views] of this.groupViews(context, now))
+      demands.set(region, this.getDemand(views, context.slots));
     const steps = planRegions(this.settings.planner, demands);
     const spare = new Set(steps.filter(({ step }) => step === 'toPrefill').map(({ region }) => region));
     for (const region of this.spareSince.keys()) if (!spare.has(region)) this.spareSince.delete(region);
     for (const region of spare) this.spareSince.set(region, this.spareSince.get(region) ?? now);
-    return steps.filter(({ region }) => !situation.loaded || this.isRipe(region, now));
+    return steps.filter(({ region }) => !context.loaded || this.isReturnDue(region, now));
   }
 
   /** Whether the region has no engine to give back, or has had it for long enough. */
-  private isRipe(region: string, now: number): boolean {
+  private isReturnDue(region: string, now: number): boolean {
     return now - (this.spareSince.get(region) ?? -Infinity) >= this.settings.returnAfterMs;
   }
 
   /** Engines that serve, by region. */
   private groupViews(
-    { views, regionOf }: StageSituation,
+    { views, regionOf }: StageContext,
     now: number,
   ): ReadonlyMap<string, readonly BackendView[]> {
     const serving = views.filter(
@@ -210,7 +210,7 @@
     return groupByRegion(serving, ({ record }) => regionOf?.(record.zone) ?? '');
   }
 
-  private forgetFinished(views: readonly BackendView[], now: number): void {
+  private removeFinished(views: readonly BackendView[], now: number): void {
     for (const [id, { stage, since }] of this.pending) {
       const view = views.find((candidate) => candidate.record.id === id);
       const finished = !view || view.record.stage === stage;
@@ -219,7 +219,7 @@
   }
 
   /** The demand on engines that serve, as it is once the changes that are under way are done. */
-  private demand(serving: readonly BackendView[], slots: number): StageDemand {
+  private getDemand(serving: readonly BackendView[], slots: number): StageDemand {
     const stageOf = ({ record }: BackendView): EngineStage | undefined =>
       this.pending.get(record.id)?.stage ?? record.stage;
     const decodes = serving.filter((view) => stageOf(view) === 'decode');
@@ -236,7 +236,8 @@
 
   private onLease(effect: LeaseEffect): void {
     if (effect.kind === 'leaseAcquired') {
-      this.ordersFrom = effect.epoch > 1 ? this.tickedAt + this.settings.takeoverWaitMs : this.tickedAt;
+      this.ordersAllowedFrom =
+        effect.epoch > 1 ? this.tickedAt + this.settings.takeoverWaitMs : this.tickedAt;
     }
     this.emit(effect);
   }
@@ -248,17 +249,20 @@
  * others: these may be on their way out, replaced by spot ones.
  */
 function pickEngine(views: readonly BackendView[], stage: EngineStage): BackendRecord | undefined {
-  const able = views.filter((view) => view.takesWork() && view.record.stage === stage);
+  const eligible = views.filter((view) => view.takesWork() && view.record.stage === stage);
   const getCost = (view: BackendView): number => {
-    const slower = Math.max(-MAXIMUM_LASTING, Math.min(MAXIMUM_LASTING, view.pace.factor() - 1));
-    const unfit = stage === 'decode' ? slower : -slower;
-    return view.inFlight() + Math.round(unfit * REQUESTS_PER_FACTOR);
+    const deviation = Math.max(
+      -MAXIMUM_PACE_DEVIATION,
+      Math.min(MAXIMUM_PACE_DEVIATION, view.pace.factor() - 1),
+    );
+    const penalty = stage === 'decode' ? deviation : -deviation;
+    return view.inFlight() + Math.round(penalty * REQUESTS_PER_PACE);
   };
-  able.sort(
+  eligible.sort(
     (left, right) =>
       getCost(left) - getCost(right) ||
       Number(right.record.isSpot ?? false) - Number(left.record.isSpot ?? false) ||
       (left.record.id < right.record.id ? -1 : 1),
   );
-  return able[0]?.record;
+  return eligible[0]?.record;
 }
--- a/src/allocation/stage-regions.ts
+++ b/src/allocation/stage-regions.ts
@@ -47,12 +47,13 @@
   settings: StagePlannerSettings,
   demands: ReadonlyMap<string, StageDemand>,
 ): RegionStep[] {
-  const own = demands.size > 1 ? settingsOfRegion(settings, [...demands.values()]) : settings;
+  const regionSettings = demands.size > 1 ? getRegionSettings(settings, [...demands.values()]) : settings;
   const steps: RegionStep[] = [];
   for (const [region, demand] of demands) {
     const others = [...demands.values()].filter((other) => other !== demand);
     const streams = countStreams(settings, demand, others);
-    const step = (others.length > 0 && planMissing(demand)) || planStage(own, { ...demand, streams });
+    const step =
+      (others.length > 0 && planMissingStage(demand)) || planStage(regionSettings, { ...demand, streams });
     if (step !== 'none') steps.push({ region, step });
   }
   return steps.sort((left, right) => getUrgency(demands, right) - getUrgency(demands, left));
@@ -62,7 +63,7 @@
  * A stage that the region has no engine of, however busy the others are: its prompts or streams would all
  * leave the region.
  */
-function planMissing({ prefillEngines, decodeEngines }: StageDemand): RegionStep['step'] | undefined {
+function planMissingStage({ prefillEngines, decodeEngines }: StageDemand): RegionStep['step'] | undefined {
   if (prefillEngines === 0) return 'toPrefill';
   return decodeEngines === 0 ? 'toDecode' : undefined;
 }
@@ -71,7 +72,7 @@
  * Within a region one engine of a stage will do, where the fleet has its minimum; plenty is judged over the
  * fleet.
  */
-function settingsOfRegion(
+function getRegionSettings(
   settings: StagePlannerSettings,
   demands: readonly StageDemand[],
 ): StagePlannerSettings {
@@ -107,14 +108,17 @@
     decodeEngines * slots * share - streams;
   const sum = (amounts: readonly number[]) =>
     amounts.reduce((total, amount) => total + Math.max(0, amount), 0);
-  const short = Math.max(0, -getRoom(demand, addAtStreamShare));
-  const helped = Math.min(short, sum(others.map((other) => getRoom(other, returnAtStreamShare))));
-  const shortage = (among: readonly StageDemand[]) =>
+  const shortfall = Math.max(0, -getRoom(demand, addAtStreamShare));
+  const carriedElsewhere = Math.min(
+    shortfall,
+    sum(others.map((other) => getRoom(other, returnAtStreamShare))),
+  );
+  const getShortfall = (among: readonly StageDemand[]) =>
     sum(among.map((other) => -getRoom(other, addAtStreamShare)));
-  const stuck = others.filter(({ prefillEngines }) => prefillEngines <= minimumPrefill);
-  const able = others.filter((other) => !stuck.includes(other));
-  const welcome = Math.min(shortage(able), Math.max(0, getRoom(demand, addAtStreamShare)));
-  return demand.streams - helped + welcome + shortage(stuck);
+  const withoutDonors = others.filter(({ prefillEngines }) => prefillEngines <= minimumPrefill);
+  const withDonors = others.filter((other) => !withoutDonors.includes(other));
+  const carriedForOthers = Math.min(getShortfall(withDonors), Math.max(0, getRoom(demand, addAtStreamShare)));
+  return demand.streams - carriedElsewhere + carriedForOthers + getShortfall(withoutDonors);
 }
 
 /**
--- a/src/capacity/capacity-demand.ts
+++ b/src/capacity/capacity-demand.ts
@@ -57,15 +57,15 @@
     this.updatedAt = now
     this.startedAt ??= now
     if (!this.isSettled(now)) {
-      this.peak = Math.max(this.peak, this.getFirstNeed(serving, hasSpot))
+      this.peak = Math.max(this.peak, this.getInitialNeed(serving, hasSpot))
       return
     }
     const {averageMs, peakDecayMs: memoryMs, growthFactor} = this.settings
-    const needed = serving.reduce((sum, view) => sum + this.getNeeded(view), 0)
+    const needed = serving.reduce((sum, view) => sum + this.getNeed(view), 0)
     this.average += (needed - this.average) * (1 - Math.exp(-sinceMs / averageMs))
     const kept = this.peak * Math.exp(-sinceMs / memoryMs)
-    const grown = Math.min(this.average, serving.length * growthFactor)
-    this.peak = Math.max(kept, grown)
+    const bounded = Math.min(this.average, serving.length * growthFactor)
+    this.peak = Math.max(kept, bounded)
   }
 
   /// Back ends that are wanted in all; undefined while too little is known, or where their number is fixed.
@@ -75,7 +75,7 @@
     return Math.min(most, Math.ceil(this.peak))
   }
 
-  private getFirstNeed(serving: readonly BackendView[], hasSpot: boolean): number {
+  private getInitialNeed(serving: readonly BackendView[], hasSpot: boolean): number {
     const factor = hasSpot ? this.settings.replacementFactor : 1
     return serving.reduce((sum, {record}) => sum + (record.isSpot ? 1 : factor), 0)
   }
@@ -85,7 +85,7 @@
   }
 
   /// Back ends that what runs on this one needs.
-  private getNeeded(view: BackendView): number {
+  private getNeed(view: BackendView): number {
     const {promptsPerEngine, slotShare} = this.settings
     const {stage, slots} = view.record
     return view.inFlight() / (stage === "prefill" ? promptsPerEngine : slots * slotShare)
--- a/src/capacity/capacity-manager.ts
+++ b/src/capacity/capacity-manager.ts
@@ -44,7 +44,7 @@
 }
 
 /// What was last ordered for one service, zone and kind.
-interface Subject {
+interface OrderState {
   /// Undefined when nothing was, or when an order failed.
   ordered: number | undefined
   inFlight: boolean
@@ -55,9 +55,9 @@
 
 /// The orders of one daemon. Times are monotonic milliseconds.
 export class CapacityManager {
-  private readonly subjects = new Map<string, Subject>()
+  private readonly orderStates = new Map<string, OrderState>()
   /// When each back end was first seen to serve.
-  private seenAt = new Map<string, number>()
+  private firstSeenAt = new Map<string, number>()
 
   constructor(
     private readonly settings: CapacityManagerSettings,
@@ -73,32 +73,32 @@
     now: number
   ): void {
     if (!scaling) return
-    this.lookAt(views, now)
+    this.updateFirstSeen(views, now)
     const readyMs = (engine?.stageChangeMs ?? 0) + STAGE_ORDER_MS
-    const isInPlace = (id: string) => now - (this.seenAt.get(id) ?? now) >= readyMs
+    const isReady = (id: string) => now - (this.firstSeenAt.get(id) ?? now) >= readyMs
     const present = countByZone(views, scaling, () => true)
-    const inPlace = countByZone(views, scaling, isInPlace)
+    const ready = countByZone(views, scaling, isReady)
     for (const planned of planCapacity(this.settings.planner, scaling, total)) {
       const {zone} = planned
       const counts = present.get(zone) ?? {zone, ordinary: 0, spot: 0}
-      const spotInPlace = inPlace.get(zone)?.spot ?? 0
-      this.order(name, scaling, planned, counts, spotInPlace, authority, now)
+      const spotReady = ready.get(zone)?.spot ?? 0
+      this.order(name, scaling, planned, counts, spotReady, authority, now)
     }
   }
 
   /// Takes what became of an order.
   receiveResult(call: ServerOrder, result: DutyResult, now: number): void {
-    const subject = this.subjects.get(getKey(call))
-    if (!subject) return
-    subject.inFlight = false
+    const state = this.orderStates.get(getKey(call))
+    if (!state) return
+    state.inFlight = false
     if (result.kind === "accepted") return
-    subject.ordered = undefined
-    subject.pausedUntil = now + this.settings.retryMs
+    state.ordered = undefined
+    state.pausedUntil = now + this.settings.retryMs
   }
 
-  private lookAt(views: readonly BackendView[], now: number): void {
-    const before = this.seenAt
-    this.seenAt = new Map(views.map(({record: {id}}) => [id, before.get(id) ?? now]))
+  private updateFirstSeen(views: readonly BackendView[], now: number): void {
+    const previous = this.firstSeenAt
+    this.firstSeenAt = new Map(views.map(({record: {id}}) => [id, previous.get(id) ?? now]))
   }
 
   private order(
@@ -106,7 +106,7 @@
     scaling: ScalingRules,
     planned: ZoneCounts,
     present: ZoneCounts,
-    spotInPlace: number,
+    spotReady: number,
     authority: DutyAuthority,
     now: number
   ): void {
@@ -121,8 +121,8 @@
       )
     // As many ordinary ones stay as spot ones are not in place yet, but no new ones are ordered for that.
     // Where both together are more than the zone may have, the ordinary ones go first.
-    const missing = Math.max(0, planned.spot - spotInPlace)
-    const kept = Math.min(present.ordinary, planned.ordinary + missing, scaling.max - planned.spot)
+    const notReady = Math.max(0, planned.spot - spotReady)
+    const kept = Math.min(present.ordinary, planned.ordinary + notReady, scaling.max - planned.spot)
     const desired = Math.max(planned.ordinary, kept)
     this.orderKind(
       {kind: "orderServers", service, zone, desired, spot: false},
@@ -140,26 +140,26 @@
     authority: DutyAuthority,
     now: number
   ): void {
-    const subject = this.getSubject(call)
-    if (subject.inFlight || now < subject.pausedUntil) return
-    const changed = (subject.ordered ?? present) !== call.desired
-    const overdue = present !== call.desired && now >= subject.dueAt
+    const state = this.getOrderState(call)
+    if (state.inFlight || now < state.pausedUntil) return
+    const changed = (state.ordered ?? present) !== call.desired
+    const overdue = present !== call.desired && now >= state.dueAt
     if (!changed && !overdue) return
-    subject.ordered = call.desired
-    subject.inFlight = true
-    subject.pausedUntil = now + this.settings.pauseMs
-    subject.dueAt = now + scaling.bootMs + this.settings.orderGraceMs
+    state.ordered = call.desired
+    state.inFlight = true
+    state.pausedUntil = now + this.settings.pauseMs
+    state.dueAt = now + scaling.bootMs + this.settings.orderGraceMs
     this.emit({kind: "callDuty", call, authority})
   }
 
-  private getSubject(call: ServerOrder): Subject {
+  private getOrderState(call: ServerOrder): OrderState {
     const key = getKey(call)
-    let subject = this.subjects.get(key)
-    if (!subject) {
-      subject = {ordered: undefined, inFlight: false, pausedUntil: -Infinity, dueAt: -Infinity}
-      this.subjects.set(key, subject)
+    let state = this.orderStates.get(key)
+    if (!state) {
+      state = {ordered: undefined, inFlight: false, pausedUntil: -Infinity, dueAt: -Infinity}
+      this.orderStates.set(key, state)
     }
-    return subject
+    return state
   }
 }
 
--- a/src/capacity/capacity-planner.ts
+++ b/src/capacity/capacity-planner.ts
@@ -28,10 +28,10 @@
   total: number
 ): ZoneCounts[] {
   const zones = Object.keys(rules.zonePrices).sort()
-  const totals = spread(total, rankByPrice(zones, rules), rules)
+  const totals = distribute(total, rankByPrice(zones, rules), rules)
   const spotAllowed = rules.spotPrice !== undefined && rules.spotPrice < 1
   const reserve = spotAllowed ? Math.ceil(total * settings.reserveShare) : total
-  const reserves = spread(reserve, rankByPrice(zones, rules), rules)
+  const reserves = distribute(reserve, rankByPrice(zones, rules), rules)
   return zones.map(zone => {
     const all = totals.get(zone) ?? 0
     const ordinary = spotAllowed ? Math.min(all, reserves.get(zone) ?? 0) : all
@@ -45,8 +45,8 @@
 }
 
 /// So many over the zones, evenly, within the limits of each.
-function spread(count: number, zones: readonly string[], {min, max}: ScalingRules): Map<string, number> {
+function distribute(count: number, zones: readonly string[], {min, max}: ScalingRules): Map<string, number> {
   const even = Math.floor(count / zones.length)
-  const rest = count - even * zones.length
-  return new Map(zones.map((zone, i) => [zone, Math.min(max, Math.max(min, even + (i < rest ? 1 : 0)))]))
+  const remainder = count - even * zones.length
+  return new Map(zones.map((zone, i) => [zone, Math.min(max, Math.max(min, even + (i < remainder ? 1 : 0)))]))
 }
--- a/src/routing/admission-queue.ts
+++ b/src/routing/admission-queue.ts
@@ -1,6 +1,7 @@
 /**
- * The queue of requests that wait for an engine: strict by priority class, weighted-fair between the
- * services of a class (start-time fair queueing, Goyal, Vin and Cheng, 1997), in order within a service.
+ * The queue of requests that wait for an engine: strict priority between classes, weighted fair queueing
+ * between the services of a class (start-time fair queueing, Goyal, Vin and Cheng, 1997), and first in, first
+ * out within a service. Each service of a class is one flow. Owns the queued items; relies on nothing.
  */
 
 /** A queued item. */
@@ -9,11 +10,11 @@
   readonly service: string;
   readonly priority: number;
   readonly weight: number;
-  /** Work that the item brings, in any unit that is the same for all items. */
+  /** Work that the item needs, in any unit that is the same for all items. */
   readonly cost: number;
 }
 
-interface Tagged {
+interface TaggedItem {
   readonly item: QueueItem;
   readonly startTag: number;
 }
@@ -21,23 +22,23 @@
 interface PriorityClass {
   virtualTime: number;
   readonly finishTags: Map<string, number>;
-  readonly lanes: Map<string, Tagged[]>;
+  readonly flows: Map<string, TaggedItem[]>;
 }
 
 /** A weighted-fair queue with priority classes. */
 export class AdmissionQueue {
   private readonly classes = new Map<number, PriorityClass>();
-  private readonly laneOf = new Map<string, { priority: number; service: string }>();
+  private readonly flowOf = new Map<string, { priority: number; service: string }>();
   private totalCost = 0;
 
-  /** Items in the queue. */
+  /** Number of queued items. */
   get length(): number {
-    return this.laneOf.size;
+    return this.flowOf.size;
   }
 
   /**
-   * Cost that goes before a new item: all of better classes, and in its own class no more than its lane's
-   * share of the turns makes it wait for.
+   * Cost of the items that are served before a new item: everything in higher classes, and in its own class
+   * at most what its flow's weighted share lets other flows send first.
    */
   costAhead(item: { priority: number; service: string; weight: number }): number {
     let ahead = 0;
@@ -49,93 +50,93 @@
   }
 
   private costAheadInClass(queue: PriorityClass, item: { service: string; weight: number }): number {
-    let laneCost = 0;
+    let flowCost = 0;
     let otherWeight = 0;
-    for (const [service, lane] of queue.lanes) {
-      if (service === item.service) laneCost = lane.reduce((sum, tagged) => sum + tagged.item.cost, 0);
-      else otherWeight += lane[0].item.weight;
+    for (const [service, flow] of queue.flows) {
+      if (service === item.service) flowCost = flow.reduce((sum, tagged) => sum + tagged.item.cost, 0);
+      else otherWeight += flow[0].item.weight;
     }
-    const fairWait = laneCost * (1 + otherWeight / item.weight);
+    const fairWait = flowCost * (1 + otherWeight / item.weight);
     return Math.min(classCost(queue), fairWait);
   }
 
-  /** Sum of all costs. */
+  /** Sum of the costs of all queued items. */
   cost(): number {
     return this.totalCost;
   }
 
-  /** Adds an item at the end of its service's lane. */
+  /** Adds an item at the end of its service's flow. */
   push(item: QueueItem): void {
-    const queue = this.classOf(item.priority);
+    const queue = this.getClass(item.priority);
     const startTag = Math.max(queue.virtualTime, queue.finishTags.get(item.service) ?? 0);
     queue.finishTags.set(item.service, startTag + item.cost / item.weight);
-    this.lane(queue, item.service).push({ item, startTag });
-    this.added(item);
+    this.getFlow(queue, item.service).push({ item, startTag });
+    this.onAdded(item);
   }
 
-  /** Puts an item back at the head of its lane, after an engine rejected it. */
+  /** Puts an item back at the head of its flow, after an engine rejected it. */
   pushFront(item: QueueItem): void {
-    const queue = this.classOf(item.priority);
-    const lane = this.lane(queue, item.service);
-    const startTag = Math.min(queue.virtualTime, lane[0]?.startTag ?? queue.virtualTime);
-    lane.unshift({ item, startTag });
-    this.added(item);
+    const queue = this.getClass(item.priority);
+    const flow = this.getFlow(queue, item.service);
+    const startTag = Math.min(queue.virtualTime, flow[0]?.startTag ?? queue.virtualTime);
+    flow.unshift({ item, startTag });
+    this.onAdded(item);
   }
 
-  /** Items in the order in which they should go: the head of each lane, best first. */
+  /** The first item of each flow, in the order in which they should be sent. */
   heads(): QueueItem[] {
     const heads: QueueItem[] = [];
     const levels = [...this.classes.keys()].sort((left, right) => left - right);
     for (const level of levels) {
-      const lanes = [...(this.classes.get(level) as PriorityClass).lanes.values()];
-      const tagged = lanes.map((lane) => lane[0]).sort((left, right) => left.startTag - right.startTag);
+      const flows = [...(this.classes.get(level) as PriorityClass).flows.values()];
+      const tagged = flows.map((flow) => flow[0]).sort((left, right) => left.startTag - right.startTag);
       heads.push(...tagged.map((entry) => entry.item));
     }
     return heads;
   }
 
-  /** Takes an item out, wherever it stands. Returns whether it was there. */
+  /** Removes an item from any position. Returns whether it was queued. */
   remove(id: string): boolean {
-    const place = this.laneOf.get(id);
-    if (!place) return false;
-    const queue = this.classOf(place.priority);
-    const lane = this.lane(queue, place.service);
-    const index = lane.findIndex((tagged) => tagged.item.id === id);
-    const [tagged] = lane.splice(index, 1);
+    const location = this.flowOf.get(id);
+    if (!location) return false;
+    const queue = this.getClass(location.priority);
+    const flow = this.getFlow(queue, location.service);
+    const index = flow.findIndex((tagged) => tagged.item.id === id);
+    const [tagged] = flow.splice(index, 1);
     queue.virtualTime = Math.max(queue.virtualTime, tagged.startTag);
-    this.laneOf.delete(id);
+    this.flowOf.delete(id);
     this.totalCost -= tagged.item.cost;
-    if (lane.length === 0) queue.lanes.delete(place.service);
-    if (queue.lanes.size === 0) queue.finishTags.clear();
+    if (flow.length === 0) queue.flows.delete(location.service);
+    if (queue.flows.size === 0) queue.finishTags.clear();
     return true;
   }
 
-  private added(item: QueueItem): void {
-    this.laneOf.set(item.id, { priority: item.priority, service: item.service });
+  private onAdded(item: QueueItem): void {
+    this.flowOf.set(item.id, { priority: item.priority, service: item.service });
     this.totalCost += item.cost;
   }
 
-  private classOf(priority: number): PriorityClass {
+  private getClass(priority: number): PriorityClass {
     let queue = this.classes.get(priority);
     if (!queue) {
-      queue = { virtualTime: 0, finishTags: new Map(), lanes: new Map() };
+      queue = { virtualTime: 0, finishTags: new Map(), flows: new Map() };
       this.classes.set(priority, queue);
     }
     return queue;
   }
 
-  private lane(queue: PriorityClass, service: string): Tagged[] {
-    let lane = queue.lanes.get(service);
-    if (!lane) {
-      lane = [];
-      queue.lanes.set(service, lane);
+  private getFlow(queue: PriorityClass, service: string): TaggedItem[] {
+    let flow = queue.flows.get(service);
+    if (!flow) {
+      flow = [];
+      queue.flows.set(service, flow);
     }
-    return lane;
+    return flow;
   }
 }
 
 function classCost(queue: PriorityClass): number {
   let cost = 0;
-  for (const lane of queue.lanes.values()) for (const tagged of lane) cost += tagged.item.cost;
+  for (const flow of queue.flows.values()) for (const tagged of flow) cost += tagged.item.cost;
   return cost;
 }
--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -1,8 +1,8 @@
 /**
- * Calls to application servers, from the slot to the answer. Owns the calls in hand; application-servers.ts
- * says which server gets one, retry-rule.ts whether one that broke is repeated. A call that may not be
- * repeated is claimed in the ledger first and sent to one server at most; it goes to another server only when
- * no byte of it can have reached the first.
+ * Calls to application servers, from the granted slot to the answer. Owns the calls in progress;
+ * application-servers.ts picks the server, retry-rule.ts decides whether a broken call is repeated. A call
+ * that may not be repeated is claimed in the ledger first and runs on one server at most; it is sent to another
+ * server only when no byte of it can have reached the first.
  */
 import {
   AlreadyClaimedError,
@@ -38,13 +38,13 @@
 }
 
 /**
- * Attempts that may have run, for one call, and retries per call in the long run; the defaults of
- * completions.
+ * Limits on attempts that may have run and on retries per call in the long run; the same values as the
+ * defaults for completions.
  */
-const RETRIES: RetryRuleSettings = { maximumAttempts: 3, retryRatio: 0.2 };
+const RETRY_SETTINGS: RetryRuleSettings = { maximumAttempts: 3, retryRatio: 0.2 };
 /**
- * Longest body that is recorded for a caller that repeats its key. Bytes; rows of the table stay small. A
- * longer answer is passed on, and a repeat is answered that the key was used.
+ * Longest response body that is recorded for a caller that repeats its idempotency key. Bytes; the limit keeps
+ * table rows small. A longer response is passed on but not recorded, and a repeat fails as already claimed.
  */
 const MAXIMUM_RECORDED_BODY_BYTES = 64 * 1024;
 
@@ -52,28 +52,28 @@
 export class ApplicationManager {
   private readonly sessions = new Map<string, CallSession>();
   private readonly servers: ApplicationServers;
-  private readonly retries = new RetryRule(RETRIES);
+  private readonly retries = new RetryRule(RETRY_SETTINGS);
 
   constructor(
     private readonly ledger: OnceLedger,
     random: RandomSource,
     private readonly emit: EffectSink<ApplicationEffect>,
-    private readonly runs: AttemptListener = new NoAttemptListener(),
+    private readonly attemptListener: AttemptListener = new NoAttemptListener(),
   ) {
     this.servers = new ApplicationServers(random);
   }
 
-  /** Calls in hand. */
+  /** Number of calls in progress. */
   active(): number {
     return this.sessions.size;
   }
 
-  /** Takes the servers from the machine list. A server that said it is leaving stays so. */
+  /** Updates the servers from the machine list. A server that reported that it is leaving stays leaving. */
   setServers(list: readonly { id: string; address: string; leaving: boolean }[]): void {
     this.servers.setServers(list);
   }
 
-  /** Begins a call that has its slot. */
+  /** Starts a call whose slot has been granted. */
   begin(call: ApplicationCall, row: ServiceRow, now: number): void {
     this.retries.addRequest();
     const session: CallSession = {
@@ -92,11 +92,11 @@
     else this.ledger.claim(call.requestId, `${call.service}/${call.idempotencyKey}`, now);
   }
 
-  /** The ledger holds the claim: the call may be sent. */
+  /** The ledger has recorded the claim: sends the call. */
   onClaimGranted(requestId: string, now: number): void {
     const session = this.sessions.get(requestId);
     if (!session) {
-      // The caller went away before the call was sent: it did not run, so the key may be used again.
+      // The caller disconnected before the call was sent: it did not run, so the key may be used again.
       this.ledger.releaseClaim(requestId, now);
       return;
     }
@@ -104,7 +104,7 @@
     this.send(session, now);
   }
 
-  /** The key was used before. */
+  /** The key is already claimed: replies with the recorded outcome, if any, or an error. */
   onClaimTaken(requestId: string, outcome: RecordedOutcome | undefined): void {
     const session = this.sessions.get(requestId);
     if (!session) return;
@@ -120,7 +120,7 @@
       contentType: outcome.contentType,
       body,
     });
-    this.over(session);
+    this.finish(session);
   }
 
   /** The ledger could not confirm the claim; the call was not sent. */
@@ -129,15 +129,15 @@
     if (session) this.fail(session, new LedgerUnavailableError(session.call.service, retryAfterMs));
   }
 
-  /** The caller went away. */
+  /** The caller disconnected: cancels the call. */
   cancel(requestId: string, now: number): void {
     const session = this.sessions.get(requestId);
     if (!session) return;
     this.settleClaim(session, now);
-    this.fail(session, new CallerCancelledError(requestId, notRunOf(session)));
+    this.fail(session, new CallerCancelledError(requestId, getNotRun(session)));
   }
 
-  /** Takes an event of a call that was sent. */
+  /** Applies an event of a call that was sent. Events of earlier attempts are ignored. */
   onCallEvent(requestId: string, attemptId: string, event: ApplicationEvent, now: number): void {
     const session = this.sessions.get(requestId);
     const attempt = session?.attempt;
@@ -157,36 +157,36 @@
         break;
       case 'response':
         attempt.server.leaving ||= event.leaving;
-        this.answered(session, event, now);
+        this.onResponse(session, event, now);
         break;
       case 'broken':
-        this.broken(session, attempt.server, attempt.startedAt, now);
+        this.onBroken(session, attempt.server, attempt.startedAt, now);
         break;
     }
   }
 
-  /** Whether a call that was sent before a moment is still at a server. */
+  /** Whether a call that was sent to the server before `before` is still in flight. */
   hasOlderAttempt(serverId: string, before: number): boolean {
     for (const { attempt } of this.sessions.values())
       if (attempt?.server.id === serverId && attempt.startedAt < before) return true;
     return false;
   }
 
-  /** Advances timers. */
+  /** Fails calls whose deadline has passed. */
   tick(now: number): void {
     for (const session of [...this.sessions.values()]) {
       if (now >= session.deadlineAt) {
         this.settleClaim(session, now);
-        this.fail(session, new DeadlineExceededError(session.call.requestId, notRunOf(session)));
+        this.fail(session, new DeadlineExceededError(session.call.requestId, getNotRun(session)));
       }
     }
   }
 
   private send(session: CallSession, now: number): void {
-    const quarantineMs = this.runs.getQuarantineMs(session.call.key, now);
+    const quarantineMs = this.attemptListener.getQuarantineMs(session.call.key, now);
     if (quarantineMs !== undefined) {
       this.settleClaim(session, now);
-      this.fail(session, new QuarantinedError(session.call.service, quarantineMs, notRunOf(session)));
+      this.fail(session, new QuarantinedError(session.call.service, quarantineMs, getNotRun(session)));
       return;
     }
     const server = this.servers.pick(session.excluded, now);
@@ -196,7 +196,7 @@
         session,
         new NoBackendError(
           session.call.service,
-          notRunOf(session),
+          getNotRun(session),
           this.servers.findBackOffMs(now) ?? NO_SERVER_RETRY_AFTER_MS,
         ),
       );
@@ -221,20 +221,20 @@
     this.send(session, now);
   }
 
-  private answered(
+  private onResponse(
     session: CallSession,
     event: Extract<ApplicationEvent, { kind: 'response' }>,
     now: number,
   ): void {
     const { requestId } = session.call;
     const { status, contentType, body } = event;
-    this.runs.addAnswer(session.call.key, now);
-    if (!session.row.repeatable) this.record(requestId, status, contentType, body, now);
+    this.attemptListener.addAnswer(session.call.key, now);
+    if (!session.row.repeatable) this.recordOutcome(requestId, status, contentType, body, now);
     this.emit({ kind: 'replyApplication', requestId, status, contentType, body });
-    this.over(session);
+    this.finish(session);
   }
 
-  private record(
+  private recordOutcome(
     requestId: string,
     status: number,
     contentType: string,
@@ -250,10 +250,10 @@
       );
   }
 
-  private broken(session: CallSession, server: ApplicationServer, startedAt: number, now: number): void {
+  private onBroken(session: CallSession, server: ApplicationServer, startedAt: number, now: number): void {
     session.mayHaveRun = true;
     session.brokenAttempts += 1;
-    this.runs.addBrokenAttempt(session.call.key, server, startedAt, now);
+    this.attemptListener.addBrokenAttempt(session.call.key, server, startedAt, now);
     this.servers.addFailure(server, now);
     const { row, brokenAttempts } = session;
     if (this.retries.takeRetry({ repeatable: row.repeatable, brokenAttempts })) {
@@ -264,10 +264,13 @@
     this.fail(session, new AttemptBrokenError(session.call.requestId, brokenAttempts, 'unknown'));
   }
 
-  /** Before a failure is answered: a call that certainly did not run gives its key back. */
+  /**
+   * Settles the claim of a call that is about to fail: releases the key if the call certainly did not run, and
+   * keeps it claimed without an outcome otherwise.
+   */
   private settleClaim(session: CallSession, now: number): void {
     if (session.row.repeatable || session.stage === 'claiming') return;
-    if (notRunOf(session) === 'true') this.ledger.releaseClaim(session.call.requestId, now);
+    if (getNotRun(session) === 'true') this.ledger.releaseClaim(session.call.requestId, now);
     else this.ledger.abandon(session.call.requestId);
   }
 
@@ -279,15 +282,15 @@
       this.emit({ kind: 'cancelApplicationCall', attemptId: attempt.attemptId });
     }
     this.emit({ kind: 'replyFailed', requestId: session.call.requestId, error, tokensSent: 0 });
-    this.over(session);
+    this.finish(session);
   }
 
-  private over(session: CallSession): void {
+  private finish(session: CallSession): void {
     this.sessions.delete(session.call.requestId);
     this.emit({ kind: 'applicationOver', requestId: session.call.requestId, service: session.call.service });
   }
 }
 
-function notRunOf(session: CallSession): NotRun {
+function getNotRun(session: CallSession): NotRun {
   return session.mayHaveRun || session.attempt ? 'unknown' : 'true';
 }
--- a/src/routing/application-messages.ts
+++ b/src/routing/application-messages.ts
@@ -1,27 +1,27 @@
 /**
- * Calls to application servers: what a caller asks for, what the manager learns of a call that it sent, and
- * what it asks its runner to do. Owns these types.
+ * Types of calls to application servers: the caller's request, the events of a call that was sent, and the
+ * effects that the manager emits.
  */
 import type { PulleyledgeError } from '../errors/index.js';
 
-/** A call asked for by a caller. The runner keeps method, path, headers and body under the request id. */
+/** A caller's request. The effect runner keeps method, path, headers and body under the request id. */
 export interface ApplicationCall {
   readonly requestId: string;
   readonly service: string;
-  /** The caller's key, or one made here for a call without. */
+  /** The caller's key, or a generated one for a call without a key. */
   readonly idempotencyKey: string;
   /** Monotonic milliseconds. */
   readonly receivedAt: number;
   readonly timeoutMs: number | undefined;
-  /** The same for each try of one caller for one thing; undefined where that is not known. */
+  /** Identical for all retries that a caller makes of the same request; undefined when unknown. */
   readonly key?: string | undefined;
 }
 
-/** What the manager learns of a call it sent. */
+/** An event of a call that the manager sent. */
 export type ApplicationEvent =
   /** No byte of the call reached the server. */
   | { readonly kind: 'unreachable'; readonly reason: string }
-  /** The server itself rejected the call before it began. */
+  /** The server rejected the call before it started processing it. */
   | { readonly kind: 'refused'; readonly leaving: boolean; readonly retryAfterMs?: number | undefined }
   | {
       readonly kind: 'response';
@@ -29,12 +29,12 @@
       readonly contentType: string;
       readonly body: Uint8Array;
       readonly leaving: boolean;
-      /** It turned the call away and wants none for so long. Milliseconds. */
+      /** The server rejected the call and asks for no calls for this duration. Milliseconds. */
       readonly retryAfterMs?: number | undefined;
     }
   | { readonly kind: 'broken'; readonly reason: string };
 
-/** What the manager asks its runner to do. */
+/** Effects that the manager emits. */
 export type ApplicationEffect =
   | {
       readonly kind: 'startApplicationCall';
--- a/src/routing/application-servers.ts
+++ b/src/routing/application-servers.ts
@@ -1,25 +1,25 @@
 /**
- * The application servers of a daemon, and which of them gets a call. Owns what is known of each: whether it
- * leaves, calls in flight from here, and until when it is avoided after a failure.
+ * The application servers that a daemon knows, and the choice of one for a call. Owns the state of each: whether
+ * it is leaving, this daemon's calls in flight, and until when it is avoided after a failure or backs off.
  */
 import type { RandomSource } from '../shared/random.js';
 
-/** An application server as the machine list names it. */
+/** An application server from the machine list, with its local state. */
 export interface ApplicationServer {
   readonly id: string;
   address: string;
   leaving: boolean;
-  /** Calls of this daemon. */
+  /** Calls in flight from this daemon. */
   inFlight: number;
-  /** Monotonic milliseconds. */
+  /** Avoided after a failure until then. Monotonic milliseconds. */
   avoidUntil: number;
-  /** It wants no calls from this daemon until then. Monotonic milliseconds. */
+  /** The server asked this daemon to send no calls until then. Monotonic milliseconds. */
   backOffUntil: number;
 }
 
 /**
- * A server that could not be reached or broke off gets no call for so long, unless there is no other.
- * Milliseconds.
+ * A server that was unreachable or broke a call gets no new call for this duration, unless there is no other
+ * server. Milliseconds.
  */
 const AVOID_AFTER_FAILURE_MS = 2000;
 
@@ -29,7 +29,7 @@
 
   constructor(private readonly random: RandomSource) {}
 
-  /** Takes the servers from the machine list. A server that said it is leaving stays so. */
+  /** Updates the servers from the machine list. A server that reported that it is leaving stays leaving. */
   setServers(list: readonly { id: string; address: string; leaving: boolean }[]): void {
     const listed = new Set(list.map((server) => server.id));
     for (const id of [...this.servers.keys()]) if (!listed.has(id)) this.servers.delete(id);
@@ -51,18 +51,22 @@
     }
   }
 
-  /** A server failed: others are preferred for a while. */
+  /** Records a failure: other servers are preferred for `AVOID_AFTER_FAILURE_MS`. */
   addFailure(server: ApplicationServer, now: number): void {
     server.avoidUntil = now + AVOID_AFTER_FAILURE_MS;
   }
 
-  /** A server wants no calls from this daemon for so long. What it has said before stays in force. */
+  /**
+   * Records that a server asked for a back-off of `retryAfterMs`. A shorter back-off doesn't end an earlier one.
+   */
   addBackOff(server: ApplicationServer, retryAfterMs: number, now: number): void {
     server.backOffUntil = Math.max(server.backOffUntil, now + retryAfterMs);
   }
 
-  /** How long until the first server that stays wants calls again; undefined when none has asked to back off.
-   * Milliseconds. */
+  /**
+   * Time until the first back-off of a server that is not leaving ends; undefined when none is in force.
+   * Milliseconds.
+   */
   findBackOffMs(now: number): number | undefined {
     const backedOff = [...this.servers.values()].filter(
       ({ leaving, backOffUntil }) => !leaving && now < backOffUntil,
@@ -73,16 +77,16 @@
   }
 
   /**
-   * The server that gets a call: of two that are drawn at random the one with fewer calls from here. Servers
-   * that leave, that have asked this daemon to back off and those that the call excludes are left out, and those that failed lately wherever there are
-   * others.
+   * Picks a server for a call: the one with fewer calls in flight of two random candidates. Servers that are
+   * leaving, backing off or in `excluded` are skipped, and so are those that failed recently unless there is no
+   * other.
    */
   pick(excluded: ReadonlySet<string>, now: number): ApplicationServer | undefined {
-    const able = [...this.servers.values()].filter(
+    const eligible = [...this.servers.values()].filter(
       (server) => !server.leaving && now >= server.backOffUntil && !excluded.has(server.id),
     );
-    const steady = able.filter((server) => now >= server.avoidUntil);
-    const candidates = steady.length > 0 ? steady : able;
+    const preferred = eligible.filter((server) => now >= server.avoidUntil);
+    const candidates = preferred.length > 0 ? preferred : eligible;
     if (candidates.length === 0) return undefined;
     const first = candidates[this.random.below(candidates.length)];
     const second = candidates[this.random.below(candidates.length)];
--- a/src/routing/completion-effects.ts
+++ b/src/routing/completion-effects.ts
@@ -1,10 +1,10 @@
-/** What the completion manager asks its runner to do, and its settings. */
+/** The effects that the completion manager emits, and its settings. */
 import type { ServiceRow } from '../configuration/service-row.js';
 import type { KvHandle } from '../contracts/engine-protocol.js';
 import type { PulleyledgeError } from '../errors/index.js';
 import type { CompletionRequest } from './completion-request.js';
 
-/** Which part of a request an attempt asks for. */
+/** The part of a request that an attempt executes. */
 export type AttemptStage = 'prefill' | 'generate';
 
 /** An attempt to be started at an engine. */
@@ -16,16 +16,16 @@
   readonly stage: AttemptStage;
   readonly request: CompletionRequest;
   readonly row: ServiceRow;
-  /** Tokens that the caller has already; the engine goes on from here. */
+  /** Number of tokens that the caller has already; the engine continues from here. */
   readonly offset: number;
-  /** Texts of those tokens, for the engine to compute their cache. */
+  /** Texts of those tokens, from which the engine computes their KV cache. */
   readonly produced: readonly string[];
   readonly kv: KvHandle | undefined;
   /** Time left until the deadline. Milliseconds. */
   readonly remainingMs: number;
 }
 
-/** What the manager asks its runner to do. */
+/** Effects that the manager emits. */
 export type CompletionEffect =
   | { readonly kind: 'startAttempt'; readonly start: AttemptStart }
   | { readonly kind: 'cancelAttempt'; readonly attemptId: string; readonly address: string }
@@ -41,14 +41,14 @@
       readonly tokens: number;
       readonly finishReason: string;
     }
-  /** The request ends with this failure; `tokensSent` says how much the caller has. */
+  /** The request failed; `tokensSent` is the number of tokens that the caller has received. */
   | {
       readonly kind: 'replyFailed';
       readonly requestId: string;
       readonly error: PulleyledgeError;
       readonly tokensSent: number;
     }
-  /** The request is over, however it ended: its slot is free. */
+  /** The request has ended, successfully or not: its slot is free. */
   | {
       readonly kind: 'completionOver';
       readonly requestId: string;
@@ -59,26 +59,30 @@
 /** Settings of the manager. */
 export interface CompletionSettings {
   /**
-   * An attempt without an event for this long is aborted and resumed elsewhere. Milliseconds. Default 15000.
+   * An attempt without an event for this duration is aborted as broken, and resumed on another engine where a
+   * retry is allowed. Milliseconds. Default 15000.
    */
   readonly attemptStallMs: number;
-  /** Attempts that may have run, for one request. Default 3. */
+  /** Maximum number of attempts of one request that may have run. Default 3. */
   readonly maximumAttempts: number;
-  /** Retries allowed per request in the long run. Default 0.2. */
+  /** Retries allowed per request, averaged over time. Default 0.2. */
   readonly retryRatio: number;
   /**
-   * Work is sent to an engine only when its expected time to the first token is below this; else it waits
-   * here. Milliseconds. Default 400.
+   * A request waits here while an engine's other work would delay its first token by more than this.
+   * Milliseconds. Default 400.
    */
   readonly dispatchHorizonMs: number;
   /**
-   * A request is refused when its first token is expected after this share of the service's target; a later
-   * one helps nobody. Default 0.8.
+   * A request is refused when its first token is expected after this share of the service's target: work whose
+   * first token misses the target is wasted. Default 0.8.
    */
   readonly firstTokenShare: number;
-  /** Prompts up to this length do not wait here for a shorter backlog at the engines. Tokens. Default 512. */
+  /** Prompts up to this length are not held back for a shorter backlog at the engines. Tokens. Default 512. */
   readonly smallPromptTokens: number;
-  /** A request of a model that no engine serves now waits this long for one. Milliseconds. Default 1000. */
+  /**
+   * A request for a model that no engine currently serves waits for an engine for this duration. Milliseconds.
+   * Default 1000.
+   */
   readonly noBackendWaitMs: number;
 }
 
--- a/src/routing/completion-manager.ts
+++ b/src/routing/completion-manager.ts
@@ -1,10 +1,10 @@
 /**
- * Completions in hand: queues them, sends attempts to engines and puts the answer together. Owns one session
- * a request, with at most one live attempt. Tokens are passed on only at the exact next offset, and an answer
- * is complete only at an engine's end marker.
+ * The completion state machine: queues requests, sends attempts to engines and assembles the responses. Owns one
+ * session per request, with at most one live attempt. Tokens are passed on only at the exact next offset, and a
+ * response is complete only at an engine's end marker.
  *
- * The decisions are elsewhere: refused, held, given up in completion-rules.ts, sent or left waiting in
- * completion-dispatch.ts, the engine in engine-picker.ts, repeated after a break in retry-rule.ts.
+ * The decisions are made in other modules: refusing, holding back and giving up in completion-rules.ts, sending or
+ * waiting in completion-dispatch.ts, the engine in engine-picker.ts, retries of broken attempts in retry-rule.ts.
  */
 import {
   AttemptBrokenError,
@@ -22,7 +22,7 @@
 import { CompletionRules } from './completion-rules.js';
 import {
   createSession,
-  notRunOf,
+  getNotRun,
   PHASES_BY_REFUSAL,
   type LiveAttempt,
   type Session,
@@ -34,19 +34,19 @@
 import { WaitEstimator } from './wait-estimator.js';
 
 /**
- * A request in the queue costs at least this many prompt tokens, so that short prompts count in the share
- * of their lane too.
+ * Minimum cost of a queued request in prompt tokens, so that short prompts also count towards the share of their
+ * flow.
  */
 const MINIMUM_COST_TOKENS = 32;
 
-/** What the manager works with. */
+/** Dependencies and settings of the manager. */
 interface CompletionManagerOptions {
   readonly settings: CompletionSettings;
   readonly directorySettings: DirectorySettings;
   readonly directory: EngineDirectory;
   readonly picker: EnginePicker;
   readonly emit: EffectSink<CompletionEffect>;
-  /** Hears how runs end; left out where no request is quarantined. */
+  /** Receives the outcomes of attempts; omitted where no request is quarantined. */
   readonly attemptListener?: AttemptListener;
 }
 
@@ -61,36 +61,36 @@
   private readonly directorySettings: DirectorySettings;
   private readonly dispatcher: CompletionDispatch;
   private readonly emit: EffectSink<CompletionEffect>;
-  private readonly runs: AttemptListener;
+  private readonly attemptListener: AttemptListener;
 
   constructor(options: CompletionManagerOptions) {
     this.settings = options.settings;
     this.directorySettings = options.directorySettings;
     this.emit = options.emit;
-    this.runs = options.attemptListener ?? new NoAttemptListener();
+    this.attemptListener = options.attemptListener ?? new NoAttemptListener();
     this.retries = new RetryRule(options.settings);
     this.waits = new WaitEstimator(options.settings, options.directory, this.queue);
     this.rules = new CompletionRules(options.settings, this.waits);
-    const { rules, runs } = this;
-    this.dispatcher = new CompletionDispatch({ ...options, rules, runs });
+    const { rules, attemptListener } = this;
+    this.dispatcher = new CompletionDispatch({ ...options, rules, attemptListener });
   }
 
-  /** Requests in hand. */
+  /** Number of requests in progress. */
   active(): number {
     return this.sessions.size;
   }
 
-  /** Requests that wait for an engine. */
+  /** Number of requests that wait for an engine. */
   waiting(): number {
     return this.queue.length;
   }
 
-  /** Why a request should be refused before it takes a slot, or undefined to go on. */
+  /** The reason to refuse a request before it takes a slot; undefined to accept it. */
   findRefusal(request: CompletionRequest, row: ServiceRow, now: number): PulleyledgeError | undefined {
     return this.rules.findRefusal(request, row, now);
   }
 
-  /** Begins a request that has its slot. */
+  /** Starts a request whose slot has been granted. */
   begin(request: CompletionRequest, row: ServiceRow, now: number): void {
     this.retries.addRequest();
     const cost = Math.max(MINIMUM_COST_TOKENS, request.prompt.tokens);
@@ -107,13 +107,13 @@
     this.dispatch(now);
   }
 
-  /** The caller went away: the work is cancelled at the engine. */
+  /** The caller disconnected: cancels the work at the engine. */
   cancel(requestId: string, now: number): void {
     const session = this.sessions.get(requestId);
-    if (session) this.fail(session, new CallerCancelledError(requestId, notRunOf(session)), now);
+    if (session) this.fail(session, new CallerCancelledError(requestId, getNotRun(session)), now);
   }
 
-  /** Takes an event of an attempt. Events of attempts that are no longer live are dropped. */
+  /** Applies an event of an attempt. Events of attempts that are no longer live are dropped. */
   onAttemptEvent(requestId: string, attemptId: string, event: AttemptEvent, now: number): void {
     const session = this.sessions.get(requestId);
     const attempt = session?.attempt;
@@ -141,25 +141,25 @@
         break;
       case 'broken':
         if (attempt.stage === 'generate')
-          this.runs.addBrokenAttempt(session.request.key, attempt.engine, attempt.startedAt, now);
+          this.attemptListener.addBrokenAttempt(session.request.key, attempt.engine, attempt.startedAt, now);
         this.onBroken(session, attempt, now);
         break;
     }
   }
 
-  /** Whether an attempt that was sent before a moment is still at an engine. */
+  /** Whether an attempt that was sent to the engine before `before` is still in flight. */
   hasOlderAttempt(engineId: string, before: number): boolean {
     for (const { attempt } of this.sessions.values())
       if (attempt?.engine.id === engineId && attempt.startedAt < before) return true;
     return false;
   }
 
-  /** Advances timers and sends waiting work. */
+  /** Checks deadlines, stalls and waiting times, and sends queued requests. */
   tick(now: number): void {
     for (const session of [...this.sessions.values()]) {
       if (now >= session.deadlineAt) {
         const { requestId } = session.request;
-        this.fail(session, new DeadlineExceededError(requestId, notRunOf(session)), now);
+        this.fail(session, new DeadlineExceededError(requestId, getNotRun(session)), now);
       } else if (session.attempt) this.checkStall(session, session.attempt, now);
       else this.checkWait(session, now);
     }
@@ -177,7 +177,7 @@
     this.onBroken(session, attempt, now);
   }
 
-  /** Sends the best waiting items while engines can take them. */
+  /** Sends queued requests in their order while engines can take them. */
   private dispatch(now: number): void {
     let progress = true;
     while (progress && this.queue.length > 0) {
@@ -194,7 +194,7 @@
     }
   }
 
-  /** Carries out the decision on one waiting request. Returns whether it was sent. */
+  /** Applies the decision on one waiting request. Returns whether it was sent. */
   private trySend(session: Session, now: number): boolean {
     const decision = this.dispatcher.decide(session, now);
     switch (decision.kind) {
@@ -251,8 +251,8 @@
   }
 
   /**
-   * Passes tokens on at the exact next offset; what the caller has already is left out, and a gap breaks the
-   * attempt.
+   * Passes tokens on at the exact next offset. Tokens that the caller has already are skipped, and a gap breaks
+   * the attempt.
    */
   private onTokens(
     session: Session,
@@ -273,7 +273,7 @@
     this.emit({ kind: 'replyTokens', requestId: session.request.requestId, offset: expected, texts: fresh });
   }
 
-  /** Ends the answer, if the engine counted as many tokens as the caller has. */
+  /** Ends the response if the engine's token count matches the tokens sent; a mismatch breaks the attempt. */
   private onEnd(
     session: Session,
     attempt: LiveAttempt,
@@ -285,14 +285,14 @@
       return;
     }
     attempt.engine.addSuccess();
-    this.runs.addAnswer(session.request.key, now);
+    this.attemptListener.addAnswer(session.request.key, now);
     this.waits.addStream(now - attempt.startedAt);
     this.endAttempt(session, attempt, now);
     this.emit({ kind: 'replyEnd', requestId: session.request.requestId, tokens, finishReason });
     this.finish(session, now);
   }
 
-  /** The engine may have worked: repeat only work that may be repeated, within the budget. */
+  /** The engine may have executed the attempt: retries only repeatable work, within the budget. */
   private onBroken(session: Session, attempt: LiveAttempt, now: number): void {
     attempt.engine.addFailure(now, this.directorySettings);
     this.endAttempt(session, attempt, now);
@@ -306,16 +306,16 @@
       return;
     }
     const { requestId } = session.request;
-    this.fail(session, new AttemptBrokenError(requestId, brokenAttempts, notRunOf(session)), now);
+    this.fail(session, new AttemptBrokenError(requestId, brokenAttempts, getNotRun(session)), now);
   }
 
-  /** The engine certainly did not run it: try elsewhere, without counting against the budget. */
+  /** The engine certainly did not execute the attempt: tries another one, outside the retry budget. */
   private applyRejection(session: Session, attempt: LiveAttempt, now: number): void {
     this.endAttempt(session, attempt, now);
     session.excluded.add(attempt.engine.id);
     if (attempt.stage === 'generate') session.kv = undefined;
     session.refusals += 1;
-    if (this.rules.isPaused(session.refusals)) this.pause(session, now);
+    if (this.rules.isPauseDue(session.refusals)) this.pause(session, now);
     this.requeue(session, now);
   }
 
--- a/src/routing/completion-request.ts
+++ b/src/routing/completion-request.ts
@@ -1,13 +1,13 @@
-/** A completion as the router sees it. Owns no state. */
+/** The router's view of a completion request. Owns no state. */
 
-/** A prompt. The text travels to the engine; the router needs only its length and its prefix. */
+/** A prompt. The text is forwarded to the engine; the router uses only its length and its prefix. */
 export interface Prompt {
   readonly text: string;
   readonly tokens: number;
   readonly prefixKey: string;
 }
 
-/** A completion asked for by a caller. */
+/** A caller's completion request. */
 export interface CompletionRequest {
   readonly requestId: string;
   readonly service: string;
@@ -15,18 +15,18 @@
   readonly maximumTokens: number;
   /** Monotonic milliseconds. */
   readonly receivedAt: number;
-  /** Time allowed, from the caller or the service's row. Milliseconds. */
+  /** Time limit set by the caller; undefined means the deadline of the service's row. Milliseconds. */
   readonly timeoutMs: number | undefined;
-  /** The same for each try of one caller for one thing; undefined where that is not known. */
+  /** Identical for all retries that a caller makes of the same request; undefined when unknown. */
   readonly key?: string | undefined;
 }
 
-/** Characters of a prompt that make about a token. A rule of thumb for English text. */
+/** Approximate characters per token. A rule of thumb for English text. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Prompts that begin with the same characters share a prefix key. */
+/** Length of the prefix key: prompts that begin with the same characters share one. Characters. */
 const PREFIX_CHARACTERS = 256;
 
-/** Describes a prompt text; the token count is an estimate. */
+/** Creates a prompt from its text; the token count is an estimate. */
 export function describePrompt(text: string): Prompt {
   const tokens = Math.max(1, Math.ceil(text.length / CHARACTERS_PER_TOKEN));
   return { text, tokens, prefixKey: text.slice(0, PREFIX_CHARACTERS) };
--- a/src/routing/completion-session.ts
+++ b/src/routing/completion-session.ts
@@ -1,5 +1,5 @@
 /**
- * The state of one completion in a daemon, and what may be said of whether it ran. The manager owns the
+ * The state of one completion in a daemon, and whether an engine may have executed it. The manager owns the
  * sessions.
  */
 import type { ServiceRow } from '../configuration/service-row.js';
@@ -11,7 +11,7 @@
 import type { EngineView } from './engine-directory.js';
 import type { EngineChoice } from './engine-picker.js';
 
-/** The attempt that a request has at an engine. */
+/** A request's attempt in flight at an engine. */
 export interface LiveAttempt {
   readonly attemptId: string;
   readonly engine: EngineView;
@@ -21,7 +21,7 @@
   lastEventAt: number;
 }
 
-/** A request in hand. */
+/** A request in progress. Times are monotonic milliseconds. */
 export interface Session {
   readonly request: CompletionRequest;
   readonly row: ServiceRow;
@@ -29,26 +29,26 @@
   readonly item: QueueItem;
   attempt: LiveAttempt | undefined;
   attemptCount: number;
-  /** Attempts that an engine may have worked on. */
+  /** Attempts that broke after an engine may have started them. */
   brokenAttempts: number;
   mayHaveRun: boolean;
   readonly produced: string[];
   kv: KvHandle | undefined;
   excluded: Set<string>;
   queuedAt: number;
-  /** Rejections by engines in a row; after some it pauses. */
+  /** Consecutive rejections by engines; the request pauses after a few. */
   refusals: number;
   retryAt: number;
 }
 
-/** The phase that an engine is in when it refuses for such a reason. */
+/** The phase of an engine that a refusal reason implies. */
 export const PHASES_BY_REFUSAL: Readonly<Partial<Record<EngineRefusal, EnginePhase>>> = {
   draining: 'draining',
   changing: 'changing',
   leaving: 'leaving',
 };
 
-/** A request that waits for an engine from now on. */
+/** Creates the session of a request that starts waiting for an engine at `now`. */
 export function createSession(
   request: CompletionRequest,
   row: ServiceRow,
@@ -74,9 +74,10 @@
 }
 
 /**
- * What may truthfully be said of a request: false once tokens came, true only if no engine can have begun.
+ * Whether a request certainly did not run: `false` once tokens arrived, `true` only if no engine can have started
+ * it, and `unknown` otherwise.
  */
-export function notRunOf(session: Session): NotRun {
+export function getNotRun(session: Session): NotRun {
   if (session.produced.length > 0) return 'false';
   return session.mayHaveRun || session.attempt ? 'unknown' : 'true';
 }
--- a/src/routing/engine-directory.ts
+++ b/src/routing/engine-directory.ts
@@ -1,8 +1,8 @@
 /**
- * What a daemon knows of the engines that it routes to, and which of them get no work: an engine that leaves
- * or drains, one without a fresh report, and one that is ejected after failures (`takesWork`). Reports are
- * old, so the directory adds what this daemon itself sent since, and lets the reported work run down at the
- * engine's own rate.
+ * The engines that a daemon routes to, with their estimated load. Owns the view of each engine. An engine gets no
+ * work while it is leaving, draining, backing off, without a recent report, or ejected after failures
+ * (`takesWork`). Since reports are delayed, an estimate adds the work that this daemon has sent since the report
+ * and subtracts what the engine has processed since at its nominal rate.
  */
 import { SmoothedRate } from '../shared/smoothed-rate.js';
 import type {
@@ -14,15 +14,18 @@
 
 /** Settings of the directory. */
 export interface DirectorySettings {
-  /** How old a report may be assumed to be on arrival. Milliseconds. Default 500. */
+  /** Assumed age of a report on arrival. Milliseconds. Default 500. */
   readonly reportLagMs: number;
   /**
-   * An engine without a report for this long gets no new work: it may be leaving. Milliseconds. Default 5000.
+   * An engine without a report for this duration gets no new work: it may be leaving. Milliseconds. Default 5000.
    */
   readonly maximumReportAgeMs: number;
-  /** An engine with this many failures in a row is ejected. Default 3. */
+  /** Consecutive failures after which an engine is ejected. Default 3. */
   readonly ejectAfterFailures: number;
-  /** First ejection; each further one doubles it, up to eight times. Milliseconds. Default 2000. */
+  /**
+   * Duration of the first ejection; each further one doubles it, up to eight times the first. Milliseconds. Default
+   * 2000.
+   */
   readonly ejectionMs: number;
 }
 
@@ -40,19 +43,19 @@
   firstTokenSeen: boolean;
 }
 
-/** An ejection is doubled so many times at most: eight times the first. */
+/** Maximum number of doublings of an ejection: eight times the first. */
 const MAXIMUM_EJECTION_DOUBLINGS = 3;
-/** Of the own prompts without a first token about this share is still to be computed. */
-const OWN_WORK_SHARE = 0.5;
+/** Share of the local prompts without a first token that is assumed to be still waiting for computation. */
+const LOCAL_WORK_SHARE = 0.5;
 /** Time constant of the rate of prompt tokens sent to an engine. Milliseconds. */
 const RATE_TIME_CONSTANT_MS = 5000;
 /**
- * What others send is not extrapolated beyond this. Milliseconds. As the default of `maximumReportAgeMs`: an
- * older report counts for nothing.
+ * Limit of the extrapolation of other daemons' work since a report. Milliseconds. Equal to the default of
+ * `maximumReportAgeMs`, since older reports are not used.
  */
 const MAXIMUM_EXTRAPOLATION_MS = 5000;
 
-/** One engine as seen from here. */
+/** This daemon's view of one engine. Times are monotonic milliseconds. */
 export class EngineView {
   assignment: EngineAssignment | undefined;
   capability: EngineCapability | undefined;
@@ -67,7 +70,8 @@
   private finishedAt: number[] = [];
   private readonly promptRate = new SmoothedRate(RATE_TIME_CONSTANT_MS);
   /**
-   * Daemons that route to the engine, this one included. The others are taken to send as much as this one.
+   * Number of daemons that route to the engine, this one included. Each of the others is assumed to send as much
+   * as this one.
    */
   routingDaemons = 1;
   private failures = 0;
@@ -83,7 +87,7 @@
     private readonly maximumReportAgeMs: number,
   ) {}
 
-  /** Takes a load report that was made at about `madeAt` on this daemon's clock. */
+  /** Applies a load report that was made at about `madeAt` on this daemon's clock; older reports are ignored. */
   applyReport(report: EngineReport, madeAt: number): void {
     if (madeAt < this.reportedAt) return;
     this.assignment = report.assignment;
@@ -101,43 +105,43 @@
     return this.reportedAt;
   }
 
-  /** The engine itself said that it takes no new work. Holds until a newer report. */
+  /** Records the phase in which the engine refused work. Valid until a newer report. */
   markPhase(phase: EnginePhase, now: number): void {
     this.phase = phase;
     this.reportedAt = Math.max(this.reportedAt, now);
   }
 
-  /** Counts work sent from here. */
+  /** Adds an attempt that this daemon sent. */
   addWork(attemptId: string, promptTokens: number, now: number): void {
     const computed = promptTokens * (1 - this.cachedShare);
     this.promptRate.add(computed, now);
     this.sent.set(attemptId, { promptTokens: computed, sentAt: now, firstTokenSeen: false });
   }
 
-  /** The prompt of an attempt is computed. */
+  /** Records the first token of an attempt: its prompt is computed. */
   markFirstToken(attemptId: string): void {
     const work = this.sent.get(attemptId);
     if (work) work.firstTokenSeen = true;
   }
 
-  /** The attempt is over. */
+  /** Removes an attempt that has ended. */
   removeWork(attemptId: string, now: number): void {
     if (!this.sent.delete(attemptId)) return;
     this.finishedAt.push(now);
   }
 
-  /** Attempts of this daemon on the engine. */
-  ownStreams(): number {
+  /** Number of this daemon's attempts on the engine. */
+  localStreams(): number {
     return this.sent.size;
   }
 
-  /** The engine worked: earlier failures no longer count. */
+  /** Records a success: earlier failures no longer count. */
   addSuccess(): void {
     this.failures = 0;
     this.ejections = 0;
   }
 
-  /** The engine failed without being asked too much; after a few it is left alone for a while. */
+  /** Records a failure that is no rejection for load. The engine is ejected after several consecutive ones. */
   addFailure(now: number, settings: DirectorySettings): void {
     this.failures += 1;
     if (this.failures < settings.ejectAfterFailures) return;
@@ -146,7 +150,7 @@
     this.ejections += 1;
   }
 
-  /** The engine wants no work from this daemon until then. What it has said before stays in force. */
+  /** Records that the engine asked for a back-off until `until`. An earlier back-off is never shortened. */
   addBackOff(until: number): void {
     this.backOffUntil = Math.max(this.backOffUntil, until);
   }
@@ -159,25 +163,26 @@
   }
 
   /**
-   * Prompt tokens estimated to wait on the engine. Prompts differ much, so the others count by a smoothed
-   * rate.
+   * Estimated number of prompt tokens that wait on the engine. Prompt lengths vary widely, so the work of other
+   * daemons is estimated from a smoothed rate.
    */
   pendingPrefill(now: number): number {
     const rate = this.prefillRate() / 1000;
-    let own = 0;
+    let local = 0;
     let sinceReport = 0;
     for (const work of this.sent.values()) {
       if (work.sentAt > this.reportedAt) sinceReport += work.promptTokens;
-      if (!work.firstTokenSeen) own += work.promptTokens;
+      if (!work.firstTokenSeen) local += work.promptTokens;
     }
     const sinceReportMs = Math.min(Math.max(0, now - this.reportedAt), MAXIMUM_EXTRAPOLATION_MS);
     const others = (this.routingDaemons - 1) * (this.promptRate.perSecond(now) / 1000) * sinceReportMs;
     const estimated = this.reportedPrefill + sinceReport + others - rate * sinceReportMs;
-    return Math.max(0, estimated, own * OWN_WORK_SHARE);
+    return Math.max(0, estimated, local * LOCAL_WORK_SHARE);
   }
 
   /**
-   * Streams estimated to be on the engine. Streams are alike, so what this daemon did stands for the others.
+   * Estimated number of streams on the engine. Streams cost about the same, so the change since the report is this
+   * daemon's change times the number of daemons.
    */
   streams(): number {
     let sinceReport = 0;
@@ -187,7 +192,7 @@
     return Math.max(this.reportedStreams + change, this.sent.size);
   }
 
-  /** Prompt tokens per second in the present role. */
+  /** Prompt tokens per second in the engine's current role. */
   prefillRate(): number {
     const { capability, assignment } = this;
     if (!capability || !assignment) return 1;
@@ -202,7 +207,7 @@
   }
 }
 
-/** An engine in short, for status pages. */
+/** A summary of an engine, for status pages. */
 export interface EngineSummary {
   readonly id: string;
   readonly cell: string;
@@ -218,7 +223,7 @@
 
   private readonly views = new Map<string, EngineView>();
 
-  /** The engine, added when unknown. */
+  /** Returns the engine, adding it if unknown. */
   ensure(id: string, address: string, zone: string, cell: string): EngineView {
     const known = this.views.get(id);
     if (known) {
@@ -230,17 +235,17 @@
     return view;
   }
 
-  /** The engine, if known. */
+  /** The engine; undefined if unknown. */
   get(id: string): EngineView | undefined {
     return this.views.get(id);
   }
 
-  /** Every engine. */
+  /** All engines. */
   all(): IterableIterator<EngineView> {
     return this.views.values();
   }
 
-  /** Every engine in short, for status pages. */
+  /** Summaries of all engines, for status pages. */
   summary(): EngineSummary[] {
     return [...this.views.values()].map((view) => ({
       id: view.id,
@@ -252,10 +257,12 @@
     }));
   }
 
-  /** Forgets engines of the cells named that are no longer listed and carry no work from here. */
+  /**
+   * Removes unlisted engines without work from this daemon. Unlisted engines with work are marked as leaving.
+   */
   retain(listed: ReadonlySet<string>): void {
     for (const [id, view] of this.views) {
-      if (!listed.has(id) && view.ownStreams() === 0) this.views.delete(id);
+      if (!listed.has(id) && view.localStreams() === 0) this.views.delete(id);
       else if (!listed.has(id)) view.listedLeaving = true;
     }
   }
--- a/src/routing/engine-picker.ts
+++ b/src/routing/engine-picker.ts
@@ -1,33 +1,34 @@
 /**
- * Chooses engines for a request. Owns no state; reads engine views and sends nothing. The rule, from the top:
- * 1. only engines that take work and serve the model and the adapter count; those without room for a stream
- *    are left out;
- * 2. one engine for all, or one for the prompt and one for the output, whichever is expected to give the
- *    first token sooner (`pick`); a short prompt may be computed on a decode engine;
- * 3. within a stage the cheaper of two drawn at random (Mitzenmacher, 2001), unless the engine that holds the
- *    prompt's prefix is not much dearer and within its bound of streams (`betterOfTwo`);
- * 4. an engine costs the expected time to the first token, more the more of its streams are taken, and more
- *    in another zone (`cost`).
+ * Picks engines for a request. Owns no state; reads engine views and sends nothing. The algorithm:
+ * 1. candidates are the engines that take work, serve the model and the adapter, and have room for a stream;
+ * 2. either one engine executes the whole request, or a prefill engine computes the prompt and another engine
+ *    generates the output, whichever has the earlier expected first token (`pick`); a decode engine may also
+ *    compute a short prompt;
+ * 3. within a stage, the cheaper of two random candidates is picked (power of two choices; Mitzenmacher, 2001),
+ *    unless the engine that is expected to cache the prompt's prefix costs little more and is within its load
+ *    bound (`pickOfTwo`);
+ * 4. an engine's cost is the expected time to the first token, plus a penalty for the share of its streams in
+ *    use, plus a penalty for another zone (`cost`).
  */
 import { pickByRendezvous } from '../shared/rendezvous-hash.js';
 import type { RandomSource } from '../shared/random.js';
 import type { EngineView } from './engine-directory.js';
 
-/** What the picker needs of a request. */
+/** The properties of a request that the picker uses. */
 export interface PickRequest {
   readonly model: string;
   readonly version: number;
   readonly adapter: string;
   readonly promptTokens: number;
-  /** Identifies the prompt's prefix; requests with the same one gain from the same engine. */
+  /** Identifies the prompt's prefix; requests with the same prefix share cache entries on an engine. */
   readonly prefixKey: string;
-  /** Engines that rejected this request just now. */
+  /** Ids of engines that have rejected or broken this request. */
   readonly excluded: ReadonlySet<string>;
-  /** Looks at every engine instead of two; for a request that the better of two would keep waiting. */
+  /** Compares all engines instead of two; for a request that the better of two would keep waiting. */
   readonly exhaustive: boolean;
 }
 
-/** Where a request goes: one engine for everything, or one for the prompt and one for the output. */
+/** The picked engines: one for the whole request, or one for the prompt and one for the output. */
 export interface EngineChoice {
   readonly prefill: EngineView | undefined;
   readonly generate: EngineView;
@@ -38,30 +39,28 @@
 /** Settings of the picker. */
 export interface PickerSettings {
   /**
-   * The engine with the prefix may be expected to take this much longer than the better of two. Milliseconds.
-   * Default 150.
+   * Maximum additional cost of the engine with the prefix over the better of two. Milliseconds. Default 150.
    */
   readonly affinitySlackMs: number;
-  /** The engine with the prefix may carry this many times the mean streams of its kind. Default 1.25. */
+  /** Load bound of the engine with the prefix, as a multiple of the candidates' mean streams. Default 1.25. */
   readonly affinityLoadFactor: number;
   /**
-   * An engine gets new streams only up to this share of its maximum; reports are old and others send too.
-   * Default 0.9.
+   * An engine gets new streams only up to this share of its maximum, since reports are delayed and other daemons
+   * also send work. Default 0.9.
    */
   readonly streamShare: number;
   /**
-   * What an engine with all its streams taken costs against an empty one, for the time between tokens.
+   * Additional cost of an engine with all streams in use over an idle one, for its longer time between tokens.
    * Milliseconds. Default 100.
    */
   readonly fullEngineCostMs: number;
   /**
-   * Prompts up to this length are computed on a decode engine itself when that is quicker. Tokens. Default
-   * 256.
+   * Maximum length of a prompt that a decode engine may compute itself if that is faster. Tokens. Default 256.
    */
   readonly decodePrefillTokens: number;
-  /** Time to move the KV cache of a prompt, per token. Milliseconds. Default 0.02. */
+  /** Transfer time of a prompt's KV cache, per token. Milliseconds. Default 0.02. */
   readonly kvTransferMsPerToken: number;
-  /** Preference for the own zone. Milliseconds that an engine of another zone costs more. Default 5. */
+  /** Additional cost of an engine in another zone. Milliseconds. Default 5. */
   readonly otherZoneCostMs: number;
 }
 
@@ -76,10 +75,10 @@
   otherZoneCostMs: 5,
 };
 
-/** Streams that an engine may have beyond the load bound, so that it does not bind on an idle fleet. */
+/** Streams allowed beyond the load bound, so that the bound has no effect on an idle fleet. */
 const AFFINITY_FREE_STREAMS = 4;
 
-/** Whether engines of the model are known at all, for the right refusal. */
+/** The outcome of a pick; tells busy engines from missing ones, for the right refusal. */
 export type PickOutcome =
   | { readonly kind: 'chosen'; readonly choice: EngineChoice }
   /** Engines serve the model but none takes a stream now. */
@@ -87,7 +86,7 @@
   /** No engine that takes work serves the model. */
   | { readonly kind: 'none' };
 
-/** Chooses engines. */
+/** Picks engines for requests. */
 export class EnginePicker {
   constructor(
     private readonly settings: PickerSettings,
@@ -95,61 +94,63 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** The best choice among `engines` at time `now`. */
+  /** Picks engines for a request among `engines`. `now` is in monotonic milliseconds. */
   pick(request: PickRequest, engines: Iterable<EngineView>, now: number): PickOutcome {
     const serving = [...engines].filter((engine) => serves(engine, request) && engine.takesWork(now));
     if (serving.length === 0) return { kind: 'none' };
-    const open = serving.filter((engine) => this.hasRoom(engine));
-    const whole = this.pickWhole(request, open, now);
-    const split = this.pickSplit(request, open, now);
+    const withRoom = serving.filter((engine) => this.hasRoom(engine));
+    const single = this.pickSingle(request, withRoom, now);
+    const split = this.pickSplit(request, withRoom, now);
     const choice =
-      !whole || (split && split.expectedFirstTokenMs < whole.expectedFirstTokenMs) ? (split ?? whole) : whole;
+      !single || (split && split.expectedFirstTokenMs < single.expectedFirstTokenMs)
+        ? (split ?? single)
+        : single;
     return choice ? { kind: 'chosen', choice } : { kind: 'busy' };
   }
 
-  /** The best engine for the output of a request whose KV cache is ready elsewhere. */
+  /** Picks an engine for the output of a request whose KV cache was computed on another engine. */
   pickGenerate(request: PickRequest, engines: Iterable<EngineView>, now: number): PickOutcome {
-    const able = [...engines].filter((engine) => engine.assignment?.role !== 'prefill');
-    const serving = able.filter((engine) => serves(engine, request) && engine.takesWork(now));
+    const generating = [...engines].filter((engine) => engine.assignment?.role !== 'prefill');
+    const serving = generating.filter((engine) => serves(engine, request) && engine.takesWork(now));
     if (serving.length === 0) return { kind: 'none' };
-    const open = serving.filter((engine) => this.hasRoom(engine));
-    const decodes = open.filter((engine) => engine.assignment?.role === 'decode');
+    const withRoom = serving.filter((engine) => this.hasRoom(engine));
+    const decodes = withRoom.filter((engine) => engine.assignment?.role === 'decode');
     const cost = (engine: EngineView): number => this.cost(engine, 0, now);
-    const generate = this.betterOfTwo(
+    const generate = this.pickOfTwo(
       { ...request, prefixKey: '' },
-      decodes.length > 0 ? decodes : open,
+      decodes.length > 0 ? decodes : withRoom,
       cost,
     );
     if (!generate) return { kind: 'busy' };
     return { kind: 'chosen', choice: { prefill: undefined, generate, expectedFirstTokenMs: 0 } };
   }
 
-  private pickWhole(
+  private pickSingle(
     request: PickRequest,
-    open: readonly EngineView[],
+    withRoom: readonly EngineView[],
     now: number,
   ): EngineChoice | undefined {
-    const mixed = open.filter((engine) => engine.assignment?.role === 'mixed');
+    const mixed = withRoom.filter((engine) => engine.assignment?.role === 'mixed');
     const short = request.promptTokens <= this.settings.decodePrefillTokens;
-    const candidates = short ? open.filter((engine) => engine.assignment?.role !== 'prefill') : mixed;
+    const candidates = short ? withRoom.filter((engine) => engine.assignment?.role !== 'prefill') : mixed;
     const cost = (engine: EngineView): number => this.cost(engine, request.promptTokens, now);
-    const engine = this.betterOfTwo(request, candidates, cost);
+    const engine = this.pickOfTwo(request, candidates, cost);
     const expectedFirstTokenMs = engine?.expectedFirstTokenMs(request.promptTokens, now) ?? 0;
     return engine && { prefill: undefined, generate: engine, expectedFirstTokenMs };
   }
 
   private pickSplit(
     request: PickRequest,
-    open: readonly EngineView[],
+    withRoom: readonly EngineView[],
     now: number,
   ): EngineChoice | undefined {
-    const prefills = open.filter((engine) => engine.assignment?.role === 'prefill');
-    const decodes = open.filter((engine) => engine.assignment?.role === 'decode');
-    const mixed = open.filter((engine) => engine.assignment?.role === 'mixed');
+    const prefills = withRoom.filter((engine) => engine.assignment?.role === 'prefill');
+    const decodes = withRoom.filter((engine) => engine.assignment?.role === 'decode');
+    const mixed = withRoom.filter((engine) => engine.assignment?.role === 'mixed');
     const prefillCost = (engine: EngineView): number => this.cost(engine, request.promptTokens, now);
     const decodeCost = (engine: EngineView): number => this.cost(engine, 0, now);
-    const prefill = this.betterOfTwo(request, prefills, prefillCost);
-    const generate = this.betterOfTwo(
+    const prefill = this.pickOfTwo(request, prefills, prefillCost);
+    const generate = this.pickOfTwo(
       { ...request, prefixKey: '' },
       decodes.length > 0 ? decodes : mixed,
       decodeCost,
@@ -162,17 +163,19 @@
 
   private cost(engine: EngineView, promptTokens: number, now: number): number {
     const fullness = engine.streams() / Math.max(1, engine.maximumStreams);
-    const far = engine.zone === this.ownZone ? 0 : this.settings.otherZoneCostMs;
-    return engine.expectedFirstTokenMs(promptTokens, now) + fullness * this.settings.fullEngineCostMs + far;
+    const zoneCostMs = engine.zone === this.ownZone ? 0 : this.settings.otherZoneCostMs;
+    return (
+      engine.expectedFirstTokenMs(promptTokens, now) + fullness * this.settings.fullEngineCostMs + zoneCostMs
+    );
   }
 
-  private betterOfTwo(
+  private pickOfTwo(
     request: PickRequest,
     candidates: readonly EngineView[],
     cost: (engine: EngineView) => number,
   ): EngineView | undefined {
     if (candidates.length <= 1) return candidates[0];
-    if (request.exhaustive) return leastCost(candidates, cost);
+    if (request.exhaustive) return pickCheapest(candidates, cost);
     const first = candidates[this.random.below(candidates.length)];
     const second = candidates[this.random.below(candidates.length)];
     const better = cost(second) < cost(first) ? second : first;
@@ -183,15 +186,15 @@
     );
     const affine = candidates.find((engine) => engine.id === affineId);
     if (!affine) return better;
-    const near = cost(affine) <= cost(better) + this.settings.affinitySlackMs;
-    return near && this.withinLoadBound(affine, candidates) ? affine : better;
+    const isCloseEnough = cost(affine) <= cost(better) + this.settings.affinitySlackMs;
+    return isCloseEnough && this.isWithinLoadBound(affine, candidates) ? affine : better;
   }
 
   private hasRoom(engine: EngineView): boolean {
     return engine.streams() < engine.maximumStreams * this.settings.streamShare;
   }
 
-  private withinLoadBound(engine: EngineView, candidates: readonly EngineView[]): boolean {
+  private isWithinLoadBound(engine: EngineView, candidates: readonly EngineView[]): boolean {
     let total = 0;
     for (const candidate of candidates) total += candidate.streams();
     const bound = (total / candidates.length) * this.settings.affinityLoadFactor;
@@ -199,7 +202,7 @@
   }
 }
 
-function leastCost(candidates: readonly EngineView[], cost: (engine: EngineView) => number): EngineView {
+function pickCheapest(candidates: readonly EngineView[], cost: (engine: EngineView) => number): EngineView {
   let best = candidates[0];
   for (const candidate of candidates) if (cost(candidate) < cost(best)) best = candidate;
   return best;
--- a/src/routing/priority-shares.ts
+++ b/src/routing/priority-shares.ts
@@ -1,12 +1,12 @@
 /**
- * How the prompt tokens sent to engines divide between priority classes. Owns a smoothed rate for each class.
+ * Shares of the priority classes in the prompt tokens sent to engines. Owns a smoothed rate for each class.
  */
 import { SmoothedRate } from '../shared/smoothed-rate.js';
 
-/** Time constant of the smoothed rates. Milliseconds; as the demand estimate's default. */
+/** Time constant of the smoothed rates. Milliseconds; equal to the default of the demand estimate. */
 const TIME_CONSTANT_MS = 5000;
 
-/** Shares of priority classes in the work sent lately. Engines do better classes first. */
+/** Shares of the priority classes in recently sent work. Engines execute higher classes first. */
 export class PriorityShares {
   private readonly rates = new Map<number, SmoothedRate>();
 
@@ -20,7 +20,7 @@
     rate.add(tokens, now);
   }
 
-  /** Share of tokens of this priority or better; 1 when nothing was sent. */
+  /** Share of tokens of this priority or a higher one; 1 when nothing was sent. */
   shareUpTo(priority: number, now: number): number {
     let upTo = 0;
     let total = 0;
--- a/src/routing/retry-after.ts
+++ b/src/routing/retry-after.ts
@@ -1,54 +1,53 @@
 /**
- * Every time that a daemon which serves completions names in a Retry-After, but for those that a quarantine
- * computes (src/quarantine). Owns the constants and the two rules that compute a time; relies on nothing.
+ * Retry-After times of a daemon that serves completions, except those of quarantined requests (src/quarantine).
+ * Owns the constants and the two functions that compute a time; relies on nothing.
  *
  * All times are milliseconds; the header rounds them up to whole seconds.
  */
 
 /**
- * The daemon has no configuration yet, holds a stale one, or is stopping. Milliseconds; callers may go to
- * another daemon meanwhile.
+ * The daemon has no configuration yet, holds a stale one, or is stopping. Milliseconds; callers may use another
+ * daemon in the meantime.
  */
 export const NOT_READY_RETRY_AFTER_MS = 1000;
 
 /**
- * The owner of the service's limits gave no answer, or no slot came free while the request was allowed to
- * wait. Milliseconds.
+ * The owner of the service's limits did not answer, or no slot became free within the request's allowed wait.
+ * Milliseconds.
  */
 export const SLOT_RETRY_AFTER_MS = 1000;
 
-/** The table does not confirm claims, so a call that may run once at most was not sent. Milliseconds. */
+/** The table does not confirm claims, so a call that may run at most once was not sent. Milliseconds. */
 export const LEDGER_RETRY_AFTER_MS = 1000;
 
-/** No application server takes the call. Milliseconds. */
+/** No application server is available for the call. Milliseconds. */
 export const NO_SERVER_RETRY_AFTER_MS = 1000;
 
 /**
- * An operator's edit was not accepted: too few daemons are in contact, or the table gave no answer.
- * Milliseconds.
+ * An operator's edit was not accepted: too few daemons are reachable, or the table did not answer. Milliseconds.
  */
 export const EDIT_RETRY_AFTER_MS = 2000;
 
-/** Least time after a refusal for load at the engines. Milliseconds. */
+/** Minimum time after a refusal due to engine load. Milliseconds. */
 export const MINIMUM_OVERLOAD_RETRY_AFTER_MS = 250;
 
-/** Least time after a refusal for a full line of requests that wait for slots. Milliseconds. */
+/** Minimum time after a refusal due to a full queue for slots. Milliseconds. */
 const MINIMUM_SLOT_LINE_RETRY_AFTER_MS = 200;
 
-/** Longest such time, and the one where the owner does not know the service. Milliseconds. */
+/** Maximum of that time, also used when the owner does not know the service. Milliseconds. */
 export const MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS = 30_000;
 
 /**
- * After a refusal for load: when the backlog will have shrunk to what the request may wait for. Milliseconds.
+ * Time after a refusal due to load until the backlog will have shrunk to the allowed wait. Milliseconds.
  */
 export function getOverloadRetryAfterMs(expectedWaitMs: number, allowedWaitMs: number): number {
   return Math.max(MINIMUM_OVERLOAD_RETRY_AFTER_MS, expectedWaitMs - allowedWaitMs);
 }
 
 /**
- * After a refusal for a full line before a service's slots: when the line and one more request will have gone
- * through at the pace of those that ended lately. Milliseconds.
- * @param waiting requests in the line
+ * Time after a refusal due to a full queue for a service's slots until the queue and one more request will have
+ * completed at the recent completion rate. Milliseconds.
+ * @param waiting requests in the queue
  * @param completed requests that ended within `elapsedMs`; none counts as one
  */
 export function getSlotQueueRetryAfterMs(waiting: number, completed: number, elapsedMs: number): number {
--- a/src/routing/retry-budget.ts
+++ b/src/routing/retry-budget.ts
@@ -1,22 +1,22 @@
 /**
- * Bounds retries of work that may have run to a share of the requests, so that failures do not multiply load.
- * Owns the tokens of one process for one kind of request; retry-rule.ts asks it.
+ * Limits retries of work that may have run to a share of the requests, so that failures do not amplify load. Owns
+ * the tokens of one process for one kind of request; used by retry-rule.ts.
  */
 
 /**
- * Retries that a new process may take. One, so that the first failure of a quiet service is not passed on. A
- * process forgets what it has retried when it ends; with 10, twenty processes in turn with 25 requests each
- * retried 280 times where 100 were earned.
+ * Retries that a new process may use. One, so that the first failure of a service with little traffic is retried
+ * rather than returned. The budget is lost when a process ends: with 10, twenty consecutive processes with 25
+ * requests each retried 280 times where their requests allowed 100.
  */
 const INITIAL_TOKENS = 1;
-/** Retries saved up at most, which bounds a burst after a quiet time. */
+/** Maximum accumulated retries, which bounds a burst of retries after an idle period. */
 const MAXIMUM_TOKENS = 100;
 
-/** A retry budget: each request adds a part of a token, each retry takes a whole one. */
+/** A token bucket: each request adds `ratio` tokens, each retry takes one. */
 export class RetryBudget {
   private tokens = INITIAL_TOKENS;
 
-  /** @param ratio retries allowed per request, in the long run */
+  /** @param ratio retries allowed per request, averaged over time */
   constructor(private readonly ratio: number) {}
 
   /** Counts a request. */
@@ -24,7 +24,7 @@
     this.tokens = Math.min(MAXIMUM_TOKENS, this.tokens + this.ratio);
   }
 
-  /** Takes a retry if the budget allows one. */
+  /** Takes a token if there is one. Returns whether the retry is allowed. */
   tryRetry(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
--- a/src/routing/retry-rule.ts
+++ b/src/routing/retry-rule.ts
@@ -1,27 +1,27 @@
 /**
- * Whether work that a back end may have begun is sent again: the one rule for completions and application
- * calls. Owns the budget of retries of one of the two. Work that certainly did not run is sent elsewhere
- * without asking this rule.
+ * Decides whether work that a back end may have started is sent again, for completions and application calls
+ * alike. Owns the retry budget of one of the two. Work that certainly did not run is sent to another back end
+ * without consulting this rule.
  */
 import { RetryBudget } from './retry-budget.js';
 
-/** What the rule looks at. */
+/** The input of the rule. */
 interface BrokenWork {
   /** Whether the service allows its requests to run more than once. */
   readonly repeatable: boolean;
-  /** Attempts of the request that broke, the last one included. */
+  /** Number of broken attempts of the request, including the last one. */
   readonly brokenAttempts: number;
 }
 
-/** What the rule allows. */
+/** Settings of the rule. */
 export interface RetryRuleSettings {
-  /** Attempts that may have run, for one request. */
+  /** Maximum number of attempts of one request that may have run. */
   readonly maximumAttempts: number;
-  /** Retries allowed per request in the long run. */
+  /** Retries allowed per request, averaged over time. */
   readonly retryRatio: number;
 }
 
-/** The rule, with its budget. */
+/** The retry rule and its budget. */
 export class RetryRule {
   private readonly budget: RetryBudget;
 
@@ -34,7 +34,7 @@
     this.budget.addRequest();
   }
 
-  /** Whether the work is sent again; if so, a retry is taken from the budget. */
+  /** Whether the work is sent again. If so, takes a retry from the budget. */
   takeRetry({ repeatable, brokenAttempts }: BrokenWork): boolean {
     if (!repeatable) return false;
     if (brokenAttempts >= this.settings.maximumAttempts) return false;
--- a/src/routing/run-listener.ts
+++ b/src/routing/run-listener.ts
@@ -1,27 +1,30 @@
-/** The interface by which the managers of completions and calls report their runs and ask before each. */
+/**
+ * The interface through which the completion and application-call managers report the outcomes of attempts, and
+ * check before each attempt whether the request is quarantined. Owns no state.
+ */
 
-/** A back end as a manager knows it. */
+/** The back end of an attempt. */
 export interface AttemptBackend {
   readonly id: string;
   readonly address: string;
 }
 
-/** Hears of runs. Times are monotonic milliseconds. */
+/** Receives the outcomes of attempts. Times are monotonic milliseconds. */
 export abstract class AttemptListener {
-  /** How long a request is still to be kept from back ends; undefined when it may run. Milliseconds. */
+  /** Remaining quarantine of a request; undefined when it may be sent. Milliseconds. */
   abstract getQuarantineMs(key: string | undefined, now: number): number | undefined;
-  /** The connection of a run ended before the answer was whole. */
+  /** The connection of an attempt closed before the response was complete. */
   abstract addBrokenAttempt(
     key: string | undefined,
     backend: AttemptBackend,
     startedAt: number,
     now: number,
   ): void;
-  /** A back end gave a whole answer. */
+  /** A back end sent a complete response. */
   abstract addAnswer(key: string | undefined, now: number): void;
 }
 
-/** Hears nothing and keeps nothing away. */
+/** A listener that ignores outcomes and quarantines nothing. */
 export class NoAttemptListener extends AttemptListener {
   override getQuarantineMs(): undefined {
     return undefined;
