--- a/src/allocation/cell-coordinator.ts
+++ b/src/allocation/cell-coordinator.ts
@@ -1,14 +1,15 @@
 /**
- * Carries out the allocation of one cell. The rules, each a method below:
- * - nothing is decided before every engine that answers carries this lease's epoch (`sealed`);
- * - changes begin one by one, at least `minimumIntervalMs` apart (`decide`); role-allocator.ts finds them;
- * - an engine that works is drained before it changes, unless only adapters are added (`continueChange`);
- * - an order carries the epoch, the next sequence and an expiry that cannot lie after the lease's end
- *   (`order`);
- * - the lease goes back early only when no order can still arrive (`mayRelease`).
+ * Applies the allocation of one cell. Owns the state of the cell's engines; relies on the cell's lease and on
+ * the policy of role-allocator.ts. The rules, each implemented by a method below:
+ * - no change is planned before every reachable engine has confirmed this lease's epoch (`isSealed`);
+ * - changes start one at a time, at least `minimumIntervalMs` apart (`decide`);
+ * - an active engine is drained before it changes, unless only adapters are added (`continueChange`);
+ * - an order carries the epoch, the next sequence number and an expiry that is never after the lease's end
+ *   (`sendOrder`);
+ * - the lease is released early only when no order can still arrive (`mayRelease`).
  *
- * While this daemon holds the cell's lease it seals every engine with the lease's epoch, asks the policy for
- * changes, and gives fenced orders in two stages: drain, then change. Whether or not it holds the lease, it
+ * While this daemon holds the cell's lease, it seals every engine with the lease's epoch, plans changes with
+ * the policy, and sends fenced orders in two steps: drain, then change. With or without the lease, it
  * collects the engines' reports for the daemons that route to the cell.
  */
 import type { EffectSink } from '../shared/effect-sink.js';
@@ -27,7 +28,7 @@
   type ModelDemand,
 } from './role-allocator.js';
 
-/** What the coordinator asks its runner to do. */
+/** Effects that the coordinator emits. */
 export type CoordinatorEffect =
   | {
       readonly kind: 'engineControl';
@@ -43,7 +44,7 @@
     }
   | { readonly kind: 'changeFinished'; readonly engineId: string; readonly assignment: EngineAssignment };
 
-/** An engine of the cell as the machine list names it. */
+/** An engine of the cell, from the machine list. */
 export interface CellEngine {
   readonly id: string;
   readonly address: string;
@@ -61,13 +62,13 @@
   readonly receivedAt: number;
 }
 
-/** Durations of coordination. */
+/** Settings of the coordinator. */
 export interface CoordinatorSettings {
-  /** Interval between reports asked of each engine. Milliseconds. Default 500. */
+  /** Interval between report requests to each engine. Milliseconds. Default 500. */
   readonly reportIntervalMs: number;
   /**
-   * A new holder decides without an engine that has not answered its seal for this long. Milliseconds.
-   * Default 5000.
+   * A new lease holder plans without the engines that don't answer once this time has passed since its epoch
+   * started. Milliseconds. Default 5000.
    */
   readonly sealTimeoutMs: number;
 }
@@ -86,23 +87,24 @@
   report: EngineReport | undefined;
   reportReceivedAt: number;
   nextReportAt: number;
-  /** Epoch that the engine confirmed; orders go only to engines sealed in the present epoch. */
+  /** Epoch that the engine confirmed; orders are sent only to engines sealed in the current epoch. */
   sealedEpoch: number;
-  /** The assignment that the engine is being brought to. */
+  /** The assignment of the change in progress. */
   target: EngineAssignment | undefined;
   drainingSince: number | undefined;
-  /** Set while a control request is on its way. One at a time keeps orders in sequence. */
+  /** Whether a control request is in flight. Sending one at a time keeps orders in sequence. */
   requestInFlight: boolean;
-  /** Whether that request is an order. */
+  /** Whether the request in flight is an order. */
   orderInFlight: boolean;
-  /** An order without an answer may still take effect until then; 0 when there is none. */
+  /** An unanswered order may still take effect until then; 0 when there is none. */
   unconfirmedUntil: number;
+  /** When the engine first failed to answer since its last report; undefined while it answers. */
   unansweredSince: number | undefined;
 }
 
-/** A report counts for so many intervals of reports. */
+/** A report is fresh for this number of report intervals. */
 const REPORT_FRESH_INTERVALS = 10;
-/** How long a drain is expected to last before any was seen. Milliseconds. */
+/** Expected duration of a drain before the first one was observed. Milliseconds. */
 const INITIAL_DRAIN_MS = 8000;
 /** Weight of the newest drain in the smoothed duration. */
 const DRAIN_SMOOTHING = 0.3;
@@ -114,9 +116,9 @@
   private epochSince = 0;
   private lastChangeAt = -Infinity;
   private nextDecisionAt = 0;
-  /** How long drains lasted lately, smoothed. Milliseconds. */
+  /** Smoothed duration of recent drains. Milliseconds. */
   private drainMs = INITIAL_DRAIN_MS;
-  /** Changes of assignment ordered so far. */
+  /** Number of changes ordered so far, other than added adapters. */
   changesOrdered = 0;
 
   constructor(
@@ -125,7 +127,7 @@
     private readonly emit: EffectSink<CoordinatorEffect>,
   ) {}
 
-  /** The engines' last reports, for digests. */
+  /** The last reports of the engines that answer, for digests. */
   reports(): ReportedEngine[] {
     const reported: ReportedEngine[] = [];
     for (const engine of this.engines.values()) {
@@ -137,15 +139,15 @@
   }
 
   /**
-   * Whether the lease may be given back early: an order still on its way would otherwise reach an engine
-   * after the next holder's lease began and before its seal.
+   * Whether the lease may be released early. An order still in flight could otherwise reach an engine after
+   * the next holder's lease started and before its seal.
    */
   mayRelease(now: number): boolean {
     for (const engine of this.engines.values()) if (engine.unconfirmedUntil > now) return false;
     return true;
   }
 
-  /** Takes the cell's engines from the machine list. */
+  /** Updates the cell's engines from the machine list. */
   setEngines(list: readonly CellEngine[], now: number): void {
     const listed = new Set(list.map((engine) => engine.id));
     for (const id of [...this.engines.keys()]) if (!listed.has(id)) this.engines.delete(id);
@@ -176,9 +178,9 @@
   }
 
   /**
-   * Advances timers and, with authority, decides.
-   * @param lease the authority at `now`, or undefined without it
-   * @param demands what the services ask of the cell
+   * Requests reports and, while the lease is held, seals engines and plans changes.
+   * @param lease the lease held at `now`; undefined when this daemon doesn't hold it
+   * @param demands returns the services' demand on the cell
    */
   tick(now: number, lease: HeldLease | undefined, demands: () => readonly ModelDemand[]): void {
     if (lease && lease.epoch !== this.epoch) this.startEpoch(lease.epoch, now);
@@ -193,7 +195,7 @@
     this.decide(now, lease, demands());
   }
 
-  /** Takes the answer to an `engineControl` effect. */
+  /** Handles the answer to an `engineControl` effect. */
   receiveControlResult(engineId: string, result: EngineControlResult, now: number): void {
     const engine = this.engines.get(engineId);
     if (!engine) return;
@@ -248,7 +250,7 @@
     }
   }
 
-  /** Every reachable engine carries this epoch, or has been silent for the time limit. */
+  /** Whether every engine has confirmed this epoch, or doesn't answer and the seal timeout has passed. */
   private isSealed(now: number): boolean {
     for (const engine of this.engines.values()) {
       if (engine.sealedEpoch === this.epoch) continue;
@@ -259,12 +261,12 @@
     return this.engines.size > 0;
   }
 
-  /** Gives the next order of a change under way. Returns whether it did. */
+  /** Sends the next order of a change in progress. Returns whether it sent one. */
   private continueChange(engine: EngineState, lease: HeldLease, now: number): boolean {
     const { report } = engine;
     if (!report || !this.isFresh(engine, now)) return false;
     if (!engine.target) {
-      // An earlier holder drained this engine and its plan is gone: put it back to work.
+      // A previous lease holder drained this engine, and its plan is lost: resume the engine.
       if (report.phase !== 'draining') return false;
       return this.sendOrder(engine, lease, { kind: 'resume' }, now);
     }
@@ -286,7 +288,7 @@
   private sendOrder(engine: EngineState, lease: HeldLease, action: OrderAction, now: number): boolean {
     const report = engine.report;
     if (!report || engine.sealedEpoch !== lease.epoch) return false;
-    // The report was made no later than it was received, so this expiry cannot lie after the lease's end.
+    // The report was made no later than it was received, so this expiry cannot be after the lease's end.
     const expiresAtClockMs = report.clockMs + (lease.validUntil - engine.reportReceivedAt);
     const sequence = report.sequence + 1;
     this.sendControl(engine, { kind: 'order', epoch: lease.epoch, sequence, expiresAtClockMs, action }, now);
@@ -332,7 +334,7 @@
   }
 }
 
-/** Whether a change only adds adapters, which an engine does while it works. */
+/** Whether a change only adds adapters, which an engine can load without draining. */
 function isHotChange(current: EngineAssignment | undefined, target: EngineAssignment): boolean {
   if (!current) return false;
   const same =
@@ -340,7 +342,7 @@
   return same && current.adapters.every((adapter) => target.adapters.includes(adapter));
 }
 
-/** Whether two assignments are the same. */
+/** Whether two assignments are equal; the order of adapters is ignored. */
 export function sameAssignment(left: EngineAssignment, right: EngineAssignment): boolean {
   return (
     left.role === right.role &&
--- a/src/allocation/engine-orders.ts
+++ b/src/allocation/engine-orders.ts
@@ -1,7 +1,7 @@
-/** Orders that change the stage of a model engine, and what engines answer. */
+/** Types of the orders that change the stage of a model engine, and of the engines' answers. */
 import type { BackendRecord, EngineStage } from '../forwarding/routes/route.js';
 
-/** An order under a fencing token. */
+/** An order with a fencing token. */
 export interface StageOrder {
   readonly backend: BackendRecord;
   readonly stage: EngineStage;
@@ -9,24 +9,24 @@
   readonly holder: string;
   /** The epoch of the lease. An engine refuses one lower than it has seen. */
   readonly fence: number;
-  /** Orders that the engine must have taken before; otherwise it refuses. */
+  /** Number of orders that the engine must have accepted before; otherwise it refuses this one. */
   readonly expectedOrders: number;
 }
 
-/** What an engine says of itself. */
+/** The state that an engine reports. */
 export interface EngineStatus {
   readonly stage: EngineStage | undefined;
-  /** An order is under way. */
+  /** Whether a stage change is in progress. */
   readonly changing: boolean;
-  /** Orders taken since its start. */
+  /** Number of orders accepted since the engine started. */
   readonly orders: number;
 }
 
 /** The outcome of an order. */
 export type StageOrderResult =
-  /** Under way, or done already. */
+  /** The change is in progress or already done. */
   | { readonly kind: 'accepted' }
-  /** Refused: another order came between, the fence is too low, or another incarnation has the address. */
+  /** Another order came first, the fence is too low, or another incarnation has the address. */
   | { readonly kind: 'refused'; readonly status: number }
-  /** No answer: it may be carried out now or later. */
+  /** No answer: the order may still be executed, now or later. */
   | { readonly kind: 'noAnswer'; readonly reason: string };
--- a/src/allocation/role-allocator.ts
+++ b/src/allocation/role-allocator.ts
@@ -1,12 +1,12 @@
 /**
- * The allocation policy: which role and model each engine of a cell should have. Pure: it knows nothing of
- * leases, orders or sockets. The cell's coordinator calls it once an interval with what it knows and carries
- * out at most the one change it answers.
+ * The allocation policy: which role and model each engine of a cell should have. Pure functions without
+ * access to leases, orders or sockets. The cell's coordinator calls it at intervals with its current state
+ * and applies at most the one change that is returned.
  */
 import type { EngineAssignment, EngineCapability, EngineRole } from '../contracts/engine-protocol.js';
 import { servableFactor, type RoleCounts, type TokenDemand } from './throughput-model.js';
 
-/** What the policy knows of an engine. */
+/** The policy's view of an engine. */
 export interface AllocatableEngine {
   readonly id: string;
   readonly assignment: EngineAssignment;
@@ -14,13 +14,13 @@
   readonly streams: number;
   /** Share of prompt tokens that the prefix cache saves. */
   readonly cachedShare: number;
-  /** How long the engine is expected to drain before a change. Milliseconds. */
+  /** Expected duration of a drain before a change. Milliseconds. */
   readonly drainMs: number;
   /** True while the engine drains or changes; it then counts with its future assignment. */
   readonly changing: boolean;
 }
 
-/** What services ask of one version of one model. */
+/** The services' demand on one version of one model. */
 export interface ModelDemand extends TokenDemand {
   readonly model: string;
   readonly version: number;
@@ -30,25 +30,25 @@
 /** Settings of the policy. */
 export interface AllocationSettings {
   /**
-   * `adaptive` decides by cost, `threshold` follows the mix without hysteresis, `fixed` changes nothing.
-   * Default adaptive.
+   * `adaptive` weighs gain against cost, `threshold` follows the share of prefill work without hysteresis,
+   * `fixed` changes nothing. Default adaptive.
    */
   readonly policy: 'adaptive' | 'threshold' | 'fixed';
   /**
-   * What a role change costs beyond the engine time it takes, in seconds of one engine's goodput. A high
-   * value gives a calm fleet, a low one follows every shift. Default 10.
+   * Cost of a role change beyond the engine time it takes, in seconds of one engine's goodput. A high value
+   * avoids frequent changes, a low one follows every shift of the load. Default 10.
    */
   readonly roleChangeCostSeconds: number;
-  /** How long a shift of the mix is expected to last. Seconds. Default 30. */
+  /** Expected duration of a shift of the load between prefill and decode. Seconds. Default 30. */
   readonly horizonSeconds: number;
-  /** Least time between two changes in a cell. Milliseconds. Default 2000. */
+  /** Minimum time between two changes in a cell. Milliseconds. Default 2000. */
   readonly minimumIntervalMs: number;
   /**
-   * Engines of each model that always can take whole requests (mixed, or one of prefill and decode). Default
-   * 1.
+   * Minimum capacity for whole requests per model, in engines: a mixed engine counts as one, and so does a
+   * pair of a prefill and a decode engine. Default 1.
    */
   readonly floorPerModel: number;
-  /** Headroom worth having: the factor up to which more capacity still counts. Default 1.5. */
+  /** Capacity beyond this multiple of the demand has no value. Default 1.5. */
   readonly headroomFactor: number;
 }
 
@@ -62,28 +62,28 @@
   headroomFactor: 1.5,
 };
 
-/** One engine's new assignment, and what it is expected to be worth. */
+/** One engine's new assignment and its expected gain. */
 interface PlannedChange {
   readonly engineId: string;
   readonly assignment: EngineAssignment;
-  /** Expected gain over the horizon less the cost, in seconds of one engine's goodput. */
+  /** Expected gain over the horizon minus the cost, in seconds of one engine's goodput. */
   readonly netGainSeconds: number;
 }
 
 const ROLES: readonly EngineRole[] = ['prefill', 'decode', 'mixed'];
-/** Value of capacity beyond the demand, against capacity that serves it. */
+/** Value of capacity beyond the demand, relative to capacity that serves the demand. */
 const HEADROOM_VALUE = 0.1;
 /** Share of its work that an engine loses while it drains. */
 const DRAIN_LOSS = 0.5;
-/** A change of model takes an engine away for longer than a change of role by about this factor. */
+/** A change of model makes an engine unavailable for about this many times as long as a change of role. */
 const MODEL_MOVE_COST_FACTOR = 3;
 
-/** The identity of a model version. */
+/** The key of a model version. */
 export function modelKey(model: string, version: number): string {
   return `${model}@${version}`;
 }
 
-/** The next change, or undefined when none is worth its cost. */
+/** Plans the next change; undefined when none is worth its cost. */
 export function planNextChange(
   engines: readonly AllocatableEngine[],
   demands: readonly ModelDemand[],
@@ -94,10 +94,10 @@
   return planUncached(engines, computed, settings);
 }
 
-/** The demand less what the prefix caches of the model's engines save. */
+/** The demand minus the prompt tokens that the prefix caches of the model's engines save. */
 function subtractCached(engines: readonly AllocatableEngine[], demand: ModelDemand): ModelDemand {
   const group = engines.filter((engine) => serves(engine, demand));
-  // Engines of the decode role compute few prompts; their caches say little.
+  // Decode engines compute few prompts, so their cache hit rates are not representative.
   const computing = group.filter((engine) => engine.assignment.role !== 'decode');
   if (computing.length === 0) return demand;
   const saved = computing.reduce((sum, engine) => sum + engine.cachedShare, 0) / computing.length;
@@ -129,7 +129,8 @@
 }
 
 /**
- * Moves an engine from the model with the most to spare, or from one that no service uses, to the neediest.
+ * Moves an engine to the model with the highest load from the one with the lowest, or from one that no
+ * service uses.
  */
 function planModelMove(
   engines: readonly AllocatableEngine[],
@@ -189,7 +190,7 @@
   return group.length === 0 ? 0 : getValue(countRoles(group), demand, group[0].capability, settings);
 }
 
-/** An adapter that a service needs and no engine of its model has yet. Loading one interrupts nothing. */
+/** Loads the adapters that an engine of a model lacks. Loading doesn't interrupt the engine's work. */
 function planAdapterLoad(
   engines: readonly AllocatableEngine[],
   demands: readonly ModelDemand[],
@@ -206,7 +207,7 @@
   return undefined;
 }
 
-/** A model version without the engines of its floor takes one from the version that can best spare it. */
+/** Gives a model version below its floor the least busy engine that another version can spare. */
 function planPlacement(
   engines: readonly AllocatableEngine[],
   demands: readonly ModelDemand[],
@@ -292,14 +293,17 @@
   return best;
 }
 
-/** What a change takes, in seconds of one engine: a draining engine still does about half of its work. */
+/**
+ * Cost of a change in seconds of one engine's goodput. A draining engine still does about half of its work.
+ */
 function changeCost(engine: AllocatableEngine, settings: AllocationSettings): number {
   const unavailableMs = engine.capability.roleChangeMs + engine.drainMs * DRAIN_LOSS;
   return unavailableMs / 1000 + settings.roleChangeCostSeconds;
 }
 
 /**
- * The baseline: as many prefill engines as the present share of prefill work, changed whenever it differs.
+ * The baseline policy: the share of prefill engines follows the current share of prefill work, with a change
+ * whenever they differ.
  */
 function thresholdChange(
   group: readonly AllocatableEngine[],
@@ -319,7 +323,7 @@
   return { engineId: donor.id, assignment: { ...donor.assignment, role }, netGainSeconds: 0 };
 }
 
-/** Share of the demand that is carried, plus a little for headroom. */
+/** The share of the demand that is served, plus a small value for headroom. */
 function getValue(
   counts: RoleCounts,
   demand: TokenDemand,
--- a/src/allocation/stage-coordinator.ts
+++ b/src/allocation/stage-coordinator.ts
@@ -1,8 +1,9 @@
 /**
- * Changes the stages of a service's engines while this daemon holds the service's lease. Few engines change
- * at a time, since each is away for seconds: an engine is asked for its state, ordered under the lease's
- * epoch, and then left alone until its record shows the new stage. A daemon that takes the lease over waits
- * until orders of the holder before cannot mix with its own.
+ * Changes the stages of a service's engines while this daemon holds the service's lease. Owns the lease and
+ * the pending changes. Only a few engines change at a time, since each is unavailable for seconds. The
+ * coordinator requests an engine's state, sends an order under the lease's epoch, and then leaves the engine
+ * alone until its record shows the new stage. A daemon that takes over the lease waits until orders of the
+ * previous holder can no longer interfere with its own.
  */
 import type { EffectSink } from '../shared/effect-sink.js';
 import { CellLease, type LeaseEffect, type LeaseSettings } from '../lease/cell-lease.js';
@@ -17,62 +18,70 @@
 export interface StageCoordinatorSettings {
   readonly lease: LeaseSettings;
   readonly planner: StagePlannerSettings;
-  /** No order is given so long after the lease was taken over from another daemon. Milliseconds. */
+  /** Time without orders after the lease was taken over from another daemon. Milliseconds. */
   readonly takeoverWaitMs: number;
-  /** Share of a service's engines that may change at a time under load, one at least. Default 0.1. */
+  /** Share of a service's engines that may change at the same time under load, at least one. Default 0.1. */
   readonly changingShare: number;
-  /** The same while no request runs. Default 0.3. */
+  /** The same share while no request is in flight. Default 0.3. */
   readonly idleChangingShare: number;
   /**
-   * Pause under load between an order and the next where one engine changes at a time. Milliseconds. Default
-   * 1500.
+   * Interval between orders under load when one engine may change at a time; divided by the number of engines
+   * that may change at the same time. Milliseconds. Default 1500.
    */
   readonly orderPauseMs: number;
   /**
-   * Engines must have been spare for so long before one is given back to prefill. Milliseconds. Default 1000.
+   * Under load, a decode engine is returned to prefill only after a region has had a spare one for this
+   * duration. Milliseconds. Default 1000.
    */
   readonly returnAfterMs: number;
   /**
-   * An engine whose record does not show the new stage after this is free for others again. Milliseconds.
-   * Default 6000.
+   * A pending change ends after this time even if the engine's record doesn't show the new stage; the engine
+   * may then be ordered again. Milliseconds. Default 6000.
    */
   readonly changeTimeoutMs: number;
 }
 
-/** What the coordinator asks for. */
+/** Effects that the coordinator emits. */
 export type StageEffect =
   | LeaseEffect
   | { readonly kind: 'askEngine'; readonly backend: BackendRecord }
   | { readonly kind: 'orderEngine'; readonly order: StageOrder };
 
-/** What the coordinator reads of its service at each tick. */
+/** The state of the service that the coordinator reads at each tick. */
 interface StageContext {
   readonly views: readonly BackendView[];
   readonly slots: number;
+  /** Whether requests are in flight. */
   readonly loaded: boolean;
-  /** Whether this daemon is one of those that should hold the lease. */
+  /** Whether this daemon is a candidate for the lease. */
   readonly shouldLead: boolean;
-  /** A change must have been due for so long before it takes the lease. Milliseconds; default 0. */
+  /**
+   * A change must have been due for this duration before this daemon takes the lease. Milliseconds; default
+   * 0.
+   */
   readonly standbyDelayMs?: number;
-  /** The region of a zone; left out where there is one. */
+  /** Maps a zone to its region; omitted with a single region. */
   readonly regionOf?: (zone: string) => string;
 }
 
 interface PendingChange {
   readonly backend: BackendRecord;
   readonly stage: EngineStage;
-  /** When the engine was asked, then when it was ordered. */
+  /** When the state was requested, later when the order was sent. Monotonic milliseconds. */
   since: number;
   ordered: boolean;
 }
 
 /**
- * Requests in flight that weigh as much as a pace slower by the whole of the group's: an engine 1.3 times
- * slower than its group is as good as three requests fewer to move to decode, and as bad to move to
- * prefill.
+ * Number of requests in flight that weigh as much as a pace deviation of 1 (twice the time of the group). An
+ * engine with a pace of 1.3 is as good a candidate for decode as one with three fewer requests, and as bad a
+ * candidate for prefill as one with three more.
  */
 const REQUESTS_PER_PACE = 10;
-/** More than so much slower or faster is a passing trouble, not the machine. Share of the group's pace. */
+/**
+ * Deviations from the group's pace are capped here: larger ones come from temporary faults and not from the
+ * machine. Share of the group's pace.
+ */
 const MAXIMUM_PACE_DEVIATION = 0.5;
 
 /** The coordinator of one service in one daemon. Times are monotonic milliseconds. */
@@ -82,9 +91,9 @@
   private nextOrderAt = 0;
   private ordersAllowedFrom = Infinity;
   private tickedAt = 0;
-  /** Since when a change has been due. */
+  /** When a change became due. Monotonic milliseconds. */
   private dueSince: number | undefined;
-  /** Since when a region has had an engine to give back. */
+  /** When each region first had an engine to return to prefill. Monotonic milliseconds. */
   private readonly spareSince = new Map<string, number>();
 
   constructor(
@@ -97,12 +106,12 @@
     this.lease = new CellLease(service, selfId, settings.lease, (effect) => this.onLease(effect), now);
   }
 
-  /** Whether the engine is being changed by this daemon: it gets no new work. */
+  /** Whether this daemon is changing the engine, which then gets no new work. */
   isChanging(backendId: string): boolean {
     return this.pending.has(backendId);
   }
 
-  /** Advances the lease and, while it is held, the plan. */
+  /** Advances the lease and, while it is held, starts planned changes. */
   tick(context: StageContext, now: number): void {
     this.tickedAt = now;
     this.removeFinished(context.views, now);
@@ -121,12 +130,14 @@
     else this.dueSince ??= now;
   }
 
-  /** Whether a change has been due for so long: no daemon before this one in rank has made it. */
+  /** Whether a change has been due for `forMs`, so that no higher-ranked daemon has made it. */
   private hasBeenDue(forMs: number, now: number): boolean {
     return this.dueSince !== undefined && now - this.dueSince >= forMs;
   }
 
-  /** Asks one engine for its state, to change its stage; false when none may change now. */
+  /**
+   * Requests the state of one engine in order to change its stage; returns false when none may change now.
+   */
   private startChange(context: StageContext, { region, step }: RegionStep, now: number): boolean {
     const { views, loaded } = context;
     const { changingShare, idleChangingShare } = this.settings;
@@ -143,22 +154,22 @@
     return true;
   }
 
-  /** This process's clock stood still for a time that nobody here has counted. */
+  /** The machine was suspended, for a time that the monotonic clock did not count. */
   onMachineSuspended(): void {
     this.lease.resumeAfterSuspension();
   }
 
-  /** Gives the lease back, unless an order is on its way. */
+  /** Releases the lease, unless changes are pending. */
   release(now: number): void {
     if (this.pending.size === 0) this.lease.release(now);
   }
 
-  /** Takes the answer to a `leaseTable` effect. */
+  /** Handles the answer to a `leaseTable` effect. */
   receiveTableResult(result: TableResult, now: number): void {
     this.lease.receiveTableResult(result, now);
   }
 
-  /** Takes an engine's state; undefined when it did not answer. */
+  /** Handles an engine's state, undefined when it did not answer, and sends the order if it applies. */
   receiveStatus(backendId: string, status: EngineStatus | undefined, now: number): void {
     const pending = this.pending.get(backendId);
     if (!pending || pending.ordered) return;
@@ -175,13 +186,15 @@
   }
 
   /**
-   * Takes the outcome of an order. Without an answer the change may still come, so the engine stays pending.
+   * Handles the outcome of an order. Without an answer the change may still happen, so it stays pending.
    */
   receiveOrderResult(backendId: string, result: StageOrderResult): void {
     if (result.kind === 'refused') this.pending.delete(backendId);
   }
 
-  /** The planner's steps by region; an engine is given back only when it has been spare for a while. */
+  /**
+   * The planner's steps by region; under load, engines are returned to prefill only after `returnAfterMs`.
+   */
   private planSteps(context: StageContext, now: number): RegionStep[] {
     const demands = new Map<string, StageDemand>();
     for (const [region, views] of this.groupViews(context, now))
@@ -190,15 +203,15 @@
     const spare = new Set(steps.filter(({ step }) => step === 'toPrefill').map(({ region }) => region));
     for (const region of this.spareSince.keys()) if (!spare.has(region)) this.spareSince.delete(region);
     for (const region of spare) this.spareSince.set(region, this.spareSince.get(region) ?? now);
-    return steps.filter(({ region }) => !context.loaded || this.isReturnDue(region, now));
+    return steps.filter(({ region }) => !context.loaded || this.isStepDue(region, now));
   }
 
-  /** Whether the region has no engine to give back, or has had it for long enough. */
-  private isReturnDue(region: string, now: number): boolean {
+  /** Whether the region has no engine to return to prefill, or has had one for `returnAfterMs`. */
+  private isStepDue(region: string, now: number): boolean {
     return now - (this.spareSince.get(region) ?? -Infinity) >= this.settings.returnAfterMs;
   }
 
-  /** Engines that serve, by region. */
+  /** Engines in service, by region. */
   private groupViews(
     { views, regionOf }: StageContext,
     now: number,
@@ -218,7 +231,7 @@
     }
   }
 
-  /** The demand on engines that serve, as it is once the changes that are under way are done. */
+  /** The demand, with engines counted in the stages that they have after the pending changes. */
   private getDemand(serving: readonly BackendView[], slots: number): StageDemand {
     const stageOf = ({ record }: BackendView): EngineStage | undefined =>
       this.pending.get(record.id)?.stage ?? record.stage;
@@ -244,9 +257,10 @@
 }
 
 /**
- * The engine of a stage with the least work, whose change costs least. The faster compute prompts: there an
- * engine's time is what answers wait for, while tokens come far sooner than they are due. Spot engines before
- * others: these may be on their way out, replaced by spot ones.
+ * Picks the engine of a stage that costs the least to change: the one with the fewest requests in flight,
+ * corrected by its pace. Faster engines are preferred for prefill, since responses wait for prefill time,
+ * while tokens are generated far sooner than they are due. At equal cost spot engines are preferred, since
+ * ordinary ones may be about to be replaced by spot engines.
  */
 function pickEngine(views: readonly BackendView[], stage: EngineStage): BackendRecord | undefined {
   const eligible = views.filter((view) => view.takesWork() && view.record.stage === stage);
--- a/src/allocation/stage-planner.ts
+++ b/src/allocation/stage-planner.ts
@@ -1,30 +1,34 @@
 /**
- * Decides how many engines of a service should compute prompts (prefill) and how many should generate
- * (decode). Generation is kept on few engines, since a prompt computed on a decode engine holds up every
- * stream there, and prompts cost far more engine time than tokens; more engines generate while streams fill
- * the slots.
+ * Decides how many engines of a service should compute prompts (prefill) and how many should generate output
+ * (decode). Pure functions. Few engines decode, since a prompt computed on a decode engine delays every
+ * stream there, and prompts take far more engine time than tokens. More engines decode while streams fill the
+ * slots.
  *
- * Weighed: a plan from measured prompt rates and backlogs. It flapped, since a backlog says little about the
- * rate while KV caches are cold (docs/PLATFORM.md has the figures).
+ * Rejected alternative: planning from measured prompt rates and backlogs. It oscillated, since a backlog is a
+ * poor indicator of the rate while KV caches are cold (docs/PLATFORM.md has the figures).
  */
 
 /** Settings of the planner. */
 export interface StagePlannerSettings {
-  /** Share of the engines that generate while streams do not ask for more. Default 0.3. */
+  /** Share of the engines that decode unless streams need more. Default 0.3. */
   readonly decodeShare: number;
-  /** Decode engines kept at least, where there are so many. Default 2. */
+  /** Minimum number of decode engines, with enough engines for both minimums. Default 2. */
   readonly minimumDecode: number;
-  /** Prefill engines kept at least, where there are so many. Default 1. */
+  /** Minimum number of prefill engines, with enough engines for both minimums. Default 1. */
   readonly minimumPrefill: number;
   /**
-   * With so many engines of each stage, and less than half of the prefill engines at work, none changes for
-   * the sake of the shares: each change is an order, and takes an engine away. Default 64; a fleet of 50 to
-   * 100 engines is brought to its shares before the first request.
+   * With at least this number of engines in each stage, and fewer prompts in progress than half the number of
+   * prefill engines, no engine changes just to reach the shares, since each change costs an order and makes
+   * an engine unavailable. Default 64; a fleet of 50 to 100 engines reaches its shares before the first
+   * request.
    */
   readonly ampleEngines: number;
-  /** A decode engine is added when streams reach this share of the slots. Default 0.8. */
+  /** A decode engine is added when streams exceed this share of the slots. Default 0.8. */
   readonly addAtStreamShare: number;
-  /** It is given back when the others would carry the streams with this share of their slots. Default 0.6. */
+  /**
+   * A decode engine returns to prefill when the streams need less than this share of the other engines'
+   * slots. Default 0.6.
+   */
   readonly returnAtStreamShare: number;
 }
 
@@ -38,22 +42,22 @@
   returnAtStreamShare: 0.6,
 };
 
-/** What is known of a service's load, over all daemons. */
+/** The load of a service, over all daemons. */
 export interface StageDemand {
   readonly prefillEngines: number;
   readonly decodeEngines: number;
-  /** Requests that a decode engine runs at once. */
+  /** Number of requests that a decode engine executes concurrently. */
   readonly slots: number;
-  /** Prompts under way on prefill engines. */
+  /** Number of prompts in progress on prefill engines. */
   readonly prompts: number;
-  /** Streams on decode engines. */
+  /** Number of streams on decode engines. */
   readonly streams: number;
 }
 
-/** A step towards the plan. */
+/** A stage change of one engine, or none. */
 type StageStep = 'toPrefill' | 'toDecode' | 'none';
 
-/** The next step for this demand. */
+/** Plans the next step for this demand. */
 export function planStage(settings: StagePlannerSettings, demand: StageDemand): StageStep {
   const { prefillEngines, decodeEngines, slots, streams } = demand;
   const engines = prefillEngines + decodeEngines;
@@ -68,9 +72,9 @@
 }
 
 /**
- * Whether there is plenty of both stages, whatever their shares. With 300 engines before 30 daemons a day
- * earned -0.10 of what it could while they were all brought to their shares, for the price of the orders, and
- * 0.43 without (one play each).
+ * Whether both stages have ample engines, regardless of their shares. With 300 engines and 30 daemons, a
+ * simulated day scored -0.10 of the achievable value when all engines were moved to reach the shares, because
+ * of the cost of the orders, and 0.43 when they were not (one run each).
  */
 export function isAmple({ ampleEngines }: StagePlannerSettings, demand: StageDemand): boolean {
   const { prefillEngines, decodeEngines, prompts } = demand;
--- a/src/allocation/stage-regions.ts
+++ b/src/allocation/stage-regions.ts
@@ -1,9 +1,9 @@
 /**
- * Decides in which region of a service an engine should change its stage. Each region follows its own mix,
- * since bursts come by region and a hand-over between regions takes the way between them; both stages are
- * kept wherever a region has two engines. A region whose decode engines are full does without a change while
- * others have room for the streams it is short of: a change takes an engine away for seconds, the way to
- * another region some milliseconds.
+ * Decides in which region of a service an engine should change its stage. Pure functions. Each region is
+ * planned by its own load, since bursts are regional and a handover between regions adds the network latency
+ * between them. A region with at least two engines keeps both stages. A region whose decode engines are full
+ * changes none while other regions have room for its excess streams: a change makes an engine unavailable for
+ * seconds, while another region adds a latency of some milliseconds.
  */
 import { isAmple, planStage, type StageDemand, type StagePlannerSettings } from './stage-planner.js';
 
@@ -13,10 +13,10 @@
   readonly step: 'toPrefill' | 'toDecode';
 }
 
-/** Fewer engines cannot keep both stages: they count to another region. */
+/** A region with fewer engines cannot keep both stages; its engines are assigned to another region. */
 const MINIMUM_ENGINES = 2;
 
-/** Puts items into groups by region. Those of a region with fewer than two count to the largest. */
+/** Groups items by region. Items of a region with fewer than two are added to the largest region. */
 export function groupByRegion<Item>(
   items: readonly Item[],
   regionOf: (item: Item) => string,
@@ -40,8 +40,8 @@
 }
 
 /**
- * The steps for these regions, at most one each, the most urgent first. A single region is planned as a fleet
- * without regions.
+ * Plans the steps for these regions, at most one for each, the most urgent first. A single region is planned
+ * like a fleet without regions.
  */
 export function planRegions(
   settings: StagePlannerSettings,
@@ -60,8 +60,8 @@
 }
 
 /**
- * A stage that the region has no engine of, however busy the others are: its prompts or streams would all
- * leave the region.
+ * Plans a step to a stage that the region has no engine of, regardless of the load, since all its prompts or
+ * streams would otherwise leave the region.
  */
 function planMissingStage({ prefillEngines, decodeEngines }: StageDemand): RegionStep['step'] | undefined {
   if (prefillEngines === 0) return 'toPrefill';
@@ -69,8 +69,8 @@
 }
 
 /**
- * Within a region one engine of a stage will do, where the fleet has its minimum; plenty is judged over the
- * fleet.
+ * The settings for one region: the fleet's minimums are divided among the regions, and whether engines are
+ * ample is determined for the whole fleet.
  */
 function getRegionSettings(
   settings: StagePlannerSettings,
@@ -94,9 +94,10 @@
 }
 
 /**
- * Streams that the region should have room for: its own, less those that others have room for when it is
- * short, and those that others are short of as far as it has room. What a region is short of that has no
- * engine left to change, others make room for.
+ * The number of streams that the region should have room for: its streams, minus its excess streams that
+ * other regions have room for, plus the excess streams of other regions as far as it has room. The excess of
+ * regions that have no prefill engine left to change is added in full, so that other regions add capacity for
+ * it.
  */
 function countStreams(
   settings: StagePlannerSettings,
@@ -122,8 +123,8 @@
 }
 
 /**
- * Decode engines that are missed come first, where streams fill most of the slots; then prefill engines,
- * where they fill least.
+ * Urgency of a step; higher values come first. Steps to decode precede steps to prefill, and both are ordered
+ * by the share of slots in use, the highest first.
  */
 function getUrgency(demands: ReadonlyMap<string, StageDemand>, { region, step }: RegionStep): number {
   const { streams, slots, decodeEngines } = demands.get(region) as StageDemand;
--- a/src/allocation/throughput-model.ts
+++ b/src/allocation/throughput-model.ts
@@ -1,27 +1,27 @@
 /**
- * How much of a mix of prompt and output tokens a set of engines can carry. Pure; the allocation policy
- * compares sets of engines by it.
+ * Estimates how much of a demand for prompt and output tokens a set of engines can serve. Pure functions; the
+ * allocation policy uses them to compare sets of engines.
  */
 import type { EngineCapability, EngineRole } from '../contracts/engine-protocol.js';
 
-/** Work asked of the engines of one model, in tokens per second. */
+/** Demand on the engines of one model, in tokens per second. */
 export interface TokenDemand {
   readonly prefillPerSecond: number;
   readonly decodePerSecond: number;
 }
 
-/** How many engines hold each role. */
+/** Number of engines in each role. */
 export type RoleCounts = Readonly<Record<EngineRole, number>>;
 
-/** Steps of the search for the best share, 5% each. */
+/** Number of steps of the search for the best share, 5% each. */
 const SHARE_STEPS = 20;
-/** Stands for no demand in a division. Tokens per second. */
+/** Minimum divisor, in place of zero demand. Tokens per second. */
 const NO_DEMAND = 1e-9;
 
 /**
- * The factor by which the demand could grow before the engines are full; below 1 they are overloaded.
- * Mixed engines spend a share of their time on batches with prompts in them and the rest on output alone;
- * the best share is searched in steps of 5%.
+ * The factor by which the demand could grow before the engines are saturated; below 1 they are overloaded.
+ * Mixed engines spend a share of their time on batches that include prompts and the remaining time on output
+ * only; the best share is searched in steps of 5%.
  */
 export function servableFactor(
   counts: RoleCounts,
@@ -45,7 +45,7 @@
   const mixedDecode = share * capability.mixedDecodeRate + outputOnly;
   const decode = counts.decode * capability.decodeRate + counts.mixed * mixedDecode;
   const decodeFactor = decode / Math.max(demand.decodePerSecond, NO_DEMAND);
-  // Batches with prompts are quicker while few outputs share them.
+  // Batches with prompts are faster while they include few outputs.
   const remainingDecode = Math.max(
     0,
     demand.decodePerSecond - counts.decode * capability.decodeRate - counts.mixed * outputOnly,
--- a/src/capacity/capacity-demand.ts
+++ b/src/capacity/capacity-demand.ts
@@ -1,30 +1,31 @@
-/// How many back ends a service needs, from what runs on them: the most that was needed lately. Demand turns
-/// within seconds and a back end takes seconds to start and longer to fill its cache, so what was needed once
-/// is kept for a while. In bursts of three times the usual requests 0.92 and 0.68 of worth were earned in the
-/// seconds that earned 0.29 and 0.27 with a fixed number (one play each).
+/// Estimates how many back ends a service needs from their requests in flight: a slowly decaying peak of the
+/// recent need. Owns the average and the peak of one service. Demand changes within seconds, while a back end
+/// takes seconds to start and longer to fill its cache, so a past need is kept for a while. In bursts of
+/// three times the usual requests, 0.92 and 0.68 of the achievable value were earned in the seconds that
+/// earned 0.29 and 0.27 with a fixed number of back ends (one simulation run each).
 import type {BackendView} from "../forwarding/backends/backend-view.js"
 import type {ScalingRules} from "../forwarding/routes/route.js"
 
-/// Settings of the demand.
+/// Settings of the estimate.
 export interface CapacityDemandSettings {
-  /// Prompts under way for each prefill engine. A prompt takes an engine for itself, and daemons choose
-  /// engines by loads that are some 500 ms old, so that engines must mostly be free for prompts not to wait
-  /// behind each other. Default 0.5.
+  /// Target number of prompts in flight per prefill engine. A prompt occupies its engine exclusively, and
+  /// daemons choose engines by loads that are some 500 ms old, so most engines must be idle for prompts not
+  /// to queue behind each other. Default 0.5.
   readonly promptsPerEngine: number
-  /// Part of the slots of other back ends that may be taken. Default 0.5.
+  /// Target share of slots in use on other back ends. Default 0.5.
   readonly slotShare: number
-  /// Time over which what runs is averaged. Milliseconds. Default 1000.
+  /// Time constant of the average need. Milliseconds. Default 1000.
   readonly averageMs: number
-  /// What was needed counts for e^-1 after so long. Milliseconds. Default 120000.
+  /// Time constant of the decay of the peak: it falls to e^-1 in this time. Milliseconds. Default 120000.
   readonly peakDecayMs: number
-  /// Back ends at most, as a multiple of those that serve now: a fault that makes requests wait everywhere
-  /// orders no whole fleet. Default 1.5.
+  /// Upper bound of the need, as a multiple of the back ends in service, so that a fault that delays all
+  /// requests doesn't order a whole new fleet. Default 1.5.
   readonly growthFactor: number
-  /// Spot back ends for each other one that is there at first. They cost less and come with empty caches;
-  /// most of a prompt is shared and kept once it has been computed. Default 1.5.
+  /// Number of spot back ends that replace each initial ordinary one. They cost less but start with empty
+  /// caches; most of a prompt is shared and cached once it has been computed. Default 1.5.
   readonly replacementFactor: number
-  /// A daemon that starts finds the back ends one after another; it judges nothing before it has looked for
-  /// so long. Milliseconds. Default 5000.
+  /// Time after the first back end during which a new daemon estimates nothing, since it discovers the back
+  /// ends one after another. Milliseconds. Default 5000.
   readonly discoveryMs: number
 }
 
@@ -39,17 +40,18 @@
   discoveryMs: 5000
 }
 
-/// The demand for one service. Times are monotonic milliseconds.
+/// The demand for back ends of one service. Times are monotonic milliseconds.
 export class CapacityDemand {
   private average = 0
-  /// What is there at first is taken to be needed.
+  /// Peak need in back ends. The initial back ends are assumed to be needed.
   private peak = 0
   private startedAt: number | undefined
   private updatedAt = -Infinity
 
   constructor(private readonly settings: CapacityDemandSettings) {}
 
-  /// Takes what runs on the back ends now. `hasSpot` says whether there are spot ones to be had.
+  /// Updates the estimate from the current load of the back ends. `hasSpot` tells whether spot ones can be
+  /// ordered.
   update(views: readonly BackendView[], hasSpot: boolean, now: number): void {
     const serving = views.filter(view => view.takesWork())
     if (serving.length === 0) return
@@ -68,7 +70,7 @@
     this.peak = Math.max(kept, bounded)
   }
 
-  /// Back ends that are wanted in all; undefined while too little is known, or where their number is fixed.
+  /// The total number of back ends wanted; undefined during discovery, or when the number is fixed.
   getWanted(scaling: ScalingRules | undefined, now: number): number | undefined {
     if (!scaling || !this.isSettled(now)) return undefined
     const most = scaling.max * Object.keys(scaling.zonePrices).length
@@ -84,7 +86,7 @@
     return this.startedAt !== undefined && now - this.startedAt >= this.settings.discoveryMs
   }
 
-  /// Back ends that what runs on this one needs.
+  /// The number of back ends that the requests in flight on this one need.
   private getNeed(view: BackendView): number {
     const {promptsPerEngine, slotShare} = this.settings
     const {stage, slots} = view.record
--- a/src/capacity/capacity-manager.ts
+++ b/src/capacity/capacity-manager.ts
@@ -1,8 +1,9 @@
-/// Orders back ends by the plan, while this daemon holds the duties. What is there counts, not what was
-/// ordered: an order that was lost, or carried out late after a newer one, shows in the counts and is given
-/// again. Back ends that are to go are ordered away only when those that take their place serve, and have had
-/// the time to change to the stage that is wanted of them: without that time 18 prefill engines were left of
-/// 33, and the first two seconds of traffic earned 0.55 of what they could, with it 0.63 (one play each).
+/// Orders back ends according to the plan while this daemon holds the duties. Owns the state of the orders.
+/// It compares the plan with the back ends in service rather than with earlier orders: an order that was
+/// lost, or executed late after a newer one, shows in the counts and is repeated. Back ends are removed only
+/// once their replacements are in service and have had the time to change to the wanted stage: without that
+/// time 18 prefill engines were left of 33, and the first two seconds of traffic earned 0.55 of the
+/// achievable value, with it 0.63 (one simulation run each).
 import type {DutyAuthority, DutyCall, DutyResult} from "../duties/duty-messages.js"
 import type {BackendView} from "../forwarding/backends/backend-view.js"
 import type {BackendService, ScalingRules} from "../forwarding/routes/route.js"
@@ -12,13 +13,13 @@
 /// Settings of the orders.
 export interface CapacityManagerSettings {
   readonly planner: CapacityPlannerSettings
-  /// Counts that differ from what was ordered are left alone for so long beyond the time in which a back end
-  /// starts. Milliseconds. Default 4000: a leaving one serves on for a while.
+  /// Time beyond the boot time of a back end before an order is repeated because the counts still differ from
+  /// it. Milliseconds. Default 4000, since a leaving back end stays in service for a while.
   readonly orderGraceMs: number
-  /// Pause between orders of one kind in one zone: counts that follow each other back end by back end make
-  /// one order. Milliseconds. Default 500.
+  /// Minimum interval between orders of one kind in one zone, so that counts that change one back end at a
+  /// time result in a single order. Milliseconds. Default 500.
   readonly pauseMs: number
-  /// Pause after an order that failed, or for which there are none to be had now. Milliseconds. Default 2000.
+  /// Pause after an order that failed, or that the platform has no capacity for. Milliseconds. Default 2000.
   readonly retryMs: number
 }
 
@@ -29,34 +30,34 @@
   retryMs: 2000
 }
 
-/// Time until a new engine is ordered to change its stage. Milliseconds; two looks at the engines and an
-/// answer.
+/// Time until a new engine is ordered to change its stage. Milliseconds; covers two checks of the engines
+/// and one answer.
 const STAGE_ORDER_MS = 500
 
 /// An order for one service, zone and kind.
 export type ServerOrder = Extract<DutyCall, {kind: "orderServers"}>
 
-/// What the manager asks for.
+/// Effects that the manager emits.
 export type CapacityEffect = {
   readonly kind: "callDuty"
   readonly call: ServerOrder
   readonly authority: DutyAuthority
 }
 
-/// What was last ordered for one service, zone and kind.
+/// The last order for one service, zone and kind.
 interface OrderState {
-  /// Undefined when nothing was, or when an order failed.
+  /// Number of back ends ordered; undefined without an order or after a failed one.
   ordered: number | undefined
   inFlight: boolean
   pausedUntil: number
-  /// What was ordered must be there by now.
+  /// When the counts must match the order. Monotonic milliseconds.
   dueAt: number
 }
 
 /// The orders of one daemon. Times are monotonic milliseconds.
 export class CapacityManager {
   private readonly orderStates = new Map<string, OrderState>()
-  /// When each back end was first seen to serve.
+  /// When each back end was first seen. Monotonic milliseconds.
   private firstSeenAt = new Map<string, number>()
 
   constructor(
@@ -64,7 +65,7 @@
     private readonly emit: EffectSink<CapacityEffect>
   ) {}
 
-  /// Orders what one service lacks or has too much of. `total` is how many back ends it should have in all.
+  /// Orders more or fewer back ends of one service. `total` is the number of back ends that it should have.
   tick(
     {name, scaling, engine}: BackendService,
     views: readonly BackendView[],
@@ -86,7 +87,7 @@
     }
   }
 
-  /// Takes what became of an order.
+  /// Handles the outcome of an order.
   receiveResult(call: ServerOrder, result: DutyResult, now: number): void {
     const state = this.orderStates.get(getKey(call))
     if (!state) return
@@ -119,8 +120,8 @@
         authority,
         now
       )
-    // As many ordinary ones stay as spot ones are not in place yet, but no new ones are ordered for that.
-    // Where both together are more than the zone may have, the ordinary ones go first.
+    // One ordinary back end is kept for each spot one that is not ready yet, but none is added for this
+    // purpose. Where both together would exceed the zone's maximum, the ordinary ones are removed first.
     const notReady = Math.max(0, planned.spot - spotReady)
     const kept = Math.min(present.ordinary, planned.ordinary + notReady, scaling.max - planned.spot)
     const desired = Math.max(planned.ordinary, kept)
@@ -167,7 +168,7 @@
   return `${service} ${zone} ${spot ? "spot" : "ordinary"}`
 }
 
-/// Back ends that serve, by zone and kind.
+/// Counts the back ends in service by zone and kind.
 function countByZone(
   views: readonly BackendView[],
   {zonePrices}: ScalingRules,
--- a/src/capacity/capacity-planner.ts
+++ b/src/capacity/capacity-planner.ts
@@ -1,27 +1,28 @@
-/// How many back ends of a service each zone should have, and of which kind. Spot ones cost a part of the
-/// others, but all of a zone may be taken away within seconds; so they are spread evenly over the zones, and
-/// a few others stay. Where a spot one costs 0.22 of another, the seconds of servers cost 0.10 of what a day
-/// with faults could earn, for up to 100 engines, in place of 0.16 for 50 ordinary ones (one play each).
+/// Plans how many back ends of each kind a service should have in each zone. Pure functions. Spot back ends
+/// cost a fraction of the price of ordinary ones, but all of a zone may be withdrawn within seconds. They are
+/// therefore distributed evenly over the zones, and a few ordinary ones are kept in reserve. With spot ones
+/// at 0.22 of the ordinary price, server time for up to 100 engines cost 0.10 of the achievable value of a
+/// day with faults, compared with 0.16 for 50 ordinary ones (one simulation run each).
 import type {ScalingRules} from "../forwarding/routes/route.js"
 
 /// Settings of the plan.
 export interface CapacityPlannerSettings {
-  /// Part of the back ends that are no spot ones, where there are both. Default 0.05: with all spot ones of
-  /// one zone of four gone, and before others come, three quarters are left.
+  /// Share of ordinary back ends where spot ones are used too. Default 0.05: when one zone of four loses all
+  /// its spot back ends, three quarters of the back ends remain until replacements start.
   readonly reserveShare: number
 }
 
 /// Default settings.
 export const DEFAULT_CAPACITY_PLANNER_SETTINGS: CapacityPlannerSettings = {reserveShare: 0.05}
 
-/// Back ends of one zone by kind.
+/// Numbers of back ends in one zone, by kind.
 export interface ZoneCounts {
   readonly zone: string
   readonly ordinary: number
   readonly spot: number
 }
 
-/// The plan for so many back ends in all; zones in the order of their names.
+/// Plans `total` back ends; zones are sorted by name.
 export function planCapacity(
   settings: CapacityPlannerSettings,
   rules: ScalingRules,
@@ -39,12 +40,12 @@
   })
 }
 
-/// Cheapest first; the first ones get what does not divide evenly.
+/// Sorts zones by price, cheapest first; the first ones get the remainder of an even distribution.
 function rankByPrice(zones: readonly string[], {zonePrices}: ScalingRules): string[] {
   return [...zones].sort((left, right) => zonePrices[left] - zonePrices[right] || (left < right ? -1 : 1))
 }
 
-/// So many over the zones, evenly, within the limits of each.
+/// Distributes `count` back ends evenly over the zones, within the limits of each.
 function distribute(count: number, zones: readonly string[], {min, max}: ScalingRules): Map<string, number> {
   const even = Math.floor(count / zones.length)
   const remainder = count - even * zones.length
--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -1,8 +1,8 @@
 /**
  * Calls to application servers, from the granted slot to the answer. Owns the calls in progress;
  * application-servers.ts picks the server, retry-rule.ts decides whether a broken call is repeated. A call
- * that may not be repeated is claimed in the ledger first and runs on one server at most; it is sent to another
- * server only when no byte of it can have reached the first.
+ * that may not be repeated is claimed in the ledger first and runs on one server at most; it is sent to
+ * another server only when no byte of it can have reached the first.
  */
 import {
   AlreadyClaimedError,
@@ -43,8 +43,9 @@
  */
 const RETRY_SETTINGS: RetryRuleSettings = { maximumAttempts: 3, retryRatio: 0.2 };
 /**
- * Longest response body that is recorded for a caller that repeats its idempotency key. Bytes; the limit keeps
- * table rows small. A longer response is passed on but not recorded, and a repeat fails as already claimed.
+ * Longest response body that is recorded for a caller that repeats its idempotency key. Bytes; the limit
+ * keeps table rows small. A longer response is passed on but not recorded, and a repeat fails as already
+ * claimed.
  */
 const MAXIMUM_RECORDED_BODY_BYTES = 64 * 1024;
 
@@ -265,8 +266,8 @@
   }
 
   /**
-   * Settles the claim of a call that is about to fail: releases the key if the call certainly did not run, and
-   * keeps it claimed without an outcome otherwise.
+   * Settles the claim of a call that is about to fail: releases the key if the call certainly did not run,
+   * and keeps it claimed without an outcome otherwise.
    */
   private settleClaim(session: CallSession, now: number): void {
     if (session.row.repeatable || session.stage === 'claiming') return;
--- a/src/routing/application-servers.ts
+++ b/src/routing/application-servers.ts
@@ -1,6 +1,7 @@
 /**
- * The application servers that a daemon knows, and the choice of one for a call. Owns the state of each: whether
- * it is leaving, this daemon's calls in flight, and until when it is avoided after a failure or backs off.
+ * The application servers that a daemon knows, and the choice of one for a call. Owns the state of each:
+ * whether it is leaving, this daemon's calls in flight, and until when it is avoided after a failure or backs
+ * off.
  */
 import type { RandomSource } from '../shared/random.js';
 
@@ -57,7 +58,8 @@
   }
 
   /**
-   * Records that a server asked for a back-off of `retryAfterMs`. A shorter back-off doesn't end an earlier one.
+   * Records that a server asked for a back-off of `retryAfterMs`. A shorter back-off doesn't end an earlier
+   * one.
    */
   addBackOff(server: ApplicationServer, retryAfterMs: number, now: number): void {
     server.backOffUntil = Math.max(server.backOffUntil, now + retryAfterMs);
@@ -78,8 +80,8 @@
 
   /**
    * Picks a server for a call: the one with fewer calls in flight of two random candidates. Servers that are
-   * leaving, backing off or in `excluded` are skipped, and so are those that failed recently unless there is no
-   * other.
+   * leaving, backing off or in `excluded` are skipped, and so are those that failed recently unless there is
+   * no other.
    */
   pick(excluded: ReadonlySet<string>, now: number): ApplicationServer | undefined {
     const eligible = [...this.servers.values()].filter(
--- a/src/routing/completion-dispatch.ts
+++ b/src/routing/completion-dispatch.ts
@@ -1,7 +1,7 @@
 /**
- * Decides about a completion at the head of its flow: sent to an engine, left waiting, paused, or failed. Owns
- * no state; reads the quarantine, the engines and the rules of completion-rules.ts. The manager applies the
- * decision.
+ * Decides about a completion at the head of its flow: sent to an engine, left waiting, paused, or failed.
+ * Owns no state; reads the quarantine, the engines and the rules of completion-rules.ts. The manager applies
+ * the decision.
  */
 import { NoBackendError, QuarantinedError, type PulleyledgeError } from '../errors/index.js';
 import type { CompletionSettings } from './completion-effects.js';
@@ -54,7 +54,8 @@
   }
 
   /**
-   * Decides when no engine that takes work serves the model, apart from those that rejected or broke the request.
+   * Decides when no engine that takes work serves the model, apart from those that rejected or broke the
+   * request.
    */
   private decideWithoutEngine(session: Session, now: number): DispatchDecision {
     if (session.excluded.size > 0) return { kind: 'pause' };
--- a/src/routing/completion-effects.ts
+++ b/src/routing/completion-effects.ts
@@ -73,15 +73,17 @@
    */
   readonly dispatchHorizonMs: number;
   /**
-   * A request is refused when its first token is expected after this share of the service's target: work whose
-   * first token misses the target is wasted. Default 0.8.
+   * A request is refused when its first token is expected after this share of the service's target: work
+   * whose first token misses the target is wasted. Default 0.8.
    */
   readonly firstTokenShare: number;
-  /** Prompts up to this length are not held back for a shorter backlog at the engines. Tokens. Default 512. */
+  /**
+   * Prompts up to this length are not held back for a shorter backlog at the engines. Tokens. Default 512.
+   */
   readonly smallPromptTokens: number;
   /**
-   * A request for a model that no engine currently serves waits for an engine for this duration. Milliseconds.
-   * Default 1000.
+   * A request for a model that no engine currently serves waits for an engine for this duration.
+   * Milliseconds. Default 1000.
    */
   readonly noBackendWaitMs: number;
 }
--- a/src/routing/completion-manager.ts
+++ b/src/routing/completion-manager.ts
@@ -1,10 +1,11 @@
 /**
- * The completion state machine: queues requests, sends attempts to engines and assembles the responses. Owns one
- * session per request, with at most one live attempt. Tokens are passed on only at the exact next offset, and a
- * response is complete only at an engine's end marker.
+ * The completion state machine: queues requests, sends attempts to engines and assembles the responses. Owns
+ * one session per request, with at most one live attempt. Tokens are passed on only at the exact next offset,
+ * and a response is complete only at an engine's end marker.
  *
- * The decisions are made in other modules: refusing, holding back and giving up in completion-rules.ts, sending or
- * waiting in completion-dispatch.ts, the engine in engine-picker.ts, retries of broken attempts in retry-rule.ts.
+ * The decisions are made in other modules: refusing, holding back and giving up in completion-rules.ts,
+ * sending or waiting in completion-dispatch.ts, the engine in engine-picker.ts, retries of broken attempts in
+ * retry-rule.ts.
  */
 import {
   AttemptBrokenError,
@@ -34,8 +35,8 @@
 import { WaitEstimator } from './wait-estimator.js';
 
 /**
- * Minimum cost of a queued request in prompt tokens, so that short prompts also count towards the share of their
- * flow.
+ * Minimum cost of a queued request in prompt tokens, so that short prompts also count towards the share of
+ * their flow.
  */
 const MINIMUM_COST_TOKENS = 32;
 
@@ -251,8 +252,8 @@
   }
 
   /**
-   * Passes tokens on at the exact next offset. Tokens that the caller has already are skipped, and a gap breaks
-   * the attempt.
+   * Passes tokens on at the exact next offset. Tokens that the caller has already are skipped, and a gap
+   * breaks the attempt.
    */
   private onTokens(
     session: Session,
--- a/src/routing/completion-rules.ts
+++ b/src/routing/completion-rules.ts
@@ -1,8 +1,8 @@
 /**
- * Admission and waiting rules of a daemon for completions: when a request is refused on arrival, held back in the
- * queue, given up, or paused after a rejection. Owns no state; reads the expected waits. Retries of broken
- * attempts are decided in retry-rule.ts, the engine in engine-picker.ts, and the Retry-After time of an overload
- * refusal in retry-after.ts.
+ * Admission and waiting rules of a daemon for completions: when a request is refused on arrival, held back in
+ * the queue, given up, or paused after a rejection. Owns no state; reads the expected waits. Retries of
+ * broken attempts are decided in retry-rule.ts, the engine in engine-picker.ts, and the Retry-After time of
+ * an overload refusal in retry-after.ts.
  */
 import type { ServiceRow } from '../configuration/service-row.js';
 import { OverloadedError } from '../errors/index.js';
@@ -32,9 +32,9 @@
   ) {}
 
   /**
-   * The reason to refuse a request before it takes a slot; undefined to accept it. A request is refused when its
-   * expected wait, from the work queued here and at the engines, exceeds its allowed wait or its deadline. Without
-   * a known engine there is no estimate, and the request is accepted.
+   * The reason to refuse a request before it takes a slot; undefined to accept it. A request is refused when
+   * its expected wait, from the work queued here and at the engines, exceeds its allowed wait or its
+   * deadline. Without a known engine there is no estimate, and the request is accepted.
    */
   findRefusal(request: CompletionRequest, row: ServiceRow, now: number): OverloadedError | undefined {
     const expectedWaitMs = this.waits.expectedMs(row, now);
@@ -46,8 +46,8 @@
   }
 
   /**
-   * The reason to give up a queued request; undefined to keep it. The caller of a request whose attempt broke has
-   * already waited for it, so it may wait for at least the stall timeout of an attempt.
+   * The reason to give up a queued request; undefined to keep it. The caller of a request whose attempt broke
+   * has already waited for it, so it may wait for at least the stall timeout of an attempt.
    */
   findExpiry(session: Session, now: number): OverloadedError | undefined {
     const waitedMs = now - session.queuedAt;
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Whether a request waits in the fair queue of this daemon rather than in the first-come, first-served queue of
-   * the engine. It does when the engine's other work would delay its first token by more than
+   * Whether a request waits in the fair queue of this daemon rather than in the first-come, first-served
+   * queue of the engine. It does when the engine's other work would delay its first token by more than
    * `dispatchHorizonMs`. Short prompts are not held back.
    */
   isHeldBack(request: CompletionRequest, choice: EngineChoice): boolean {
--- a/src/routing/completion-session.ts
+++ b/src/routing/completion-session.ts
@@ -74,8 +74,8 @@
 }
 
 /**
- * Whether a request certainly did not run: `false` once tokens arrived, `true` only if no engine can have started
- * it, and `unknown` otherwise.
+ * Whether a request certainly did not run: `false` once tokens arrived, `true` only if no engine can have
+ * started it, and `unknown` otherwise.
  */
 export function getNotRun(session: Session): NotRun {
   if (session.produced.length > 0) return 'false';
--- a/src/routing/engine-directory.ts
+++ b/src/routing/engine-directory.ts
@@ -1,8 +1,8 @@
 /**
- * The engines that a daemon routes to, with their estimated load. Owns the view of each engine. An engine gets no
- * work while it is leaving, draining, backing off, without a recent report, or ejected after failures
- * (`takesWork`). Since reports are delayed, an estimate adds the work that this daemon has sent since the report
- * and subtracts what the engine has processed since at its nominal rate.
+ * The engines that a daemon routes to, with their estimated load. Owns the view of each engine. An engine
+ * gets no work while it is leaving, draining, backing off, without a recent report, or ejected after failures
+ * (`takesWork`). Since reports are delayed, an estimate adds the work that this daemon has sent since the
+ * report and subtracts what the engine has processed since at its nominal rate.
  */
 import { SmoothedRate } from '../shared/smoothed-rate.js';
 import type {
@@ -17,14 +17,15 @@
   /** Assumed age of a report on arrival. Milliseconds. Default 500. */
   readonly reportLagMs: number;
   /**
-   * An engine without a report for this duration gets no new work: it may be leaving. Milliseconds. Default 5000.
+   * An engine without a report for this duration gets no new work: it may be leaving. Milliseconds. Default
+   * 5000.
    */
   readonly maximumReportAgeMs: number;
   /** Consecutive failures after which an engine is ejected. Default 3. */
   readonly ejectAfterFailures: number;
   /**
-   * Duration of the first ejection; each further one doubles it, up to eight times the first. Milliseconds. Default
-   * 2000.
+   * Duration of the first ejection; each further one doubles it, up to eight times the first. Milliseconds.
+   * Default 2000.
    */
   readonly ejectionMs: number;
 }
@@ -70,8 +71,8 @@
   private finishedAt: number[] = [];
   private readonly promptRate = new SmoothedRate(RATE_TIME_CONSTANT_MS);
   /**
-   * Number of daemons that route to the engine, this one included. Each of the others is assumed to send as much
-   * as this one.
+   * Number of daemons that route to the engine, this one included. Each of the others is assumed to send as
+   * much as this one.
    */
   routingDaemons = 1;
   private failures = 0;
@@ -87,7 +88,9 @@
     private readonly maximumReportAgeMs: number,
   ) {}
 
-  /** Applies a load report that was made at about `madeAt` on this daemon's clock; older reports are ignored. */
+  /**
+   * Applies a load report that was made at about `madeAt` on this daemon's clock; older reports are ignored.
+   */
   applyReport(report: EngineReport, madeAt: number): void {
     if (madeAt < this.reportedAt) return;
     this.assignment = report.assignment;
@@ -141,7 +144,9 @@
     this.ejections = 0;
   }
 
-  /** Records a failure that is no rejection for load. The engine is ejected after several consecutive ones. */
+  /**
+   * Records a failure that is no rejection for load. The engine is ejected after several consecutive ones.
+   */
   addFailure(now: number, settings: DirectorySettings): void {
     this.failures += 1;
     if (this.failures < settings.ejectAfterFailures) return;
@@ -163,8 +168,8 @@
   }
 
   /**
-   * Estimated number of prompt tokens that wait on the engine. Prompt lengths vary widely, so the work of other
-   * daemons is estimated from a smoothed rate.
+   * Estimated number of prompt tokens that wait on the engine. Prompt lengths vary widely, so the work of
+   * other daemons is estimated from a smoothed rate.
    */
   pendingPrefill(now: number): number {
     const rate = this.prefillRate() / 1000;
@@ -181,8 +186,8 @@
   }
 
   /**
-   * Estimated number of streams on the engine. Streams cost about the same, so the change since the report is this
-   * daemon's change times the number of daemons.
+   * Estimated number of streams on the engine. Streams cost about the same, so the change since the report is
+   * this daemon's change times the number of daemons.
    */
   streams(): number {
     let sinceReport = 0;
--- a/src/routing/engine-picker.ts
+++ b/src/routing/engine-picker.ts
@@ -4,9 +4,9 @@
  * 2. either one engine executes the whole request, or a prefill engine computes the prompt and another engine
  *    generates the output, whichever has the earlier expected first token (`pick`); a decode engine may also
  *    compute a short prompt;
- * 3. within a stage, the cheaper of two random candidates is picked (power of two choices; Mitzenmacher, 2001),
- *    unless the engine that is expected to cache the prompt's prefix costs little more and is within its load
- *    bound (`pickOfTwo`);
+ * 3. within a stage, the cheaper of two random candidates is picked (power of two choices; Mitzenmacher,
+ *    2001), unless the engine that is expected to cache the prompt's prefix costs little more and is within
+ *    its load bound (`pickOfTwo`);
  * 4. an engine's cost is the expected time to the first token, plus a penalty for the share of its streams in
  *    use, plus a penalty for another zone (`cost`).
  */
@@ -42,20 +42,23 @@
    * Maximum additional cost of the engine with the prefix over the better of two. Milliseconds. Default 150.
    */
   readonly affinitySlackMs: number;
-  /** Load bound of the engine with the prefix, as a multiple of the candidates' mean streams. Default 1.25. */
+  /**
+   * Load bound of the engine with the prefix, as a multiple of the candidates' mean streams. Default 1.25.
+   */
   readonly affinityLoadFactor: number;
   /**
-   * An engine gets new streams only up to this share of its maximum, since reports are delayed and other daemons
-   * also send work. Default 0.9.
+   * An engine gets new streams only up to this share of its maximum, since reports are delayed and other
+   * daemons also send work. Default 0.9.
    */
   readonly streamShare: number;
   /**
-   * Additional cost of an engine with all streams in use over an idle one, for its longer time between tokens.
-   * Milliseconds. Default 100.
+   * Additional cost of an engine with all streams in use over an idle one, for its longer time between
+   * tokens. Milliseconds. Default 100.
    */
   readonly fullEngineCostMs: number;
   /**
-   * Maximum length of a prompt that a decode engine may compute itself if that is faster. Tokens. Default 256.
+   * Maximum length of a prompt that a decode engine may compute itself if that is faster. Tokens. Default
+   * 256.
    */
   readonly decodePrefillTokens: number;
   /** Transfer time of a prompt's KV cache, per token. Milliseconds. Default 0.02. */
--- a/src/routing/retry-after.ts
+++ b/src/routing/retry-after.ts
@@ -1,13 +1,13 @@
 /**
- * Retry-After times of a daemon that serves completions, except those of quarantined requests (src/quarantine).
- * Owns the constants and the two functions that compute a time; relies on nothing.
+ * Retry-After times of a daemon that serves completions, except those of quarantined requests
+ * (src/quarantine). Owns the constants and the two functions that compute a time; relies on nothing.
  *
  * All times are milliseconds; the header rounds them up to whole seconds.
  */
 
 /**
- * The daemon has no configuration yet, holds a stale one, or is stopping. Milliseconds; callers may use another
- * daemon in the meantime.
+ * The daemon has no configuration yet, holds a stale one, or is stopping. Milliseconds; callers may use
+ * another daemon in the meantime.
  */
 export const NOT_READY_RETRY_AFTER_MS = 1000;
 
@@ -24,7 +24,8 @@
 export const NO_SERVER_RETRY_AFTER_MS = 1000;
 
 /**
- * An operator's edit was not accepted: too few daemons are reachable, or the table did not answer. Milliseconds.
+ * An operator's edit was not accepted: too few daemons are reachable, or the table did not answer.
+ * Milliseconds.
  */
 export const EDIT_RETRY_AFTER_MS = 2000;
 
@@ -45,8 +46,8 @@
 }
 
 /**
- * Time after a refusal due to a full queue for a service's slots until the queue and one more request will have
- * completed at the recent completion rate. Milliseconds.
+ * Time after a refusal due to a full queue for a service's slots until the queue and one more request will
+ * have completed at the recent completion rate. Milliseconds.
  * @param waiting requests in the queue
  * @param completed requests that ended within `elapsedMs`; none counts as one
  */
--- a/src/routing/retry-budget.ts
+++ b/src/routing/retry-budget.ts
@@ -1,12 +1,12 @@
 /**
- * Limits retries of work that may have run to a share of the requests, so that failures do not amplify load. Owns
- * the tokens of one process for one kind of request; used by retry-rule.ts.
+ * Limits retries of work that may have run to a share of the requests, so that failures do not amplify load.
+ * Owns the tokens of one process for one kind of request; used by retry-rule.ts.
  */
 
 /**
- * Retries that a new process may use. One, so that the first failure of a service with little traffic is retried
- * rather than returned. The budget is lost when a process ends: with 10, twenty consecutive processes with 25
- * requests each retried 280 times where their requests allowed 100.
+ * Retries that a new process may use. One, so that the first failure of a service with little traffic is
+ * retried rather than returned. The budget is lost when a process ends: with 10, twenty consecutive processes
+ * with 25 requests each retried 280 times where their requests allowed 100.
  */
 const INITIAL_TOKENS = 1;
 /** Maximum accumulated retries, which bounds a burst of retries after an idle period. */
--- a/src/routing/run-listener.ts
+++ b/src/routing/run-listener.ts
@@ -1,6 +1,6 @@
 /**
- * The interface through which the completion and application-call managers report the outcomes of attempts, and
- * check before each attempt whether the request is quarantined. Owns no state.
+ * The interface through which the completion and application-call managers report the outcomes of attempts,
+ * and check before each attempt whether the request is quarantined. Owns no state.
  */
 
 /** The back end of an attempt. */
--- a/src/routing/wait-estimator.ts
+++ b/src/routing/wait-estimator.ts
@@ -1,6 +1,6 @@
 /**
- * Expected and allowed waiting times of requests. Owns smoothed durations of streams and prompt tokens; relies on
- * this daemon's queue and on the engine loads in the directory.
+ * Expected and allowed waiting times of requests. Owns smoothed durations of streams and prompt tokens;
+ * relies on this daemon's queue and on the engine loads in the directory.
  */
 import type { ServiceRow } from '../configuration/service-row.js';
 import type { AdmissionQueue } from './admission-queue.js';
@@ -73,8 +73,9 @@
   }
 
   /**
-   * Allowed wait of a request: the maximum wait of its service, reduced so that the first token can still meet its
-   * target. A prompt that would miss the target even on an idle engine gets the service's maximum. Milliseconds.
+   * Allowed wait of a request: the maximum wait of its service, reduced so that the first token can still
+   * meet its target. A prompt that would miss the target even on an idle engine gets the service's maximum.
+   * Milliseconds.
    */
   allowedMs(request: CompletionRequest, row: ServiceRow): number {
     const remainingMs =
