--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -1,4 +1,7 @@
-/** Back ends are ordered by demand and price, made good before others go, and ordered again when an order was lost. */
+/**
+ * Orders of back ends: they follow demand and price, replacements are ready before others are removed, and lost
+ * orders are repeated.
+ */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { labBackend } from '../lab/forwarding-site.js';
@@ -35,32 +38,32 @@
   scaling: RULES,
 };
 
-/** A platform that starts and drains back ends as it is told, and the manager before it. */
-class OrderedSite {
+/** A simulated platform that starts and drains back ends as ordered, and the manager that orders them. */
+class SimulatedPlatform {
   readonly time = new VirtualTime();
   readonly directory = new BackendDirectory(DEFAULT_BACKEND_HEALTH_SETTINGS);
   readonly calls: ServerOrder[] = [];
   readonly manager: CapacityManager;
-  /** What becomes of each order; the next one first. */
-  readonly fates: ('taken' | 'lost' | 'unavailable' | 'late')[] = [];
+  /** Outcomes of the next orders, in sequence; further orders are accepted. */
+  readonly outcomes: ('accepted' | 'lost' | 'unavailable' | 'delayed')[] = [];
   wanted = 0;
   private readonly desired = new Map<string, number>();
   private count = 0;
 
   constructor(
-    ordinaryEach: number,
+    ordinaryPerZone: number,
     private readonly engine?: EngineTraits,
   ) {
     this.manager = new CapacityManager(
       { ...DEFAULT_CAPACITY_MANAGER_SETTINGS, planner: DEFAULT_CAPACITY_PLANNER_SETTINGS },
-      ({ call }) => this.take(call),
+      ({ call }) => this.receiveOrder(call),
     );
-    for (const zone of ZONES) this.setDesired(zone, false, ordinaryEach, 0);
+    for (const zone of ZONES) this.setDesired(zone, false, ordinaryPerZone, 0);
     this.time.runUntil(1);
     this.tick();
   }
 
-  /** Back ends that serve, by zone: ordinary ones and spot ones. */
+  /** Numbers of ready back ends by zone: ordinary ones and spot ones. */
   serving(): number[][] {
     return ZONES.map((zone) => [this.ids(zone, false).length, this.ids(zone, true).length]);
   }
@@ -82,17 +85,17 @@
     this.time.after(TICK_MS, () => this.tick());
   }
 
-  private take(call: ServerOrder): void {
+  private receiveOrder(call: ServerOrder): void {
     this.calls.push(call);
-    const fate = this.fates.shift() ?? 'taken';
-    const give = (result: DutyResult, delayMs: number): void =>
+    const outcome = this.outcomes.shift() ?? 'accepted';
+    const sendResult = (result: DutyResult, delayMs: number): void =>
       this.time.after(delayMs, () => this.manager.receiveResult(call, result, this.time.now()));
-    const carryOut = (): void => this.setDesired(call.zone, call.spot, call.desired, BOOT_MS);
-    if (fate === 'taken') carryOut();
-    if (fate === 'late') this.time.after(5000, carryOut);
-    if (fate === 'taken') give({ kind: 'accepted' }, 4);
-    else if (fate === 'unavailable') give({ kind: 'unavailable' }, 4);
-    else give({ kind: 'noAnswer', reason: 'TimeoutError' }, 1000);
+    const applyOrder = (): void => this.setDesired(call.zone, call.spot, call.desired, BOOT_MS);
+    if (outcome === 'accepted') applyOrder();
+    if (outcome === 'delayed') this.time.after(5000, applyOrder);
+    if (outcome === 'accepted') sendResult({ kind: 'accepted' }, 4);
+    else if (outcome === 'unavailable') sendResult({ kind: 'unavailable' }, 4);
+    else sendResult({ kind: 'noAnswer', reason: 'TimeoutError' }, 1000);
   }
 
   private setDesired(zone: string, spot: boolean, desired: number, bootMs: number): void {
@@ -123,8 +126,8 @@
   }
 }
 
-describe('the plan of capacity', () => {
-  it('keeps the limits of each zone and never depends on the spot servers of one zone alone', () => {
+describe('capacity planner', () => {
+  it('keeps the limits of each zone, and 60% of the back ends when one zone loses its spot ones', () => {
     fc.assert(
       fc.property(
         fc.nat({ max: 60 }),
@@ -146,15 +149,15 @@
   });
 });
 
-describe('orders of capacity', () => {
-  it('ordinary back ends go as spot ones come, and nothing is ordered when all is as planned', () => {
-    const site = new OrderedSite(4);
+describe('capacity manager', () => {
+  it('replaces ordinary back ends by spot ones without a gap, and orders nothing more when done', () => {
+    const site = new SimulatedPlatform(4);
     site.wanted = 12;
-    let fewest = Infinity;
+    let minimum = Infinity;
     for (let at = 100; at <= 12_000; at += 100) {
       site.time.runUntil(at);
-      fewest = Math.min(
-        fewest,
+      minimum = Math.min(
+        minimum,
         site
           .serving()
           .flat()
@@ -166,15 +169,15 @@
       [1, 3],
       [1, 3],
     ]);
-    expect(fewest).to.equal(12);
+    expect(minimum).to.equal(12);
     const { length } = site.calls;
     expect(length).to.be.at.most(9);
     site.time.runUntil(60_000);
     expect(site.calls.length).to.equal(length);
   });
 
-  it('a zone that may have no more lets ordinary ones go first', () => {
-    const site = new OrderedSite(6);
+  it('removes ordinary back ends first in a zone that is at its maximum', () => {
+    const site = new SimulatedPlatform(6);
     site.wanted = 36;
     site.time.runUntil(30_000);
     expect(site.serving()).to.deep.equal([
@@ -184,39 +187,43 @@
     ]);
   });
 
-  it('what is lost, carried out late, not to be had, or taken away is ordered again, with pauses', () => {
-    const fate = fc.constantFrom<'taken' | 'lost' | 'unavailable' | 'late'>(
-      'taken',
+  it('repeats orders that were lost, delayed or unavailable, and replaces withdrawn back ends, with pauses', () => {
+    const outcome = fc.constantFrom<'accepted' | 'lost' | 'unavailable' | 'delayed'>(
+      'accepted',
       'lost',
       'unavailable',
-      'late',
+      'delayed',
     );
     fc.assert(
-      fc.property(fc.array(fate, { maxLength: 12 }), fc.integer({ min: 3, max: 24 }), (fates, wanted) => {
-        const site = new OrderedSite(4);
-        site.fates.push(...fates);
-        site.wanted = 12;
-        site.time.runUntil(6000);
-        site.wanted = wanted;
-        site.time.runUntil(10_000);
-        site.remove('zone-b', true);
-        site.time.runUntil(90_000);
-        const total = site
-          .serving()
-          .flat()
-          .reduce((sum, count) => sum + count, 0);
-        expect(total).to.equal(wanted);
-        // Two kinds in three zones, each at most every second or so while orders fail.
-        expect(site.calls.length).to.be.below(60);
-      }),
+      fc.property(
+        fc.array(outcome, { maxLength: 12 }),
+        fc.integer({ min: 3, max: 24 }),
+        (outcomes, wanted) => {
+          const site = new SimulatedPlatform(4);
+          site.outcomes.push(...outcomes);
+          site.wanted = 12;
+          site.time.runUntil(6000);
+          site.wanted = wanted;
+          site.time.runUntil(10_000);
+          site.remove('zone-b', true);
+          site.time.runUntil(90_000);
+          const total = site
+            .serving()
+            .flat()
+            .reduce((sum, count) => sum + count, 0);
+          expect(total).to.equal(wanted);
+          // Two kinds in three zones, each ordered at most about once a second while orders fail.
+          expect(site.calls.length).to.be.below(60);
+        },
+      ),
       { seed: SEED, numRuns: 100 },
     );
   });
 });
 
-describe('engines that come in place of others', () => {
-  it('let them go only when they have had the time to change their stage', () => {
-    const site = new OrderedSite(4, {
+describe('engines that replace others', () => {
+  it('cause the removal of the others only after the time to change their stage', () => {
+    const site = new SimulatedPlatform(4, {
       slots: 8,
       kvCapacityTokens: 1,
       kvHandleLifetimeMs: 0,
@@ -229,7 +236,7 @@
     expect(site.serving().map(([ordinary]) => ordinary)).to.deep.equal([1, 1, 1]);
   });
 
-  it('are more than those that were there at first, once', () => {
+  it('are counted with the replacement factor for each initial ordinary engine, and only for these', () => {
     const directory = new BackendDirectory(DEFAULT_BACKEND_HEALTH_SETTINGS);
     for (let i = 0; i < 12; i += 1)
       directory.put({ ...labBackend(`e${i}`, `10.0.0.${i}:80`), isSpot: i >= 8 });
@@ -239,7 +246,7 @@
   });
 });
 
-describe('the demand for capacity', () => {
+describe('capacity demand', () => {
   function makeDemand(engines: number): { demand: CapacityDemand; directory: BackendDirectory } {
     const directory = new BackendDirectory(DEFAULT_BACKEND_HEALTH_SETTINGS);
     for (let i = 0; i < engines; i += 1)
@@ -247,34 +254,38 @@
     return { demand: new CapacityDemand(DEFAULT_CAPACITY_DEMAND_SETTINGS), directory };
   }
 
-  function follow(site: ReturnType<typeof makeDemand>, from: number, until: number): number | undefined {
+  function updateDemand(
+    site: ReturnType<typeof makeDemand>,
+    from: number,
+    until: number,
+  ): number | undefined {
     for (let now = from; now <= until; now += TICK_MS)
       site.demand.update(site.directory.ofService('service'), false, now);
     return site.demand.getWanted(RULES, until);
   }
 
-  function load(site: ReturnType<typeof makeDemand>, prompts: number): void {
+  function addPrompts(site: ReturnType<typeof makeDemand>, prompts: number): void {
     const prefills = site.directory.ofService('service').filter(({ record }) => record.stage === 'prefill');
     for (let i = 0; i < prompts; i += 1) prefills[i % prefills.length].addAttempt(`a${i}`, 1000, 0);
   }
 
-  it('is what was there at first, then what runs, at most half as much again as serves', () => {
+  it('starts at the initial back ends, then follows the load, up to 1.5 times the back ends in service', () => {
     const site = makeDemand(12);
-    expect(follow(site, 0, 4000)).to.equal(undefined);
-    expect(follow(site, 4000, 10_000)).to.equal(12);
-    load(site, 8);
-    expect(follow(site, 10_000, 20_000)).to.equal(16);
-    load(site, 100);
-    expect(follow(site, 20_000, 30_000)).to.equal(18);
+    expect(updateDemand(site, 0, 4000)).to.equal(undefined);
+    expect(updateDemand(site, 4000, 10_000)).to.equal(12);
+    addPrompts(site, 8);
+    expect(updateDemand(site, 10_000, 20_000)).to.equal(16);
+    addPrompts(site, 100);
+    expect(updateDemand(site, 20_000, 30_000)).to.equal(18);
     expect(site.demand.getWanted(undefined, 30_000)).to.equal(undefined);
   });
 
-  it('is remembered when what ran is over', () => {
+  it('decays slowly after the load has ended', () => {
     const site = makeDemand(12);
-    load(site, 8);
-    follow(site, 0, 20_000);
+    addPrompts(site, 8);
+    updateDemand(site, 0, 20_000);
     for (const view of site.directory.all()) for (let i = 0; i < 8; i += 1) view.removeAttempt(`a${i}`);
-    expect(follow(site, 20_000, 40_000)).to.equal(14);
-    expect(follow(site, 40_000, 400_000)).to.equal(1);
+    expect(updateDemand(site, 20_000, 40_000)).to.equal(14);
+    expect(updateDemand(site, 40_000, 400_000)).to.equal(1);
   });
 });
--- a/test/policies.test.ts
+++ b/test/policies.test.ts
@@ -1,4 +1,4 @@
-/** Policies without sockets: fair queue, picker, allocation, smoothed rates, lease. */
+/** Unit tests of policies that use no sockets: fair queue, picker, allocation, lease, retry budget. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { capabilityOf, DEFAULT_ENGINE_MODEL_SETTINGS } from '../lab/engine-model-settings.js';
@@ -42,7 +42,7 @@
 }
 
 describe('admission queue', () => {
-  it('serves better classes first and services of a class by weight', () => {
+  it('serves higher classes first and the services of a class by weight', () => {
     const queue = new AdmissionQueue();
     for (let index = 0; index < 40; index += 1) {
       queue.push({ id: `light${index}`, service: 'light', priority: 5, weight: 1, cost: 100 });
@@ -59,7 +59,7 @@
     expect(order.filter((service) => service === 'heavy')).to.have.length(15);
   });
 
-  it('loses nothing and keeps its cost, whatever is pushed and removed', () => {
+  it('loses no item and keeps its cost correct for any sequence of items', () => {
     const item = fc.record({
       service: fc.constantFrom('a', 'b', 'c'),
       priority: fc.nat({ max: 2 }),
@@ -87,7 +87,7 @@
 describe('engine picker', () => {
   function view(id: string, role: EngineRole, streams: number, waitingPrefillTokens = 0): EngineView {
     const engine = new EngineView(id, id, 'z', 'c', 5000);
-    const load: EngineReport = {
+    const report: EngineReport = {
       assignment: assignment(role),
       phase: 'active',
       streams,
@@ -99,7 +99,7 @@
       epoch: 0,
       sequence: 0,
     };
-    engine.applyReport(load, 0);
+    engine.applyReport(report, 0);
     return engine;
   }
   const request: PickRequest = {
@@ -113,14 +113,14 @@
   };
   const picker = new EnginePicker(DEFAULT_PICKER_SETTINGS, 'z', new SeededRandom(1));
 
-  it('takes the least loaded engine, and says busy or none truthfully', () => {
+  it('picks the least loaded engine, and tells busy from missing engines', () => {
     const picked = picker.pick(request, [view('a', 'mixed', 10, 9000), view('b', 'mixed', 10, 0)], 0);
     expect(picked.kind === 'chosen' && picked.choice.generate.id).to.equal('b');
     expect(picker.pick(request, [view('a', 'mixed', 64)], 0).kind).to.equal('busy');
     expect(picker.pick({ ...request, version: 2 }, [view('a', 'mixed', 0)], 0).kind).to.equal('none');
   });
 
-  it('splits a long prompt to a prefill engine only where that is expected to be sooner', () => {
+  it('sends a long prompt to a prefill engine only where its first token is expected earlier', () => {
     const idle = [view('p', 'prefill', 0), view('d', 'decode', 0), view('m', 'mixed', 0, 20_000)];
     const split = picker.pick(request, idle, 0);
     expect(split.kind === 'chosen' && split.choice.prefill?.id).to.equal('p');
@@ -129,7 +129,7 @@
     expect(direct.kind === 'chosen' && direct.choice.prefill).to.equal(undefined);
   });
 
-  it('never picks an engine that drains, leaves or was ejected', () => {
+  it('never picks an engine that is draining, leaving or ejected', () => {
     const draining = view('a', 'mixed', 0);
     draining.markPhase('draining', 1);
     const leaving = view('b', 'mixed', 0);
@@ -148,7 +148,7 @@
 });
 
 describe('allocation policy', () => {
-  it('changes nothing when the gain does not pay for the change', () => {
+  it('changes nothing when the gain is below the cost of the change', () => {
     expect(
       planNextChange(
         allocatable(['mixed', 'mixed', 'mixed', 'mixed']),
@@ -158,32 +158,36 @@
     ).to.equal(undefined);
   });
 
-  it('moves engines out of a role that idles while the other is overloaded', () => {
+  it('moves engines from an idle role to an overloaded one', () => {
     const change = planNextChange(
       allocatable(['prefill', 'prefill', 'prefill', 'decode']),
       [demand(2000, 9000)],
       DEFAULT_ALLOCATION_SETTINGS,
     );
     expect(change?.assignment.role).to.be.oneOf(['decode', 'mixed']);
-    const dearer = { ...DEFAULT_ALLOCATION_SETTINGS, roleChangeCostSeconds: 10_000 };
+    const costlierChange = { ...DEFAULT_ALLOCATION_SETTINGS, roleChangeCostSeconds: 10_000 };
     expect(
-      planNextChange(allocatable(['prefill', 'prefill', 'prefill', 'decode']), [demand(2000, 9000)], dearer),
+      planNextChange(
+        allocatable(['prefill', 'prefill', 'prefill', 'decode']),
+        [demand(2000, 9000)],
+        costlierChange,
+      ),
     ).to.equal(undefined);
   });
 
-  it('gives a new version an engine, and never takes the last of another', () => {
+  it('gives a new version an engine, and never takes the last one of another', () => {
     const engines = allocatable(['mixed', 'mixed']);
     const change = planNextChange(engines, [demand(10, 10), demand(10, 10, 2)], DEFAULT_ALLOCATION_SETTINGS);
     expect(change?.assignment.version).to.equal(2);
-    const alone = planNextChange(
+    const withoutDonor = planNextChange(
       allocatable(['mixed']),
       [demand(10, 10), demand(10, 10, 2)],
       DEFAULT_ALLOCATION_SETTINGS,
     );
-    expect(alone).to.equal(undefined);
+    expect(withoutDonor).to.equal(undefined);
   });
 
-  it('keeps the floor in any group, for any demand and cost', () => {
+  it('keeps the minimum capacity in any group, for any demand and cost', () => {
     const roles = fc.array(fc.constantFrom<EngineRole>('prefill', 'decode', 'mixed'), {
       minLength: 2,
       maxLength: 8,
@@ -194,8 +198,8 @@
         fc.nat({ max: 100_000 }),
         fc.nat({ max: 20_000 }),
         fc.nat({ max: 50 }),
-        (present, prefill, decode, cost) => {
-          const engines = allocatable(present);
+        (currentRoles, prefill, decode, cost) => {
+          const engines = allocatable(currentRoles);
           const change = planNextChange(engines, [demand(prefill, decode)], {
             ...DEFAULT_ALLOCATION_SETTINGS,
             roleChangeCostSeconds: cost,
@@ -212,7 +216,7 @@
     );
   });
 
-  it('more engines never carry less', () => {
+  it('never serves less with more engines', () => {
     const count = fc.nat({ max: 6 });
     fc.assert(
       fc.property(count, count, count, (prefill, decode, mixed) => {
@@ -228,29 +232,29 @@
 });
 
 describe('cell lease', () => {
-  class Contender {
+  class LeaseCandidate {
     readonly log: string[] = [];
     readonly lease: CellLease;
-    lossy = false;
+    losesAnswers = false;
     constructor(
       readonly name: string,
       private readonly platform: PlatformModel,
     ) {
-      this.lease = new CellLease('cell', name, DEFAULT_LEASE_SETTINGS, (effect) => this.perform(effect), 0);
+      this.lease = new CellLease('cell', name, DEFAULT_LEASE_SETTINGS, (effect) => this.runEffect(effect), 0);
     }
     private now = 0;
     tick(now: number): void {
       this.now = now;
       this.lease.tick(now, true);
     }
-    private perform(effect: LeaseEffect): void {
+    private runEffect(effect: LeaseEffect): void {
       if (effect.kind !== 'leaseTable') {
         this.log.push(effect.kind);
         return;
       }
       const result = this.platform.table(effect.request, this.now);
       const { now } = this;
-      const lost = this.lossy || !result;
+      const lost = this.losesAnswers || !result;
       queueMicrotask(() =>
         this.lease.receiveTableResult(lost ? { kind: 'noAnswer', reason: 'lost' } : result, now),
       );
@@ -258,10 +262,10 @@
   }
   const step = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-  it('is held by one at a time, is taken over after it ran out, and a lapsed epoch never comes back', async () => {
+  it('has one holder at a time, is taken over after its expiry, and an expired epoch never returns', async () => {
     const platform = new PlatformModel();
-    const first = new Contender('first', platform);
-    const second = new Contender('second', platform);
+    const first = new LeaseCandidate('first', platform);
+    const second = new LeaseCandidate('second', platform);
     for (let now = 0; now <= 8000; now += 100) {
       first.tick(now);
       second.tick(now);
@@ -278,16 +282,16 @@
     expect(first.lease.current(24_000)).to.equal(undefined);
   });
 
-  it('resolves a lost answer by asking again under the same write id, and counts from the first sending', async () => {
+  it('resolves a lost answer by a retry with the same write id, and is valid from the first request', async () => {
     const platform = new PlatformModel();
-    const holder = new Contender('holder', platform);
+    const holder = new LeaseCandidate('holder', platform);
     for (let now = 0; now <= 500; now += 100) {
       holder.tick(now);
       await step();
-      holder.lossy = holder.lease.lastSeen() === undefined && now >= 0;
+      holder.losesAnswers = holder.lease.lastSeen() === undefined && now >= 0;
     }
     expect(holder.lease.current(500)).to.equal(undefined);
-    holder.lossy = false;
+    holder.losesAnswers = false;
     for (let now = 600; now <= 3000; now += 100) {
       holder.tick(now);
       await step();
@@ -298,7 +302,7 @@
 });
 
 describe('retry budget', () => {
-  it('bounds retries to its share of requests', () => {
+  it('limits retries to its share of requests', () => {
     const budget = new RetryBudget(0.2);
     let retries = 0;
     for (let request = 0; request < 1000; request += 1) {
@@ -308,17 +312,17 @@
     expect(retries).to.be.within(190, 215);
   });
 
-  it('gives a process that has just started hardly more than its requests earn', () => {
+  it('allows a new process at most one retry more than its requests earn', () => {
     let retries = 0;
-    const lives = 20;
+    const processes = 20;
     const requests = 25;
-    for (let life = 0; life < lives; life += 1) {
+    for (let index = 0; index < processes; index += 1) {
       const budget = new RetryBudget(0.2);
       for (let request = 0; request < requests; request += 1) {
         budget.addRequest();
         if (budget.tryRetry()) retries += 1;
       }
     }
-    expect(retries).to.be.at.most(lives * (requests * 0.2 + 1));
+    expect(retries).to.be.at.most(processes * (requests * 0.2 + 1));
   });
 });
--- a/test/signal-hunt.test.ts
+++ b/test/signal-hunt.test.ts
@@ -1,8 +1,8 @@
 /**
- * Signals drawn by a seed, in series and overlapping, to the daemons of the completions interface while callers go on
- * using the connections that they keep: planned stops, changes of the settings, and moments in which a daemon
- * stands still. No request goes without an answer, and none is cut. `SIGNAL_HUNT_SEEDS=50 npm run unit -- --grep
- * "drawn signals"` plays more seeds, `SIGNAL_HUNT_FROM` says from which on.
+ * Sends random signals from a seed, sequential and overlapping, to the daemons of the completions interface while
+ * callers keep using their persistent connections: planned stops, reloads of the settings, and process pauses. Every
+ * request must get an answer, and no answer may be cut off. `SIGNAL_HUNT_SEEDS=50 npm run unit -- --grep "drawn
+ * signals"` runs more seeds, and `SIGNAL_HUNT_FROM` sets the first one.
  */
 import { expect } from 'chai';
 import { once } from 'node:events';
@@ -15,15 +15,15 @@
 const FIRST_SEED = Number(process.env.SIGNAL_HUNT_FROM ?? 5200);
 const SEEDS = Number(process.env.SIGNAL_HUNT_SEEDS ?? 1);
 const DAEMONS = 4;
-/** Daemons that serve at any time: callers pass over one that refuses connections. */
-const LEFT_SERVING = 2;
+/** Minimum number of daemons in service at any time; callers skip one that refuses connections. */
+const MINIMUM_SERVING = 2;
 const SECONDS = 22;
-/** Mean time between two signals to one daemon. Milliseconds. */
+/** Mean interval between signals to one daemon. Milliseconds. */
 const SIGNAL_INTERVAL_MS = 900;
-/** A daemon stands still for so long at most: less than its peers take to declare it lost. Milliseconds. */
-const LONGEST_PAUSE_MS = 900;
+/** Maximum process pause, shorter than the time after which peers declare a daemon lost. Milliseconds. */
+const MAXIMUM_PAUSE_MS = 900;
 
-/** Short and long answers, in bursts, so that connections rest between them for up to the time they are kept. */
+/** Short and long answers in bursts, so that connections are idle in between, up to their maximum idle time. */
 function makePhases(random: SeededRandom): LoadPhase[] {
   const targets = { firstTokenTargetMs: 30_000, betweenTokensTargetMs: 1000 };
   const eligibility = { service: 'eligibility', promptTokens: 100, ...targets };
@@ -38,7 +38,7 @@
   }));
 }
 
-/** One site under drawn signals. */
+/** A site whose daemons receive random signals. */
 class SignalledSite {
   readonly site = new LocalSite(siteProfile('trust-tt-north'), {
     engines: 4,
@@ -46,48 +46,48 @@
     applications: 2,
   });
   /** Exit codes or signals of stopped daemons. */
-  readonly ends: (number | string | null)[] = [];
-  private stopping = 0;
-  private over = false;
+  readonly exits: (number | string | null)[] = [];
+  private stoppingCount = 0;
+  private finished = false;
 
   constructor(private readonly random: SeededRandom) {}
 
   /** Sends signals to one daemon until `finish`. */
-  async disturb(index: number): Promise<void> {
+  async sendSignals(index: number): Promise<void> {
     for (;;) {
       await delay(exponential(this.random, SIGNAL_INTERVAL_MS));
-      if (this.over) return;
+      if (this.finished) return;
       const kind = this.random.below(4);
       if (kind === 0) this.site.daemons[index].child.kill('SIGHUP');
       else if (kind === 1) await this.pause(index);
-      else if (kind === 2 && this.stopping < DAEMONS - LEFT_SERVING) await this.restart(index);
+      else if (kind === 2 && this.stoppingCount < DAEMONS - MINIMUM_SERVING) await this.restart(index);
     }
   }
 
   finish(): void {
-    this.over = true;
+    this.finished = true;
   }
 
   private async pause(index: number): Promise<void> {
     const { child } = this.site.daemons[index];
     child.kill('SIGSTOP');
-    await delay(this.random.below(LONGEST_PAUSE_MS));
+    await delay(this.random.below(MAXIMUM_PAUSE_MS));
     child.kill('SIGCONT');
   }
 
-  /** A planned stop, disturbed by further signals, and a new start. */
+  /** A planned stop, interrupted by further signals, and a restart. */
   private async restart(index: number): Promise<void> {
-    this.stopping += 1;
+    this.stoppingCount += 1;
     const { child } = this.site.daemons[index];
-    const ended = once(child, 'exit') as Promise<[number | null, string | null]>;
+    const exited = once(child, 'exit') as Promise<[number | null, string | null]>;
     child.kill('SIGTERM');
     await delay(this.random.below(2500));
     if (this.random.below(2) === 0) await this.pause(index);
     child.kill(this.random.below(2) === 0 ? 'SIGHUP' : 'SIGTERM');
-    const [code, signal] = await ended;
-    this.ends.push(signal ?? code);
+    const [code, signal] = await exited;
+    this.exits.push(signal ?? code);
     await this.site.waitReady([this.site.restartDaemon(index)]);
-    this.stopping -= 1;
+    this.stoppingCount -= 1;
   }
 }
 
@@ -104,10 +104,10 @@
       await signalled.site.start();
       const load = new LoadGenerator(signalled.site.callers(), new SeededRandom(seed + 1));
       const running = load.run(makePhases(new SeededRandom(seed + 2)));
-      const disturbed = signalled.site.daemons.map((_daemon, index) => signalled.disturb(index));
+      const signalling = signalled.site.daemons.map((_daemon, index) => signalled.sendSignals(index));
       await running;
       signalled.finish();
-      await Promise.all(disturbed);
+      await Promise.all(signalling);
       const results = [...load.results.values()];
       const count = (key: 'unanswered' | 'broken' | 'wrong' | 'sent' | 'whole'): number =>
         results.reduce((sum, result) => sum + result[key], 0);
@@ -117,9 +117,9 @@
         wrong: count('wrong'),
       };
       expect(failures).to.deep.equal({ unanswered: 0, broken: 0, wrong: 0 });
-      expect(new Set(signalled.ends)).to.deep.equal(new Set([0]));
-      const endedByThemselves = signalled.site.daemons.map(({ child }) => child.signalCode ?? child.exitCode);
-      expect(new Set(endedByThemselves)).to.deep.equal(new Set([null]));
+      expect(new Set(signalled.exits)).to.deep.equal(new Set([0]));
+      const unexpectedExits = signalled.site.daemons.map(({ child }) => child.signalCode ?? child.exitCode);
+      expect(new Set(unexpectedExits)).to.deep.equal(new Set([null]));
       expect(count('whole')).to.be.greaterThan(count('sent') / 2);
     });
 });
--- a/test/stage-regions.test.ts
+++ b/test/stage-regions.test.ts
@@ -1,4 +1,4 @@
-/** Stages of a service whose engines stand in several regions. */
+/** Stages of a service with engines in several regions. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import {
@@ -30,7 +30,7 @@
 }
 
 describe('stages by region', () => {
-  it('a single region is planned as a fleet without regions, whatever its load', () => {
+  it('a single region is planned like a fleet without regions, for any load', () => {
     const count = fc.integer({ min: 0, max: 200 });
     fc.assert(
       fc.property(
@@ -48,38 +48,38 @@
     );
   });
 
-  it('each region is brought to its shares', () => {
+  it('each region reaches its shares', () => {
     expect(plan({ a: demand(9, 4, 10), b: demand(12, 1, 10), c: demand(9, 4, 10) })).to.deep.equal([
       'b toDecode',
     ]);
   });
 
-  it('a region without engines of a stage gets one, also when the others are full', () => {
+  it('a region without engines of a stage gets one, even when the other engines are full', () => {
     expect(plan({ a: demand(0, 4, 48), b: demand(9, 4, 48) })).to.include('a toPrefill');
     expect(plan({ a: demand(4, 0, 0), b: demand(9, 4, 10) })).to.include('a toDecode');
   });
 
-  it('a region that is full changes nothing while another has room for what it is short of', () => {
+  it('a full region changes nothing while another has room for its excess streams', () => {
     expect(plan({ a: demand(9, 4, 45), b: demand(9, 4, 10) })).to.deep.equal([]);
     expect(plan({ a: demand(9, 4, 45), b: demand(9, 4, 28) })).to.deep.equal(['a toDecode']);
   });
 
-  it('a region gives no engine back that another is short of', () => {
+  it('a region returns no engine to prefill whose slots another region needs', () => {
     expect(plan({ a: demand(8, 5, 20), b: demand(9, 4, 20) })).to.deep.equal(['a toPrefill']);
     expect(plan({ a: demand(8, 5, 20), b: demand(9, 4, 48) })).to.deep.equal([]);
   });
 
-  it('others make room for a region that has no engine left to change', () => {
+  it('other regions add capacity for a region that has no engine left to change', () => {
     expect(plan({ a: demand(1, 2, 60), b: demand(9, 4, 20) })).to.deep.equal(['b toDecode']);
   });
 
-  it('the region that is fuller comes first, and what is missing before what is spare', () => {
+  it('the region with the higher load comes first, and added decode engines before returned ones', () => {
     const full = { a: demand(9, 4, 42), b: demand(9, 4, 47), c: demand(5, 8, 90) };
     expect(plan(full)).to.deep.equal(['b toDecode', 'c toDecode', 'a toDecode']);
     expect(plan({ a: demand(8, 5, 20), b: demand(13, 0, 0) })).to.deep.equal(['b toDecode', 'a toPrefill']);
   });
 
-  it('settles for any regions and any steady load, and each keeps both stages', () => {
+  it('converges for any regions and any constant load, and each region keeps both stages', () => {
     const region = fc.record({
       engines: fc.integer({ min: 2, max: 40 }),
       decode: fc.integer({ min: 0, max: 40 }),
@@ -112,7 +112,7 @@
     );
   });
 
-  it('engines of a region that has only one count to the largest region', () => {
+  it('engines of a region with only one are assigned to the largest region', () => {
     const groups = groupByRegion(['a1', 'b1', 'b2', 'b3', 'c1', 'c2', 'd1'], ([region]) => region);
     expect([...groups].map(([region, items]) => `${region}: ${items.join(' ')}`)).to.deep.equal([
       'b: b1 b2 b3 a1 d1',
@@ -125,7 +125,7 @@
   });
 });
 
-/** Engines by their zones and stages: `north-1 prefill` is the first of the north, in zone `north-1`. */
+/** Creates engines from zones and stages; zone `north-1` is in region `north`. */
 function makeViews(places: readonly (readonly [zone: string, stage: EngineStage])[]): BackendView[] {
   return places.map(
     ([zone, stage], index) =>
@@ -137,21 +137,21 @@
   );
 }
 
-/** The engines that a coordinator with the lease asks for their state, to change them. */
-function askedOf(views: readonly BackendView[], loaded = true): string[] {
+/** The ids of the engines whose state a coordinator with the lease requests in order to change them. */
+function findRequestedEngines(views: readonly BackendView[], loaded = true): string[] {
   const asked: string[] = [];
-  const answers: StageEffect[] = [];
+  const effects: StageEffect[] = [];
   const coordinator = new StageCoordinator(
     'service',
     'daemon-1',
     FLEET_SETTINGS.stages,
-    (effect) => answers.push(effect),
+    (effect) => effects.push(effect),
     0,
   );
   const regionOf = (zone: string) => zone.slice(0, zone.indexOf('-'));
   for (let now = 0; now < 3000; now += 10) {
     coordinator.tick({ views, slots: SLOTS, loaded, shouldLead: true, regionOf }, now);
-    for (const effect of answers.splice(0)) {
+    for (const effect of effects.splice(0)) {
       if (effect.kind === 'askEngine') asked.push(effect.backend.id);
       else if (effect.kind !== 'leaseTable') continue;
       else if (effect.request.kind === 'read')
@@ -168,34 +168,34 @@
     index < 4 ? 'prefill' : 'decode',
   ]);
 
-  it('a region whose prefill engines are all lost gets one of its own engines back to prefill', () => {
+  it('a region that has lost all prefill engines changes one of its own engines to prefill', () => {
     const south: [string, EngineStage][] = [
       ['south-1', 'decode'],
       ['south-2', 'decode'],
     ];
-    const asked = askedOf(makeViews([...north, ...south]));
+    const asked = findRequestedEngines(makeViews([...north, ...south]));
     expect(asked).to.have.length(1);
     expect(asked[0]).to.match(/^south-/);
   });
 
-  it('a region that is lost whole changes nothing in the others', () => {
-    expect(askedOf(makeViews(north))).to.deep.equal([]);
+  it('the loss of a whole region changes nothing in the others', () => {
+    expect(findRequestedEngines(makeViews(north))).to.deep.equal([]);
   });
 
-  it('the slower engine is the one that generates, the faster the one that computes prompts', () => {
+  it('the slowest engine is moved to decode, the fastest to prefill', () => {
     const views = makeViews([
       ...Array<[string, EngineStage]>(5).fill(['north-1', 'prefill']),
       ['north-1', 'decode'],
     ]);
     for (const [index, ratio] of [1, 1, 1.4, 1, 0.8, 1].entries())
       views[index].pace.applyEvidence(ratio * 100, 100);
-    expect(askedOf(views)[0]).to.equal('north-1/2');
+    expect(findRequestedEngines(views)[0]).to.equal('north-1/2');
     const spare = makeViews([
       ['north-1', 'prefill'],
       ...Array<[string, EngineStage]>(5).fill(['north-1', 'decode']),
     ]);
     for (const [index, ratio] of [1, 1, 1.4, 1, 0.8, 1].entries())
       spare[index].pace.applyEvidence(ratio * 100, 100);
-    expect(askedOf(spare)[0]).to.equal('north-1/4');
+    expect(findRequestedEngines(spare)[0]).to.equal('north-1/4');
   });
 });
--- a/test/stages.test.ts
+++ b/test/stages.test.ts
@@ -1,4 +1,4 @@
-/** Changes of engines' stages: under the lease only, few at a time, with the orders expected. */
+/** Stage changes of engines: only under the lease, a few at a time, with the expected number of orders. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
@@ -14,7 +14,7 @@
 import type { LeaseValue } from '../src/lease/cell-lease.js';
 import { rankByRendezvous } from '../src/shared/rendezvous-hash.js';
 
-function views(stages: readonly EngineStage[]): BackendView[] {
+function makeViews(stages: readonly EngineStage[]): BackendView[] {
   return stages.map(
     (stage, index) =>
       new BackendView(
@@ -25,8 +25,8 @@
   );
 }
 
-/** A coordinator with a table that answers at once. */
-class Coordination {
+/** A coordinator with a table that answers immediately. */
+class CoordinatorSite {
   readonly effects: StageEffect[] = [];
   readonly coordinator: StageCoordinator;
   row: { revision: number; value: LeaseValue } | undefined;
@@ -48,23 +48,23 @@
     this.coordinator.tick({ views: this.engines, slots: 32, loaded: true, shouldLead }, now);
     for (const effect of this.effects.splice(0)) {
       if (effect.kind === 'leaseTable') this.answer(effect.request, now);
-      else this.done.push(effect);
+      else this.handled.push(effect);
     }
   }
 
-  readonly done: StageEffect[] = [];
+  readonly handled: StageEffect[] = [];
 
   orders(): StageEffect[] {
-    return this.done.filter((effect) => effect.kind === 'orderEngine');
+    return this.handled.filter((effect) => effect.kind === 'orderEngine');
   }
 
   asked(): StageEffect[] {
-    return this.done.filter((effect) => effect.kind === 'askEngine');
+    return this.handled.filter((effect) => effect.kind === 'askEngine');
   }
 
-  status(backendId: string, orders: number, now: number): void {
+  receiveStatus(backendId: string, orders: number, now: number): void {
     this.coordinator.receiveStatus(backendId, { stage: 'decode', changing: false, orders }, now);
-    this.done.push(...this.effects.splice(0));
+    this.handled.push(...this.effects.splice(0));
   }
 
   private answer(request: Extract<StageEffect, { kind: 'leaseTable' }>['request'], now: number): void {
@@ -82,8 +82,8 @@
 const FAR_FROM_PLAN: EngineStage[] = ['prefill', 'prefill', 'prefill', 'prefill', 'prefill', 'decode'];
 
 describe('stage planner', () => {
-  it('goes to the base share, adds decode engines while streams fill them, and comes back', () => {
-    const plan = (prefillEngines: number, decodeEngines: number, streams: number, prompts = 0): string =>
+  it('reaches the base share, adds decode engines while streams fill them, and returns to the base share', () => {
+    const getStep = (prefillEngines: number, decodeEngines: number, streams: number, prompts = 0): string =>
       planStage(DEFAULT_STAGE_PLANNER_SETTINGS, {
         prefillEngines,
         decodeEngines,
@@ -91,21 +91,21 @@
         prompts,
         streams,
       });
-    expect(plan(9, 1, 0)).to.equal('toDecode');
-    expect(plan(7, 3, 20)).to.equal('none');
-    expect(plan(7, 3, 80)).to.equal('toDecode');
-    expect(plan(6, 4, 60)).to.equal('none');
-    expect(plan(6, 4, 57)).to.equal('toPrefill');
-    expect(plan(1, 1, 10)).to.equal('none');
-    // Plenty of both: the shares alone change nothing, work does.
-    expect(plan(150, 150, 10)).to.equal('none');
-    expect(plan(280, 70, 10)).to.equal('none');
-    expect(plan(150, 150, 10, 80)).to.equal('toPrefill');
-    expect(plan(280, 70, 1900)).to.equal('toDecode');
-    expect(plan(290, 10, 10)).to.equal('toDecode');
+    expect(getStep(9, 1, 0)).to.equal('toDecode');
+    expect(getStep(7, 3, 20)).to.equal('none');
+    expect(getStep(7, 3, 80)).to.equal('toDecode');
+    expect(getStep(6, 4, 60)).to.equal('none');
+    expect(getStep(6, 4, 57)).to.equal('toPrefill');
+    expect(getStep(1, 1, 10)).to.equal('none');
+    // Ample engines in both stages: the shares alone cause no change, but load does.
+    expect(getStep(150, 150, 10)).to.equal('none');
+    expect(getStep(280, 70, 10)).to.equal('none');
+    expect(getStep(150, 150, 10, 80)).to.equal('toPrefill');
+    expect(getStep(280, 70, 1900)).to.equal('toDecode');
+    expect(getStep(290, 10, 10)).to.equal('toDecode');
   });
 
-  it('settles for any number of engines and any steady load, and keeps the floors', () => {
+  it('converges for any number of engines and any constant load, and keeps the minimums', () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 3, max: 60 }),
@@ -131,7 +131,7 @@
 });
 
 describe('stages of several services', () => {
-  it('each service of model engines gets a coordinator that asks for its lease', () => {
+  it('each service of model engines gets a coordinator that requests its lease', () => {
     const fleet = new ForwardingFleet(9, 1);
     const configuration = labConfiguration(1, [labRoute({})]);
     const [service] = configuration.services;
@@ -149,13 +149,13 @@
 });
 
 /**
- * Only the first daemon in rank wanted the lease of a service. While the store refused just that one, all others
- * were served by it and none changed a stage: prompts waited for engines that a change would have given them, for as
- * long as the store refused it. What showed it: four daemons, 97 calls by the first, none by the others.
+ * Guards against a service without stage changes while the store refuses only the first daemon in rank. Only that
+ * daemon used to request the service's lease, so no other changed a stage and prompts waited for engines until the
+ * store accepted it again. Seen with four daemons: 97 calls by the first, none by the others.
  */
 describe('a daemon that should hold the lease and cannot reach the store', () => {
   const SERVICE = 'service';
-  /** Two patiences, a lease that runs out, and the wait of a new holder. Milliseconds. */
+  /** Two standby delays, the expiry of a lease, and the takeover wait of a new holder. Milliseconds. */
   const STANDBY_BOUND_MS = 10_000;
 
   function startFleet(): ForwardingFleet {
@@ -172,38 +172,38 @@
     return fleet;
   }
 
-  function rank(fleet: ForwardingFleet): FleetNode[] {
+  function rankNodes(fleet: ForwardingFleet): FleetNode[] {
     const ids = fleet.nodes.map((node) => node.id);
     const ranked = rankByRendezvous(SERVICE, ids, ids.length);
     return ranked.map((id) => fleet.nodes.find((node) => node.id === id) as FleetNode);
   }
 
   for (const refused of [1, 2])
-    it(`is stood in for by the next in rank when the first ${refused} cannot`, () => {
+    it(`is replaced by the next in rank when the first ${refused} cannot`, () => {
       const fleet = startFleet();
-      const ranked = rank(fleet);
+      const ranked = rankNodes(fleet);
       ranked.slice(0, refused).forEach((node) => (node.access = 'refuses'));
       fleet.time.runUntil(2000 + STANDBY_BOUND_MS);
       expect(fleet.enginesAsked.map(({ node }) => node.id)).to.include(ranked[refused].id);
     });
 
-  it('keeps the lease to itself otherwise', () => {
+  it('is the only one to hold the lease otherwise', () => {
     const fleet = startFleet();
-    const [first] = rank(fleet);
+    const [first] = rankNodes(fleet);
     fleet.time.runUntil(30_000);
     expect(new Set(fleet.enginesAsked.map(({ node }) => node.id))).to.deep.equal(new Set([first.id]));
   });
 });
 
 describe('stage coordinator', () => {
-  it('orders only under the lease, one engine at a time, with the count of orders that the engine told', () => {
-    const site = new Coordination(views(FAR_FROM_PLAN));
+  it('orders only under the lease, one engine at a time, with the number of orders that the engine reported', () => {
+    const site = new CoordinatorSite(makeViews(FAR_FROM_PLAN));
     site.tick(0, false);
     expect(site.asked()).to.have.length(0);
     for (let now = 10; now < 5000; now += 10) site.tick(now);
     expect(site.asked()).to.have.length(1);
     const [asked] = site.asked();
-    if (asked.kind !== 'askEngine') throw new Error('not asked');
+    if (asked.kind !== 'askEngine') throw new Error('no engine state was requested');
     site.coordinator.receiveStatus(asked.backend.id, { stage: 'prefill', changing: false, orders: 3 }, 5000);
     site.tick(5000);
     const [order] = site.orders();
@@ -214,15 +214,15 @@
     expect(site.asked()).to.have.length(1);
   });
 
-  it('a large service changes a tenth of its engines at a time under load, and never more', () => {
+  it('changes up to a tenth of the engines of a large service at the same time under load, and no more', () => {
     const stages = Array.from({ length: 55 }, (_, i): EngineStage => (i < 19 ? 'prefill' : 'decode'));
-    const coordination = new Coordination(views(stages));
-    let most = 0;
+    const coordination = new CoordinatorSite(makeViews(stages));
+    let maximum = 0;
     const orderedAt = new Map<number, number>();
     for (let now = 0; now <= 30_000; now += 40) {
       coordination.tick(now);
-      for (const effect of coordination.done.splice(0)) {
-        if (effect.kind === 'askEngine') coordination.status(effect.backend.id, 0, now);
+      for (const effect of coordination.handled.splice(0)) {
+        if (effect.kind === 'askEngine') coordination.receiveStatus(effect.backend.id, 0, now);
         if (effect.kind === 'orderEngine') orderedAt.set(Number(effect.order.backend.id.slice(1)), now);
       }
       for (const [i, at] of orderedAt) {
@@ -231,32 +231,32 @@
         const view = coordination.engines[i];
         view.record = { ...view.record, stage: 'prefill' };
       }
-      most = Math.max(most, orderedAt.size);
+      maximum = Math.max(maximum, orderedAt.size);
     }
-    expect(most).to.be.within(2, 5);
+    expect(maximum).to.be.within(2, 5);
     const decodes = coordination.engines.filter((view) => view.record.stage === 'decode').length;
     expect(decodes).to.equal(17);
   });
 
-  it('a daemon that takes the lease over waits before its first order', () => {
-    const site = new Coordination(views(FAR_FROM_PLAN), 'daemon-2');
+  it('waits before its first order after it has taken over the lease', () => {
+    const site = new CoordinatorSite(makeViews(FAR_FROM_PLAN), 'daemon-2');
     site.row = { revision: 4, value: { holder: '', epoch: 7, durationMs: 6000 } };
     let askedAt = Infinity;
     for (let now = 10; now < 12_000 && askedAt === Infinity; now += 10) {
       site.tick(now);
       if (site.asked().length > 0) askedAt = now;
     }
-    const acquired = site.done.find((effect) => effect.kind === 'leaseAcquired');
+    const acquired = site.handled.find((effect) => effect.kind === 'leaseAcquired');
     expect(acquired).to.include({ epoch: 8 });
     expect(askedAt).to.be.within(3000, 7000);
   });
 
-  it('an answer that comes after the lease ran out gives no order', () => {
-    const site = new Coordination(views(FAR_FROM_PLAN));
+  it('sends no order for an answer that arrives after the lease has expired', () => {
+    const site = new CoordinatorSite(makeViews(FAR_FROM_PLAN));
     for (let now = 10; now < 3000; now += 10) site.tick(now);
     const [asked] = site.asked();
-    if (asked.kind !== 'askEngine') throw new Error('not asked');
-    site.status(asked.backend.id, 0, 60_000);
+    if (asked.kind !== 'askEngine') throw new Error('no engine state was requested');
+    site.receiveStatus(asked.backend.id, 0, 60_000);
     expect(site.orders()).to.have.length(0);
   });
 });
