--- a/src/allocation/stage-coordinator.ts
+++ b/src/allocation/stage-coordinator.ts
@@ -55,10 +55,7 @@
   readonly loaded: boolean;
   /** Whether this daemon is a candidate for the lease. */
   readonly shouldLead: boolean;
-  /**
-   * A change must have been due for this duration before this daemon takes the lease. Milliseconds; default
-   * 0.
-   */
+  /** Time for which a change must be due before this daemon takes the lease. Milliseconds; default 0. */
   readonly standbyDelayMs?: number;
   /** Maps a zone to its region; omitted with a single region. */
   readonly regionOf?: (zone: string) => string;
--- a/src/allocation/stage-planner.ts
+++ b/src/allocation/stage-planner.ts
@@ -72,9 +72,9 @@
 }
 
 /**
- * Whether both stages have ample engines, regardless of their shares. With 300 engines and 30 daemons, a
- * simulated day scored -0.10 of the achievable value when all engines were moved to reach the shares, because
- * of the cost of the orders, and 0.43 when they were not (one run each).
+ * Whether both stages have ample engines, regardless of their shares. With 300 engines and 30 daemons, a day
+ * earned -0.10 of the achievable value when engines were changed to reach the shares, because of the cost of
+ * the orders, and 0.43 when they were not (one run each).
  */
 export function isAmple({ ampleEngines }: StagePlannerSettings, demand: StageDemand): boolean {
   const { prefillEngines, decodeEngines, prompts } = demand;
--- a/src/capacity/capacity-demand.ts
+++ b/src/capacity/capacity-demand.ts
@@ -2,7 +2,7 @@
 /// recent need. Owns the average and the peak of one service. Demand changes within seconds, while a back end
 /// takes seconds to start and longer to fill its cache, so a past need is kept for a while. In bursts of
 /// three times the usual requests, 0.92 and 0.68 of the achievable value were earned in the seconds that
-/// earned 0.29 and 0.27 with a fixed number of back ends (one simulation run each).
+/// earned 0.29 and 0.27 with a fixed number of back ends (one run each).
 import type {BackendView} from "../forwarding/backends/backend-view.js"
 import type {ScalingRules} from "../forwarding/routes/route.js"
 
@@ -58,23 +58,23 @@
     const sinceMs = now - this.updatedAt
     this.updatedAt = now
     this.startedAt ??= now
-    if (!this.isSettled(now)) {
+    if (!this.isDiscovered(now)) {
       this.peak = Math.max(this.peak, this.getInitialNeed(serving, hasSpot))
       return
     }
-    const {averageMs, peakDecayMs: memoryMs, growthFactor} = this.settings
+    const {averageMs, peakDecayMs, growthFactor} = this.settings
     const needed = serving.reduce((sum, view) => sum + this.getNeed(view), 0)
     this.average += (needed - this.average) * (1 - Math.exp(-sinceMs / averageMs))
-    const kept = this.peak * Math.exp(-sinceMs / memoryMs)
+    const kept = this.peak * Math.exp(-sinceMs / peakDecayMs)
     const bounded = Math.min(this.average, serving.length * growthFactor)
     this.peak = Math.max(kept, bounded)
   }
 
   /// The total number of back ends wanted; undefined during discovery, or when the number is fixed.
   getWanted(scaling: ScalingRules | undefined, now: number): number | undefined {
-    if (!scaling || !this.isSettled(now)) return undefined
-    const most = scaling.max * Object.keys(scaling.zonePrices).length
-    return Math.min(most, Math.ceil(this.peak))
+    if (!scaling || !this.isDiscovered(now)) return undefined
+    const maximum = scaling.max * Object.keys(scaling.zonePrices).length
+    return Math.min(maximum, Math.ceil(this.peak))
   }
 
   private getInitialNeed(serving: readonly BackendView[], hasSpot: boolean): number {
@@ -82,7 +82,7 @@
     return serving.reduce((sum, {record}) => sum + (record.isSpot ? 1 : factor), 0)
   }
 
-  private isSettled(now: number): boolean {
+  private isDiscovered(now: number): boolean {
     return this.startedAt !== undefined && now - this.startedAt >= this.settings.discoveryMs
   }
 
--- a/src/capacity/capacity-manager.ts
+++ b/src/capacity/capacity-manager.ts
@@ -3,7 +3,7 @@
 /// lost, or executed late after a newer one, shows in the counts and is repeated. Back ends are removed only
 /// once their replacements are in service and have had the time to change to the wanted stage: without that
 /// time 18 prefill engines were left of 33, and the first two seconds of traffic earned 0.55 of the
-/// achievable value, with it 0.63 (one simulation run each).
+/// achievable value, with it 0.63 (one run each).
 import type {DutyAuthority, DutyCall, DutyResult} from "../duties/duty-messages.js"
 import type {BackendView} from "../forwarding/backends/backend-view.js"
 import type {BackendService, ScalingRules} from "../forwarding/routes/route.js"
--- a/src/capacity/capacity-planner.ts
+++ b/src/capacity/capacity-planner.ts
@@ -2,7 +2,7 @@
 /// cost a fraction of the price of ordinary ones, but all of a zone may be withdrawn within seconds. They are
 /// therefore distributed evenly over the zones, and a few ordinary ones are kept in reserve. With spot ones
 /// at 0.22 of the ordinary price, server time for up to 100 engines cost 0.10 of the achievable value of a
-/// day with faults, compared with 0.16 for 50 ordinary ones (one simulation run each).
+/// day with faults, compared with 0.16 for 50 ordinary ones (one run each).
 import type {ScalingRules} from "../forwarding/routes/route.js"
 
 /// Settings of the plan.
--- a/src/routing/completion-manager.ts
+++ b/src/routing/completion-manager.ts
@@ -315,13 +315,13 @@
     this.endAttempt(session, attempt, now);
     session.excluded.add(attempt.engine.id);
     if (attempt.stage === 'generate') session.kv = undefined;
-    session.refusals += 1;
-    if (this.rules.isPauseDue(session.refusals)) this.pause(session, now);
+    session.rejections += 1;
+    if (this.rules.isPauseDue(session.rejections)) this.pause(session, now);
     this.requeue(session, now);
   }
 
   private pause(session: Session, now: number): void {
-    session.retryAt = now + this.rules.getPauseMs(session.refusals);
+    session.retryAt = now + this.rules.getPauseMs(session.rejections);
   }
 
   private requeue(session: Session, now: number): void {
--- a/src/routing/completion-session.ts
+++ b/src/routing/completion-session.ts
@@ -37,7 +37,7 @@
   excluded: Set<string>;
   queuedAt: number;
   /** Consecutive rejections by engines; the request pauses after a few. */
-  refusals: number;
+  rejections: number;
   retryAt: number;
 }
 
@@ -68,7 +68,7 @@
     kv: undefined,
     excluded: new Set(),
     queuedAt: now,
-    refusals: 0,
+    rejections: 0,
     retryAt: 0,
   };
 }
--- a/src/routing/engine-picker.ts
+++ b/src/routing/engine-picker.ts
@@ -56,10 +56,7 @@
    * tokens. Milliseconds. Default 100.
    */
   readonly fullEngineCostMs: number;
-  /**
-   * Maximum length of a prompt that a decode engine may compute itself if that is faster. Tokens. Default
-   * 256.
-   */
+  /** Longest prompt that a decode engine may compute itself if that is faster. Tokens. Default 256. */
   readonly decodePrefillTokens: number;
   /** Transfer time of a prompt's KV cache, per token. Milliseconds. Default 0.02. */
   readonly kvTransferMsPerToken: number;
--- a/src/routing/retry-after.ts
+++ b/src/routing/retry-after.ts
@@ -33,7 +33,7 @@
 export const MINIMUM_OVERLOAD_RETRY_AFTER_MS = 250;
 
 /** Minimum time after a refusal due to a full queue for slots. Milliseconds. */
-const MINIMUM_SLOT_LINE_RETRY_AFTER_MS = 200;
+const MINIMUM_SLOT_QUEUE_RETRY_AFTER_MS = 200;
 
 /** Maximum of that time, also used when the owner does not know the service. Milliseconds. */
 export const MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS = 30_000;
@@ -55,6 +55,6 @@
   const perMs = Math.max(completed, 1) / Math.max(1, elapsedMs);
   const delay = (waiting + 1) / perMs;
   return Math.round(
-    Math.min(MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS, Math.max(MINIMUM_SLOT_LINE_RETRY_AFTER_MS, delay)),
+    Math.min(MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS, Math.max(MINIMUM_SLOT_QUEUE_RETRY_AFTER_MS, delay)),
   );
 }
