--- a/src/allocation/stage-regions.ts
+++ b/src/allocation/stage-regions.ts
@@ -29,7 +29,8 @@
     else groups.set(region, [item]);
   }
   const [largest, ...others] = [...groups].sort(
-    ([left, { length: ofLeft }], [right, { length: ofRight }]) => ofRight - ofLeft || (left < right ? -1 : 1),
+    ([left, { length: leftSize }], [right, { length: rightSize }]) =>
+      rightSize - leftSize || (left < right ? -1 : 1),
   );
   for (const [region, group] of others) {
     if (group.length >= MINIMUM_ENGINES) continue;
--- a/src/allocation/throughput-model.ts
+++ b/src/allocation/throughput-model.ts
@@ -50,12 +50,13 @@
     0,
     demand.decodePerSecond - counts.decode * capability.decodeRate - counts.mixed * outputOnly,
   );
-  const busy = Math.min(
+  const decodeUtilization = Math.min(
     1,
     remainingDecode / Math.max(counts.mixed * share * capability.mixedDecodeRate, NO_DEMAND),
   );
   const mixedPrefill =
-    capability.mixedPromptOnlyRate + (capability.mixedPrefillRate - capability.mixedPromptOnlyRate) * busy;
+    capability.mixedPromptOnlyRate +
+    (capability.mixedPrefillRate - capability.mixedPromptOnlyRate) * decodeUtilization;
   const prefill = counts.prefill * capability.prefillRate + counts.mixed * share * mixedPrefill;
   const prefillFactor = prefill / Math.max(demand.prefillPerSecond, NO_DEMAND);
   return Math.min(prefillFactor, decodeFactor);
