--- a/src/allocation/stage-regions.ts
+++ b/src/allocation/stage-regions.ts
@@ -1,9 +1,9 @@
 /**
- * Decides in which region of a service an engine should change its stage. Each region follows its own mix,
- * since bursts come by region and a hand-over between regions takes the way between them; both stages are
- * kept wherever a region has two engines. A region whose decode engines are full does without a change while
- * others have room for the streams it is short of: a change takes an engine away for seconds, the way to
- * another region some milliseconds.
+ * Decides in which region of a service an engine should change its stage. Pure functions. Each region is
+ * planned by its own load, since bursts are regional and a handover between regions adds the network latency
+ * between them. A region with at least two engines keeps both stages. A region whose decode engines are full
+ * changes none while other regions have room for its excess streams: a change makes an engine unavailable for
+ * seconds, while another region adds a latency of some milliseconds.
  */
 import { isAmple, planStage, type StageDemand, type StagePlannerSettings } from './stage-planner.js';
 
@@ -13,10 +13,10 @@
   readonly step: 'toPrefill' | 'toDecode';
 }
 
-/** Fewer engines cannot keep both stages: they count to another region. */
+/** A region with fewer engines cannot keep both stages; its engines are assigned to another region. */
 const MINIMUM_ENGINES = 2;
 
-/** Puts items into groups by region. Those of a region with fewer than two count to the largest. */
+/** Groups items by region. Items of a region with fewer than two are added to the largest region. */
 export function groupByRegion<Item>(
   items: readonly Item[],
   regionOf: (item: Item) => string,
@@ -29,7 +29,8 @@
     else groups.set(region, [item]);
   }
   const [largest, ...others] = [...groups].sort(
-    ([left, { length: ofLeft }], [right, { length: ofRight }]) => ofRight - ofLeft || (left < right ? -1 : 1),
+    ([left, { length: leftSize }], [right, { length: rightSize }]) =>
+      rightSize - leftSize || (left < right ? -1 : 1),
   );
   for (const [region, group] of others) {
     if (group.length >= MINIMUM_ENGINES) continue;
@@ -40,38 +41,39 @@
 }
 
 /**
- * The steps for these regions, at most one each, the most urgent first. A single region is planned as a fleet
- * without regions.
+ * Plans the steps for these regions, at most one for each, the most urgent first. A single region is planned
+ * like a fleet without regions.
  */
 export function planRegions(
   settings: StagePlannerSettings,
   demands: ReadonlyMap<string, StageDemand>,
 ): RegionStep[] {
-  const own = demands.size > 1 ? settingsOfRegion(settings, [...demands.values()]) : settings;
+  const regionSettings = demands.size > 1 ? getRegionSettings(settings, [...demands.values()]) : settings;
   const steps: RegionStep[] = [];
   for (const [region, demand] of demands) {
     const others = [...demands.values()].filter((other) => other !== demand);
     const streams = countStreams(settings, demand, others);
-    const step = (others.length > 0 && planMissing(demand)) || planStage(own, { ...demand, streams });
+    const step =
+      (others.length > 0 && planMissingStage(demand)) || planStage(regionSettings, { ...demand, streams });
     if (step !== 'none') steps.push({ region, step });
   }
   return steps.sort((left, right) => getUrgency(demands, right) - getUrgency(demands, left));
 }
 
 /**
- * A stage that the region has no engine of, however busy the others are: its prompts or streams would all
- * leave the region.
+ * Plans a step to a stage that the region has no engine of, regardless of the load, since all its prompts or
+ * streams would otherwise leave the region.
  */
-function planMissing({ prefillEngines, decodeEngines }: StageDemand): RegionStep['step'] | undefined {
+function planMissingStage({ prefillEngines, decodeEngines }: StageDemand): RegionStep['step'] | undefined {
   if (prefillEngines === 0) return 'toPrefill';
   return decodeEngines === 0 ? 'toDecode' : undefined;
 }
 
 /**
- * Within a region one engine of a stage will do, where the fleet has its minimum; plenty is judged over the
- * fleet.
+ * The settings for one region: the fleet's minimums are divided among the regions, and whether engines are
+ * ample is determined for the whole fleet.
  */
-function settingsOfRegion(
+function getRegionSettings(
   settings: StagePlannerSettings,
   demands: readonly StageDemand[],
 ): StagePlannerSettings {
@@ -93,9 +95,10 @@
 }
 
 /**
- * Streams that the region should have room for: its own, less those that others have room for when it is
- * short, and those that others are short of as far as it has room. What a region is short of that has no
- * engine left to change, others make room for.
+ * The number of streams that the region should have room for: its streams, minus its excess streams that
+ * other regions have room for, plus the excess streams of other regions as far as it has room. The excess of
+ * regions that have no prefill engine left to change is added in full, so that other regions add capacity for
+ * it.
  */
 function countStreams(
   settings: StagePlannerSettings,
@@ -107,19 +110,22 @@
     decodeEngines * slots * share - streams;
   const sum = (amounts: readonly number[]) =>
     amounts.reduce((total, amount) => total + Math.max(0, amount), 0);
-  const short = Math.max(0, -getRoom(demand, addAtStreamShare));
-  const helped = Math.min(short, sum(others.map((other) => getRoom(other, returnAtStreamShare))));
-  const shortage = (among: readonly StageDemand[]) =>
+  const shortfall = Math.max(0, -getRoom(demand, addAtStreamShare));
+  const carriedElsewhere = Math.min(
+    shortfall,
+    sum(others.map((other) => getRoom(other, returnAtStreamShare))),
+  );
+  const getShortfall = (among: readonly StageDemand[]) =>
     sum(among.map((other) => -getRoom(other, addAtStreamShare)));
-  const stuck = others.filter(({ prefillEngines }) => prefillEngines <= minimumPrefill);
-  const able = others.filter((other) => !stuck.includes(other));
-  const welcome = Math.min(shortage(able), Math.max(0, getRoom(demand, addAtStreamShare)));
-  return demand.streams - helped + welcome + shortage(stuck);
+  const withoutDonors = others.filter(({ prefillEngines }) => prefillEngines <= minimumPrefill);
+  const withDonors = others.filter((other) => !withoutDonors.includes(other));
+  const carriedForOthers = Math.min(getShortfall(withDonors), Math.max(0, getRoom(demand, addAtStreamShare)));
+  return demand.streams - carriedElsewhere + carriedForOthers + getShortfall(withoutDonors);
 }
 
 /**
- * Decode engines that are missed come first, where streams fill most of the slots; then prefill engines,
- * where they fill least.
+ * Urgency of a step; higher values come first. Steps to decode precede steps to prefill, and both are ordered
+ * by the share of slots in use, the highest first.
  */
 function getUrgency(demands: ReadonlyMap<string, StageDemand>, { region, step }: RegionStep): number {
   const { streams, slots, decodeEngines } = demands.get(region) as StageDemand;
--- a/src/capacity/capacity-manager.ts
+++ b/src/capacity/capacity-manager.ts
@@ -1,8 +1,9 @@
-/// Orders back ends by the plan, while this daemon holds the duties. What is there counts, not what was
-/// ordered: an order that was lost, or carried out late after a newer one, shows in the counts and is given
-/// again. Back ends that are to go are ordered away only when those that take their place serve, and have had
-/// the time to change to the stage that is wanted of them: without that time 18 prefill engines were left of
-/// 33, and the first two seconds of traffic earned 0.55 of what they could, with it 0.63 (one play each).
+/// Orders back ends according to the plan while this daemon holds the duties. Owns the state of the orders.
+/// It compares the plan with the back ends in service rather than with earlier orders: an order that was
+/// lost, or executed late after a newer one, shows in the counts and is repeated. Back ends are removed only
+/// once their replacements are in service and have had the time to change to the wanted stage: without that
+/// time 18 prefill engines were left of 33, and the first two seconds of traffic earned 0.55 of the
+/// achievable value, with it 0.63 (one run each).
 import type {DutyAuthority, DutyCall, DutyResult} from "../duties/duty-messages.js"
 import type {BackendView} from "../forwarding/backends/backend-view.js"
 import type {BackendService, ScalingRules} from "../forwarding/routes/route.js"
@@ -12,13 +13,13 @@
 /// Settings of the orders.
 export interface CapacityManagerSettings {
   readonly planner: CapacityPlannerSettings
-  /// Counts that differ from what was ordered are left alone for so long beyond the time in which a back end
-  /// starts. Milliseconds. Default 4000: a leaving one serves on for a while.
+  /// Time beyond the boot time of a back end before an order is repeated because the counts still differ from
+  /// it. Milliseconds. Default 4000, since a leaving back end stays in service for a while.
   readonly orderGraceMs: number
-  /// Pause between orders of one kind in one zone: counts that follow each other back end by back end make
-  /// one order. Milliseconds. Default 500.
+  /// Minimum interval between orders of one kind in one zone, so that counts that change one back end at a
+  /// time result in a single order. Milliseconds. Default 500.
   readonly pauseMs: number
-  /// Pause after an order that failed, or for which there are none to be had now. Milliseconds. Default 2000.
+  /// Pause after an order that failed, or that the platform has no capacity for. Milliseconds. Default 2000.
   readonly retryMs: number
 }
 
@@ -29,42 +30,42 @@
   retryMs: 2000
 }
 
-/// Time until a new engine is ordered to change its stage. Milliseconds; two looks at the engines and an
-/// answer.
+/// Time until a new engine is ordered to change its stage. Milliseconds; covers two checks of the engines
+/// and one answer.
 const STAGE_ORDER_MS = 500
 
 /// An order for one service, zone and kind.
 export type ServerOrder = Extract<DutyCall, {kind: "orderServers"}>
 
-/// What the manager asks for.
+/// Effects that the manager emits.
 export type CapacityEffect = {
   readonly kind: "callDuty"
   readonly call: ServerOrder
   readonly authority: DutyAuthority
 }
 
-/// What was last ordered for one service, zone and kind.
-interface Subject {
-  /// Undefined when nothing was, or when an order failed.
+/// The last order for one service, zone and kind.
+interface OrderState {
+  /// Number of back ends ordered; undefined without an order or after a failed one.
   ordered: number | undefined
   inFlight: boolean
   pausedUntil: number
-  /// What was ordered must be there by now.
+  /// When the counts must match the order. Monotonic milliseconds.
   dueAt: number
 }
 
 /// The orders of one daemon. Times are monotonic milliseconds.
 export class CapacityManager {
-  private readonly subjects = new Map<string, Subject>()
-  /// When each back end was first seen to serve.
-  private seenAt = new Map<string, number>()
+  private readonly orderStates = new Map<string, OrderState>()
+  /// When each back end was first seen. Monotonic milliseconds.
+  private firstSeenAt = new Map<string, number>()
 
   constructor(
     private readonly settings: CapacityManagerSettings,
     private readonly emit: EffectSink<CapacityEffect>
   ) {}
 
-  /// Orders what one service lacks or has too much of. `total` is how many back ends it should have in all.
+  /// Orders more or fewer back ends of one service. `total` is the number of back ends that it should have.
   tick(
     {name, scaling, engine}: BackendService,
     views: readonly BackendView[],
@@ -73,32 +74,32 @@
     now: number
   ): void {
     if (!scaling) return
-    this.lookAt(views, now)
+    this.updateFirstSeen(views, now)
     const readyMs = (engine?.stageChangeMs ?? 0) + STAGE_ORDER_MS
-    const isInPlace = (id: string) => now - (this.seenAt.get(id) ?? now) >= readyMs
+    const isReady = (id: string) => now - (this.firstSeenAt.get(id) ?? now) >= readyMs
     const present = countByZone(views, scaling, () => true)
-    const inPlace = countByZone(views, scaling, isInPlace)
+    const ready = countByZone(views, scaling, isReady)
     for (const planned of planCapacity(this.settings.planner, scaling, total)) {
       const {zone} = planned
       const counts = present.get(zone) ?? {zone, ordinary: 0, spot: 0}
-      const spotInPlace = inPlace.get(zone)?.spot ?? 0
-      this.order(name, scaling, planned, counts, spotInPlace, authority, now)
+      const spotReady = ready.get(zone)?.spot ?? 0
+      this.order(name, scaling, planned, counts, spotReady, authority, now)
     }
   }
 
-  /// Takes what became of an order.
+  /// Handles the outcome of an order.
   receiveResult(call: ServerOrder, result: DutyResult, now: number): void {
-    const subject = this.subjects.get(getKey(call))
-    if (!subject) return
-    subject.inFlight = false
+    const state = this.orderStates.get(getKey(call))
+    if (!state) return
+    state.inFlight = false
     if (result.kind === "accepted") return
-    subject.ordered = undefined
-    subject.pausedUntil = now + this.settings.retryMs
+    state.ordered = undefined
+    state.pausedUntil = now + this.settings.retryMs
   }
 
-  private lookAt(views: readonly BackendView[], now: number): void {
-    const before = this.seenAt
-    this.seenAt = new Map(views.map(({record: {id}}) => [id, before.get(id) ?? now]))
+  private updateFirstSeen(views: readonly BackendView[], now: number): void {
+    const previous = this.firstSeenAt
+    this.firstSeenAt = new Map(views.map(({record: {id}}) => [id, previous.get(id) ?? now]))
   }
 
   private order(
@@ -106,7 +107,7 @@
     scaling: ScalingRules,
     planned: ZoneCounts,
     present: ZoneCounts,
-    spotInPlace: number,
+    spotReady: number,
     authority: DutyAuthority,
     now: number
   ): void {
@@ -119,10 +120,10 @@
         authority,
         now
       )
-    // As many ordinary ones stay as spot ones are not in place yet, but no new ones are ordered for that.
-    // Where both together are more than the zone may have, the ordinary ones go first.
-    const missing = Math.max(0, planned.spot - spotInPlace)
-    const kept = Math.min(present.ordinary, planned.ordinary + missing, scaling.max - planned.spot)
+    // One ordinary back end is kept for each spot one that is not ready yet, but none is added for this
+    // purpose. Where both together would exceed the zone's maximum, the ordinary ones are removed first.
+    const notReady = Math.max(0, planned.spot - spotReady)
+    const kept = Math.min(present.ordinary, planned.ordinary + notReady, scaling.max - planned.spot)
     const desired = Math.max(planned.ordinary, kept)
     this.orderKind(
       {kind: "orderServers", service, zone, desired, spot: false},
@@ -140,26 +141,26 @@
     authority: DutyAuthority,
     now: number
   ): void {
-    const subject = this.getSubject(call)
-    if (subject.inFlight || now < subject.pausedUntil) return
-    const changed = (subject.ordered ?? present) !== call.desired
-    const overdue = present !== call.desired && now >= subject.dueAt
+    const state = this.getOrderState(call)
+    if (state.inFlight || now < state.pausedUntil) return
+    const changed = (state.ordered ?? present) !== call.desired
+    const overdue = present !== call.desired && now >= state.dueAt
     if (!changed && !overdue) return
-    subject.ordered = call.desired
-    subject.inFlight = true
-    subject.pausedUntil = now + this.settings.pauseMs
-    subject.dueAt = now + scaling.bootMs + this.settings.orderGraceMs
+    state.ordered = call.desired
+    state.inFlight = true
+    state.pausedUntil = now + this.settings.pauseMs
+    state.dueAt = now + scaling.bootMs + this.settings.orderGraceMs
     this.emit({kind: "callDuty", call, authority})
   }
 
-  private getSubject(call: ServerOrder): Subject {
+  private getOrderState(call: ServerOrder): OrderState {
     const key = getKey(call)
-    let subject = this.subjects.get(key)
-    if (!subject) {
-      subject = {ordered: undefined, inFlight: false, pausedUntil: -Infinity, dueAt: -Infinity}
-      this.subjects.set(key, subject)
+    let state = this.orderStates.get(key)
+    if (!state) {
+      state = {ordered: undefined, inFlight: false, pausedUntil: -Infinity, dueAt: -Infinity}
+      this.orderStates.set(key, state)
     }
-    return subject
+    return state
   }
 }
 
@@ -167,7 +168,7 @@
   return `${service} ${zone} ${spot ? "spot" : "ordinary"}`
 }
 
-/// Back ends that serve, by zone and kind.
+/// Counts the back ends in service by zone and kind.
 function countByZone(
   views: readonly BackendView[],
   {zonePrices}: ScalingRules,
