--- a/src/daemon/cell-manager.ts
+++ b/src/daemon/cell-manager.ts
@@ -124,8 +124,8 @@
   }
 
   /** The process was paused since `pausedAt`: what it reads now may be as old. */
-  resumeAfterPause(pausedAt: number, now: number): void {
-    this.reports.resumeAfterPause(pausedAt, now);
+  onProcessResumed(pausedAt: number, now: number): void {
+    this.reports.onProcessResumed(pausedAt, now);
   }
 
   /**
@@ -133,7 +133,7 @@
    * may be as old.
    */
   resumeAfterSuspension(now: number): void {
-    this.resumeAfterPause(now, now);
+    this.onProcessResumed(now, now);
     for (const { lease } of this.runtimes.values()) lease.resumeAfterSuspension();
   }
 
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -56,7 +56,7 @@
 
   /** Handles one event and returns what is to be done, in order. */
   handle(event: CompletionDaemonEvent, now: number): CompletionDaemonEffect[] {
-    if (now - this.lastEventAt > PAUSE_MS) this.machines.cells.resumeAfterPause(this.lastEventAt, now);
+    if (now - this.lastEventAt > PAUSE_MS) this.machines.cells.onProcessResumed(this.lastEventAt, now);
     this.lastEventAt = now;
     this.dispatch(event, now);
     while (this.deferred.length > 0) this.deferred.shift()?.(now);
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -144,7 +144,7 @@
         this.tick(now);
         break;
       case 'clockStoodStill':
-        this.resumeAfterSuspension(event.forMs, now);
+        this.onMachineSuspended(event.forMs, now);
         break;
       case 'peerMessage':
         this.receivePeer(event.fromId, event.fromAddress, event.message, now);
@@ -177,7 +177,7 @@
     this.tickedAt = now;
     if (sinceTickMs > OWN_PAUSE_MS) {
       this.logChange('process.paused', { forMs: Math.round(sinceTickMs), requests: this.requestsInHand() });
-      this.resumeAfterPause(now);
+      this.onProcessResumed(now);
     }
     this.machines.membership.tick(now);
     this.rankReader();
@@ -191,19 +191,19 @@
     for (const part of this.machines.parts) part.scan?.(this.draining, now);
   }
 
-  private resumeAfterPause(now: number): void {
+  private onProcessResumed(now: number): void {
     this.machines.manager.resumeAfterPause(now);
-    for (const part of this.machines.parts) part.ownPauseEnded?.(now);
+    for (const part of this.machines.parts) part.onProcessResumed?.(now);
   }
 
   /**
    * As after a pause, and beside that nothing that is measured by the clock of this process counts any more.
    */
-  private resumeAfterSuspension(forMs: number, now: number): void {
+  private onMachineSuspended(forMs: number, now: number): void {
     this.logChange('process.suspended', { forMs: Math.round(forMs), requests: this.requestsInHand() });
     this.machines.replica.clockStoodStill(forMs);
-    for (const part of this.machines.parts) part.clockStoodStill?.(forMs);
-    this.resumeAfterPause(now);
+    for (const part of this.machines.parts) part.onMachineSuspended?.(forMs);
+    this.onProcessResumed(now);
   }
 
   private receivePeer(fromId: string, fromAddress: string, message: PeerMessage, now: number): void {
