--- a/src/daemon/engine-reports.ts
+++ b/src/daemon/engine-reports.ts
@@ -43,7 +43,7 @@
   ) {}
 
   /** The cell's loads are known at `now`: this daemon coordinates it, or has just begun to route to it. */
-  setKnown(cell: string, now: number): void {
+  setLoadsKnown(cell: string, now: number): void {
     this.lastDigestAt.set(cell, now);
   }
 
--- a/src/parts/daemon-part.ts
+++ b/src/parts/daemon-part.ts
@@ -51,7 +51,7 @@
   /// How this daemon sees its fleet.
   fleet(): FleetView
   /// Whether this daemon is the one of the fleet that looks after what all share in the store.
-  isFirst(): boolean
+  isFirstReader(): boolean
   /// The routes in force; undefined before the first configuration.
   routes(): RouteTable | undefined
   /// A request that waited for its tenant's quota is decided.
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -21,7 +21,7 @@
   ) {
     super()
     this.handledAt = now
-    const {identity, settings, members, isFirst, directory, random} = surroundings
+    const {identity, settings, members, isFirstReader: isFirst, directory, random} = surroundings
     this.manager = new QuarantineManager(
       settings.quarantine,
       {
--- a/src/parts/stage-part.ts
+++ b/src/parts/stage-part.ts
@@ -27,7 +27,7 @@
   }
 
   override onMachineSuspended(): void {
-    this.manager.resumeAfterSuspension()
+    this.manager.onMachineSuspended()
   }
 
   override receiveAnswer(event: AnswerEvent, now: number): void {
--- a/test/daemon-parts.test.ts
+++ b/test/daemon-parts.test.ts
@@ -34,7 +34,7 @@
     members: () => [],
     fleet: () => ({ members: [], known: 1, joined: true }),
     decideQuota: () => undefined,
-    isFirst: () => true,
+    isFirstReader: () => true,
     routes: () => undefined,
     logChange: () => undefined,
   };
--- a/test/region-part.test.ts
+++ b/test/region-part.test.ts
@@ -49,7 +49,7 @@
     members: () => [member, { ...member, id: THIRD }],
     fleet: () => ({ members: [member], known: 1, joined: true }),
     decideQuota: () => undefined,
-    isFirst: () => true,
+    isFirstReader: () => true,
     routes: () => undefined,
     logChange: () => undefined,
   };
