--- a/src/daemon/admission.ts
+++ b/src/daemon/admission.ts
@@ -38,7 +38,7 @@
 interface WaitingForSlot {
   readonly work: Work;
   readonly row: ServiceRow;
-  readonly since: number;
+  readonly waitingSince: number;
 }
 
 /** The failure of a request that was not begun. */
@@ -63,7 +63,7 @@
 export class Admission {
   private readonly waiting = new Map<string, WaitingForSlot>();
   /** Services with a limit whose requests hold a slot here, by request. */
-  private readonly slotOf = new Map<string, string>();
+  private readonly slotServiceByRequest = new Map<string, string>();
   private draining = false;
 
   constructor(
@@ -96,7 +96,7 @@
     const waiting = this.waiting.get(requestId);
     if (!waiting) return;
     this.waiting.delete(requestId);
-    this.slotOf.set(requestId, waiting.row.name);
+    this.slotServiceByRequest.set(requestId, waiting.row.name);
     this.begin(waiting.work, waiting.row, now);
   }
 
@@ -116,9 +116,9 @@
 
   /** A request is over: its slot goes back. */
   onRequestOver(requestId: string): void {
-    const service = this.slotOf.get(requestId);
+    const service = this.slotServiceByRequest.get(requestId);
     if (service === undefined) return;
-    this.slotOf.delete(requestId);
+    this.slotServiceByRequest.delete(requestId);
     this.parts.slots.release(service);
   }
 
@@ -132,11 +132,14 @@
 
   /** Refuses requests that waited too long for a slot. */
   tick(now: number): void {
-    for (const [requestId, { work, row, since }] of [...this.waiting]) {
+    for (const [requestId, { work, row, waitingSince }] of [...this.waiting]) {
       const deadlineAt = work.request.receivedAt + (work.request.timeoutMs ?? row.deadlineMs);
-      if (now >= deadlineAt) this.giveUp(requestId, new DeadlineExceededError(requestId, 'true'));
-      else if (now - since > row.maximumWaitMs) {
-        this.giveUp(requestId, new WaitingLimitError(row.name, row.maximumWaiting, SLOT_RETRY_AFTER_MS));
+      if (now >= deadlineAt) this.cancelAndRefuse(requestId, new DeadlineExceededError(requestId, 'true'));
+      else if (now - waitingSince > row.maximumWaitMs) {
+        this.cancelAndRefuse(
+          requestId,
+          new WaitingLimitError(row.name, row.maximumWaiting, SLOT_RETRY_AFTER_MS),
+        );
       }
     }
   }
@@ -156,7 +159,7 @@
       this.begin(work, row, now);
       return;
     }
-    this.waiting.set(requestId, { work, row, since: now });
+    this.waiting.set(requestId, { work, row, waitingSince: now });
     this.parts.slots.acquire(requestId, service, now);
   }
 
@@ -180,7 +183,7 @@
     else this.parts.applications.begin(work.request, row, now);
   }
 
-  private giveUp(requestId: string, error: PulleyledgeError): void {
+  private cancelAndRefuse(requestId: string, error: PulleyledgeError): void {
     this.parts.slots.cancel(requestId);
     this.refuse(requestId, error);
   }
--- a/src/daemon/cell-manager.ts
+++ b/src/daemon/cell-manager.ts
@@ -31,7 +31,7 @@
 }
 
 /** A starting daemon waits this long at most to learn of every listed engine. Milliseconds. */
-const ENGINES_KNOWN_WITHIN_MS = 3000;
+const ENGINE_DISCOVERY_TIMEOUT_MS = 3000;
 
 /** The cells of one daemon. Times are monotonic milliseconds. */
 export class CellManager {
@@ -88,7 +88,7 @@
         coordinatorId,
         subscriberIds: () => this.assignment.getSubscribers(runtime.cell).map((member) => member.id),
         services: () => this.parts.configuration.services(),
-        localDemand: () => this.demandOf(runtime.cell, now),
+        localDemand: () => this.getDemand(runtime.cell, now),
         eligible,
       });
     }
@@ -101,9 +101,9 @@
     const known = views.filter((view) => view.assignment).length;
     const listed = this.listedSince !== undefined;
     // Routing on a part of the engines would overload them; one that never answers must not hold up the rest.
-    const waitedEnough = listed && now - (this.listedSince ?? now) > ENGINES_KNOWN_WITHIN_MS;
+    const timedOut = listed && now - (this.listedSince ?? now) > ENGINE_DISCOVERY_TIMEOUT_MS;
     if (known === views.length && (listed || known > 0)) return undefined;
-    return known > 0 && (waitedEnough || !listed) ? undefined : 'the engines are not known yet';
+    return known > 0 && (timedOut || !listed) ? undefined : 'the engines are not known yet';
   }
 
   /** Takes the machine list, or undefined when it did not answer. */
@@ -117,7 +117,7 @@
     this.machines = listing.machines;
     this.assignment.update(this.parts.membership.active(), this.cells);
     const routed = this.assignment.getCells(this.identity);
-    for (const cell of routed) this.ensureRuntime(cell, now);
+    for (const cell of routed) this.addRuntime(cell, now);
     for (const cell of [...this.runtimes.keys()]) if (!routed.includes(cell)) this.runtimes.delete(cell);
     if (!sameCells) this.nextListingAt = now;
     this.applyMachines(now);
@@ -173,13 +173,13 @@
     this.emit({ kind: 'listMachines', cells: this.assignment.getCells(this.identity) });
   }
 
-  private ensureRuntime(cell: string, now: number): void {
+  private addRuntime(cell: string, now: number): void {
     if (this.runtimes.has(cell)) return;
     const runtime = new CellRuntime(
       cell,
       this.identity.id,
       this.settings,
-      (effect) => this.onCell(effect),
+      (effect) => this.onCellEffect(effect),
       now,
     );
     this.runtimes.set(cell, runtime);
@@ -191,9 +191,14 @@
       (machine) => machine.kind === 'engine' && this.runtimes.has(machine.cell),
     );
     for (const runtime of this.runtimes.values()) {
-      const own = engines.filter((machine) => machine.cell === runtime.cell);
+      const cellEngines = engines.filter((machine) => machine.cell === runtime.cell);
       runtime.setEngines(
-        own.map(({ id, address, zone, state }) => ({ id, address, zone, leaving: state === 'leaving' })),
+        cellEngines.map(({ id, address, zone, state }) => ({
+          id,
+          address,
+          zone,
+          leaving: state === 'leaving',
+        })),
         now,
       );
     }
@@ -210,17 +215,17 @@
     );
   }
 
-  private demandOf(cell: string, now: number): DemandEntry[] {
-    let here = 0;
+  private getDemand(cell: string, now: number): DemandEntry[] {
+    let inCell = 0;
     let total = 0;
     for (const view of this.parts.directory.all()) {
       total += 1;
-      if (view.cell === cell) here += 1;
+      if (view.cell === cell) inCell += 1;
     }
-    return this.parts.demand.getEntries(now, total === 0 ? 0 : here / total);
+    return this.parts.demand.getEntries(now, total === 0 ? 0 : inCell / total);
   }
 
-  private onCell(effect: CellEffect): void {
+  private onCellEffect(effect: CellEffect): void {
     switch (effect.kind) {
       case 'engineControl':
         this.emit({ ...effect, purpose: 'coordinator' });
--- a/src/daemon/cell-runtime.ts
+++ b/src/daemon/cell-runtime.ts
@@ -19,17 +19,17 @@
   | LeaseEffect
   | { readonly kind: 'sendCell'; readonly daemonId: string; readonly message: CellMessage };
 
-interface DemandFrom {
+interface ReceivedDemand {
   readonly entries: readonly DemandEntry[];
   readonly receivedAt: number;
 }
 
 /** A digest in so many describes every engine; the others only those that changed. */
-const DESCRIPTION_INTERVALS = 15;
+const DIGESTS_PER_FULL_DESCRIPTION = 15;
 /** Waiting prompt tokens are rounded to this, so that equal numbers repeat in a digest. Tokens. */
-const WAITING_ROUNDING = 16;
+const WAITING_ROUNDING_TOKENS = 16;
 /** Up to so many subscribers get digests from the coordinator itself; more are served by relays. */
-const DIRECT_SUBSCRIBERS = 8;
+const MAXIMUM_DIRECT_SUBSCRIBERS = 8;
 /** Ages of reports are rounded to this, for the same reason. Milliseconds. */
 const AGE_ROUNDING_MS = 50;
 /** Size of a digest without its engines. Bytes. */
@@ -59,13 +59,13 @@
 export class CellRuntime {
   readonly lease: CellLease;
   readonly coordinator: CellCoordinator;
-  private readonly demandFrom = new Map<string, DemandFrom>();
-  private readonly describedAs = new Map<string, EngineReport>();
+  private readonly demandByDaemon = new Map<string, ReceivedDemand>();
+  private readonly lastDescribed = new Map<string, EngineReport>();
   private readonly capabilities = new Map<string, EngineCapability>();
   private nextDigestAt = 0;
   private nextDemandAt = 0;
   private digestCount = 0;
-  private knownSubscribers = '';
+  private lastSubscribers = '';
 
   constructor(
     readonly cell: string,
@@ -87,20 +87,20 @@
 
   /** Takes a demand report of another daemon. */
   receiveDemand(daemonId: string, entries: readonly DemandEntry[], now: number): void {
-    this.demandFrom.set(daemonId, { entries, receivedAt: now });
+    this.demandByDaemon.set(daemonId, { entries, receivedAt: now });
   }
 
   /** Advances timers. */
   tick(now: number, context: CellContext): void {
-    const coordinates = context.coordinatorId === context.selfId;
-    this.lease.tick(now, coordinates && context.eligible);
-    const releasing = !coordinates || !context.eligible;
+    const isCoordinator = context.coordinatorId === context.selfId;
+    this.lease.tick(now, isCoordinator && context.eligible);
+    const releasing = !isCoordinator || !context.eligible;
     if (releasing && this.coordinator.mayRelease(now)) this.lease.release(now);
     const lease = releasing ? undefined : this.lease.current(now);
     if (now >= this.nextDemandAt) this.reportDemand(now, context);
-    if (!coordinates && !lease) return;
-    this.coordinator.tick(now, lease, () => this.totalDemand(now, context.services()));
-    if (coordinates && now >= this.nextDigestAt) this.sendDigest(now, context);
+    if (!isCoordinator && !lease) return;
+    this.coordinator.tick(now, lease, () => this.getTotalDemand(now, context.services()));
+    if (isCoordinator && now >= this.nextDigestAt) this.sendDigest(now, context);
   }
 
   private reportDemand(now: number, context: CellContext): void {
@@ -108,22 +108,23 @@
     const entries = context.localDemand();
     if (context.coordinatorId === context.selfId || this.lease.current(now))
       this.receiveDemand(context.selfId, entries, now);
-    const nothing = entries.every((entry) => entry[2] === 0 && entry[3] === 0);
-    if (context.coordinatorId === undefined || context.coordinatorId === context.selfId || nothing) return;
+    const hasNoDemand = entries.every((entry) => entry[2] === 0 && entry[3] === 0);
+    if (context.coordinatorId === undefined || context.coordinatorId === context.selfId || hasNoDemand)
+      return;
     const message: CellMessage = { kind: 'demandReport', cell: this.cell, demands: entries };
     this.emit({ kind: 'sendCell', daemonId: context.coordinatorId, message });
   }
 
   /** Demand of every model version that a service names, summed over the daemons heard lately. */
-  private totalDemand(now: number, services: readonly VersionedRow[]): ModelDemand[] {
+  private getTotalDemand(now: number, services: readonly VersionedRow[]): ModelDemand[] {
     const totals = new Map<string, { prefill: number; decode: number }>();
-    const expiry = this.settings.cells.demandIntervalMs * DEMAND_EXPIRY_INTERVALS;
-    for (const [daemonId, from] of this.demandFrom) {
-      if (now - from.receivedAt > expiry) {
-        this.demandFrom.delete(daemonId);
+    const expiryMs = this.settings.cells.demandIntervalMs * DEMAND_EXPIRY_INTERVALS;
+    for (const [daemonId, received] of this.demandByDaemon) {
+      if (now - received.receivedAt > expiryMs) {
+        this.demandByDaemon.delete(daemonId);
         continue;
       }
-      for (const [model, version, prefill, decode] of from.entries) {
+      for (const [model, version, prefill, decode] of received.entries) {
         const total = totals.get(modelKey(model, version)) ?? { prefill: 0, decode: 0 };
         totals.set(modelKey(model, version), {
           prefill: total.prefill + prefill,
@@ -131,19 +132,19 @@
         });
       }
     }
-    return demandsOfServices(services, totals);
+    return getServiceDemands(services, totals);
   }
 
   /** More subscribers and engines make digests rarer, so that a coordinator's traffic stays bounded. */
-  private digestInterval(subscribers: number): number {
-    const sent = subscribers <= DIRECT_SUBSCRIBERS ? subscribers : Math.ceil(Math.sqrt(subscribers));
+  private getDigestIntervalMs(subscribers: number): number {
+    const sent = subscribers <= MAXIMUM_DIRECT_SUBSCRIBERS ? subscribers : Math.ceil(Math.sqrt(subscribers));
     const bytes = sent * (DIGEST_BYTES + DIGEST_BYTES_PER_ENGINE * this.coordinator.reports().length);
     const { digestIntervalMs, digestBudgetBytes } = this.settings.cells;
     return Math.max(digestIntervalMs, (bytes / digestBudgetBytes) * 1000);
   }
 
   /** Rounds a report for travel; engines of one kind share one capability, which then travels once. */
-  private compact(report: EngineReport): EngineReport {
+  private roundReport(report: EngineReport): EngineReport {
     const rounded = Object.fromEntries(
       Object.entries(report.capability).map(([name, value]) => [name, Math.round(value)]),
     ) as unknown as EngineCapability;
@@ -161,23 +162,23 @@
 
   private sendDigest(now: number, context: CellContext): void {
     const subscriberIds = context.subscriberIds();
-    this.nextDigestAt = now + this.digestInterval(subscriberIds.length);
+    this.nextDigestAt = now + this.getDigestIntervalMs(subscriberIds.length);
     this.digestCount += 1;
     const subscribers = subscriberIds.join(' ');
-    const everything =
-      this.digestCount % DESCRIPTION_INTERVALS === 1 || subscribers !== this.knownSubscribers;
-    this.knownSubscribers = subscribers;
+    const describesAll =
+      this.digestCount % DIGESTS_PER_FULL_DESCRIPTION === 1 || subscribers !== this.lastSubscribers;
+    this.lastSubscribers = subscribers;
     const loads: EngineLoad[] = [];
     const descriptions: EngineDescription[] = [];
     for (const { id, address, zone, report, receivedAt } of this.coordinator.reports()) {
-      loads.push(loadOf(id, report, now - receivedAt));
-      const described = this.describedAs.get(id);
-      if (!everything && described && sameAssignment(described.assignment, report.assignment)) continue;
-      this.describedAs.set(id, report);
-      descriptions.push({ id, address, zone, report: this.compact(report) });
+      loads.push(makeLoad(id, report, now - receivedAt));
+      const described = this.lastDescribed.get(id);
+      if (!describesAll && described && sameAssignment(described.assignment, report.assignment)) continue;
+      this.lastDescribed.set(id, report);
+      descriptions.push({ id, address, zone, report: this.roundReport(report) });
     }
     const others = subscriberIds.filter((id) => id !== context.selfId);
-    for (const [first, ...relayTo] of relayGroups(others, this.digestCount)) {
+    for (const [first, ...relayTo] of makeRelayGroups(others, this.digestCount)) {
       const message: CellMessage = {
         kind: 'cellDigest',
         cell: this.cell,
@@ -196,23 +197,23 @@
  * Divides the subscribers of a large cell into groups whose first member passes the digest on to the others.
  * The groups turn with each digest, so that a lost relay hides at most some of them from a daemon.
  */
-function relayGroups(ids: readonly string[], turn: number): string[][] {
-  if (ids.length <= DIRECT_SUBSCRIBERS) return ids.map((id) => [id]);
-  const start = turn % ids.length;
-  const turned = [...ids.slice(start), ...ids.slice(0, start)];
+function makeRelayGroups(ids: readonly string[], rotation: number): string[][] {
+  if (ids.length <= MAXIMUM_DIRECT_SUBSCRIBERS) return ids.map((id) => [id]);
+  const start = rotation % ids.length;
+  const rotated = [...ids.slice(start), ...ids.slice(0, start)];
   const size = Math.ceil(Math.sqrt(ids.length));
   const groups: string[][] = [];
-  for (let index = 0; index < turned.length; index += size) groups.push(turned.slice(index, index + size));
+  for (let index = 0; index < rotated.length; index += size) groups.push(rotated.slice(index, index + size));
   return groups;
 }
 
 /** Coarse numbers repeat, and what repeats travels once. */
-function loadOf(id: string, report: EngineReport, ageMs: number): EngineLoad {
-  const waiting = Math.round(report.waitingPrefillTokens / WAITING_ROUNDING) * WAITING_ROUNDING;
+function makeLoad(id: string, report: EngineReport, ageMs: number): EngineLoad {
+  const waiting = Math.round(report.waitingPrefillTokens / WAITING_ROUNDING_TOKENS) * WAITING_ROUNDING_TOKENS;
   return [id, report.phase, report.streams, waiting, Math.round(ageMs / AGE_ROUNDING_MS) * AGE_ROUNDING_MS];
 }
 
-function demandsOfServices(
+function getServiceDemands(
   services: readonly VersionedRow[],
   totals: ReadonlyMap<string, { prefill: number; decode: number }>,
 ): ModelDemand[] {
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -24,7 +24,7 @@
  * A process that handled no event for so long was not running: ticks come many times a second.
  * Milliseconds.
  */
-const PAUSE_MS = 1000;
+const PROCESS_PAUSE_MS = 1000;
 
 /** The state machine of one daemon. Times are monotonic milliseconds on the daemon's own clock. */
 export class CompletionDaemon {
@@ -56,7 +56,8 @@
 
   /** Handles one event and returns what is to be done, in order. */
   handle(event: CompletionDaemonEvent, now: number): CompletionDaemonEffect[] {
-    if (now - this.lastEventAt > PAUSE_MS) this.machines.cells.onProcessResumed(this.lastEventAt, now);
+    if (now - this.lastEventAt > PROCESS_PAUSE_MS)
+      this.machines.cells.onProcessResumed(this.lastEventAt, now);
     this.lastEventAt = now;
     this.dispatch(event, now);
     while (this.deferred.length > 0) this.deferred.shift()?.(now);
--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -84,17 +84,20 @@
   const limits: LimitManager = new LimitManager(identity, settings.limits, limitContext, now);
   const onLedger = createLedgerSink({ emit, defer, applications: () => applications });
   const ledger = new OnceLedger(identity.id, settings.ledger, onLedger);
-  const runs: CompletionQuarantine = createQuarantine(context, membership, () => [completions, applications]);
+  const quarantine: CompletionQuarantine = createQuarantine(context, membership, () => [
+    completions,
+    applications,
+  ]);
   const completions: CompletionManager = new CompletionManager({
     settings: settings.completion,
     directorySettings: settings.directory,
     directory,
     picker: new EnginePicker(settings.picker, identity.zone, random),
     emit: createCompletionSink(emit, () => ({ demand, admission })),
-    runs,
+    runs: quarantine,
   });
   const onCall = createApplicationSink(emit, () => admission);
-  const applications: ApplicationManager = new ApplicationManager(ledger, random, onCall, runs);
+  const applications: ApplicationManager = new ApplicationManager(ledger, random, onCall, quarantine);
   const demand = new DemandTracker(settings.cells.demandTimeConstantMs);
   const cellParts = { directory, membership, configuration, applications, demand };
   const cells = new CellManager(identity, settings, cellParts, emit);
@@ -103,7 +106,7 @@
   const slots = limits.holder;
   const admissionParts = { configuration, slots, completions, applications, demand, freshness };
   const admission: Admission = new Admission(admissionParts, emit);
-  const requests = { admission, limits, completions, applications, quarantine: runs, ledger };
+  const requests = { admission, limits, completions, applications, quarantine, ledger };
   return { membership, configuration, directory, demand, ...requests, cells, editor };
 }
 
--- a/src/daemon/demand-tracker.ts
+++ b/src/daemon/demand-tracker.ts
@@ -14,7 +14,7 @@
 }
 
 /** Weight of the newest answer in the mean length of a service's answers. */
-const OUTPUT_SMOOTHING = 0.05;
+const OUTPUT_LENGTH_WEIGHT = 0.05;
 
 /** Estimates demand in tokens per second. Output lengths are learnt per service. */
 export class DemandTracker {
@@ -25,7 +25,7 @@
 
   /** A request arrived. */
   addArrival(row: ServiceRow, promptTokens: number, maximumTokens: number, now: number): void {
-    const rates = this.ratesOf(row);
+    const rates = this.getRates(row);
     rates.prefill.add(promptTokens, now);
     rates.decode.add(Math.min(maximumTokens, this.outputTokens.get(row.name) ?? maximumTokens), now);
   }
@@ -34,7 +34,7 @@
   addOutput(service: string, outputTokens: number): void {
     if (outputTokens === 0) return;
     const known = this.outputTokens.get(service);
-    const next = known === undefined ? outputTokens : known + OUTPUT_SMOOTHING * (outputTokens - known);
+    const next = known === undefined ? outputTokens : known + OUTPUT_LENGTH_WEIGHT * (outputTokens - known);
     this.outputTokens.set(service, next);
   }
 
@@ -48,7 +48,7 @@
     ]);
   }
 
-  private ratesOf(row: ServiceRow): ModelRates {
+  private getRates(row: ServiceRow): ModelRates {
     const key = `${row.model}@${row.version}`;
     let rates = this.rates.get(key);
     if (!rates) {
--- a/src/daemon/engine-reports.ts
+++ b/src/daemon/engine-reports.ts
@@ -14,12 +14,12 @@
 type CellDigest = Extract<CellMessage, { kind: 'cellDigest' }>;
 
 /** After a pause messages that waited in sockets are read within this time. Milliseconds. */
-const WAKE_GRACE_MS = 1000;
+const PAUSE_GRACE_MS = 1000;
 /**
  * Without a digest for this long the daemon asks the engines itself. Milliseconds; large cells get a
  * digest each 2 s.
  */
-const DIGEST_MISSING_MS = 3000;
+const DIGEST_TIMEOUT_MS = 3000;
 /** Engines asked per interval without digests, at least. */
 const DIRECT_REPORTS_PER_INTERVAL = 4;
 /**
@@ -34,7 +34,7 @@
   private readonly lastDigest = new Map<string, { coordinator: string; sequence: number }>();
   private nextDirectReportAt = 0;
   private pausedAt = -Infinity;
-  private distrustUntil = -Infinity;
+  private pauseGraceUntil = -Infinity;
 
   constructor(
     private readonly settings: CompletionDaemonSettings,
@@ -53,7 +53,7 @@
    */
   onProcessResumed(pausedAt: number, now: number): void {
     this.pausedAt = pausedAt;
-    this.distrustUntil = now + WAKE_GRACE_MS;
+    this.pauseGraceUntil = now + PAUSE_GRACE_MS;
   }
 
   /** Takes an engine's own answer. */
@@ -80,16 +80,16 @@
   tick(now: number): void {
     if (now < this.nextDirectReportAt) return;
     this.nextDirectReportAt = now + this.settings.cells.digestIntervalMs;
-    const missing: EngineView[] = [];
+    const withoutDigest: EngineView[] = [];
     for (const view of this.directory.all()) {
       const digestAt = this.lastDigestAt.get(view.cell) ?? -Infinity;
-      if (view.assignment === undefined || now - digestAt > DIGEST_MISSING_MS) missing.push(view);
+      if (view.assignment === undefined || now - digestAt > DIGEST_TIMEOUT_MS) withoutDigest.push(view);
     }
-    missing.sort((left, right) => left.reportTime() - right.reportTime());
+    withoutDigest.sort((left, right) => left.reportTime() - right.reportTime());
     // Engines of which nothing is known come first, all of them: a starting daemon needs them.
-    const unknown = missing.filter((view) => view.assignment === undefined).length;
-    const count = Math.max(unknown, DIRECT_REPORTS_PER_INTERVAL, missing.length / DIRECT_REPORT_ROUNDS);
-    for (const view of missing.slice(0, count)) this.askEngine(view);
+    const unknown = withoutDigest.filter((view) => view.assignment === undefined).length;
+    const count = Math.max(unknown, DIRECT_REPORTS_PER_INTERVAL, withoutDigest.length / DIRECT_REPORT_ROUNDS);
+    for (const view of withoutDigest.slice(0, count)) this.requestReport(view);
   }
 
   private applyLoad([id, phase, streams, waitingPrefillTokens, ageMs]: EngineLoad, now: number): void {
@@ -105,7 +105,7 @@
   /** When a report of this age was made, at the latest, on this daemon's clock. */
   private getMadeAt(now: number, ageMs: number): number {
     const madeAt = now - ageMs - this.settings.directory.reportLagMs;
-    return now < this.distrustUntil ? Math.min(madeAt, this.pausedAt) : madeAt;
+    return now < this.pauseGraceUntil ? Math.min(madeAt, this.pausedAt) : madeAt;
   }
 
   private isNewDigest({ cell, coordinator, sequence }: CellDigest): boolean {
@@ -115,7 +115,7 @@
     return true;
   }
 
-  private askEngine({ id, address, cell }: EngineView): void {
+  private requestReport({ id, address, cell }: EngineView): void {
     const request = { kind: 'report' } as const;
     this.emit({ kind: 'engineControl', purpose: 'directory', cell, engineId: id, address, request });
   }
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -23,7 +23,7 @@
  * Daemons assumed, at least, to share the retry budget and the connections of back ends while some may
  * not be known.
  */
-const UNKNOWN_FLEET_SIZE = 32;
+const MINIMUM_ASSUMED_DAEMONS = 32;
 /**
  * Interval between ticks. Milliseconds. What waits for a tick (a deadline, a stalled attempt, a digest) bears
  * so much delay; each tick costs a process some 0.05 ms.
@@ -35,9 +35,9 @@
  */
 const BACKEND_SCAN_MS = 120;
 /** A process that saw so much time pass between two ticks was paused. Milliseconds. Six ticks. */
-const OWN_PAUSE_MS = 250;
+const PROCESS_PAUSE_MS = 250;
 /** Daemons are ranked as readers of the store by this key. */
-const READER_KEY = 'store-reader';
+const STORE_READER_KEY = 'store-reader';
 
 /** The state machine of one forwarding daemon. Times are monotonic milliseconds. */
 export class ForwardingDaemon {
@@ -49,11 +49,11 @@
   private draining = false;
   private membersChanged = true;
   /** This daemon's place among those that follow the store. */
-  private rank = 0;
+  private readerRank = 0;
   /** The time of the event that is handled now. */
-  private handledAt: number;
-  private tickedAt: number;
-  private scannedAt = -Infinity;
+  private eventAt: number;
+  private lastTickAt: number;
+  private lastScanAt = -Infinity;
 
   constructor(
     private readonly identity: DaemonIdentity,
@@ -62,8 +62,8 @@
     random: RandomSource,
     now: number,
   ) {
-    this.tickedAt = now;
-    this.handledAt = now;
+    this.lastTickAt = now;
+    this.eventAt = now;
     const logChange = (event: ChangeEvent, fields: Readonly<Record<string, unknown>>): void =>
       this.logChange(event, fields);
     this.machines = createForwardingMachines({
@@ -76,8 +76,8 @@
       emit: (effect) => void this.outbox.push(effect),
       routes: () => this.routes,
       daemons: () => this.countSharingDaemons(),
-      isFirstReader: () => this.rank === 0,
-      getEventTime: () => this.handledAt,
+      isFirstReader: () => this.readerRank === 0,
+      getEventTime: () => this.eventAt,
       logChange,
       onMembership: (effect) => this.onMembership(effect),
       onFleet: (effect) => this.onFleet(effect),
@@ -95,7 +95,7 @@
 
   /** Handles one event and returns what is to be done, in order. */
   handle(event: ForwardingEvent, now: number): ForwardingEffect[] {
-    this.handledAt = now;
+    this.eventAt = now;
     this.dispatch(event, now);
     const effects = this.outbox;
     this.outbox = [];
@@ -173,9 +173,9 @@
   }
 
   private tick(now: number): void {
-    const sinceTickMs = now - this.tickedAt;
-    this.tickedAt = now;
-    if (sinceTickMs > OWN_PAUSE_MS) {
+    const sinceTickMs = now - this.lastTickAt;
+    this.lastTickAt = now;
+    if (sinceTickMs > PROCESS_PAUSE_MS) {
       this.logChange('process.paused', {
         forMs: Math.round(sinceTickMs),
         requests: this.countOpenRequests(),
@@ -183,13 +183,13 @@
       this.onProcessResumed(now);
     }
     this.machines.membership.tick(now);
-    this.rankReader();
+    this.setReaderRank();
     this.machines.replica.tick(now);
     this.machines.exchange.tick(now);
     this.machines.manager.tick(now);
     for (const part of this.machines.parts) part.tick?.(now);
-    if (now - this.scannedAt < BACKEND_SCAN_MS) return;
-    this.scannedAt = now;
+    if (now - this.lastScanAt < BACKEND_SCAN_MS) return;
+    this.lastScanAt = now;
     this.reports.tick(now);
     for (const part of this.machines.parts) part.scan?.(this.draining, now);
   }
@@ -241,12 +241,16 @@
   /**
    * Finds this daemon's place among those that follow the store. Before it knows any peer it is the first.
    */
-  private rankReader(): void {
+  private setReaderRank(): void {
     if (!this.membersChanged) return;
     this.membersChanged = false;
     this.machines.directory.peers.setDaemons(this.machines.membership.active().length);
-    this.rank = getRendezvousPlace(READER_KEY, this.machines.membership.activeIds(), this.identity.id);
-    this.machines.replica.setRank(this.rank);
+    this.readerRank = getRendezvousPlace(
+      STORE_READER_KEY,
+      this.machines.membership.activeIds(),
+      this.identity.id,
+    );
+    this.machines.replica.setRank(this.readerRank);
   }
 
   /**
@@ -257,13 +261,13 @@
   private countSharingDaemons(): number {
     const sharing = this.machines.membership.countSharing();
     const knowsAll = this.machines.membership.joined() && this.machines.membership.knowsSeeds();
-    return knowsAll ? sharing : Math.max(sharing, UNKNOWN_FLEET_SIZE);
+    return knowsAll ? sharing : Math.max(sharing, MINIMUM_ASSUMED_DAEMONS);
   }
 
   private onMembership(effect: MembershipEffect): void {
     if (effect.kind === 'sendMembership') {
       const { address } = effect;
-      this.outbox.push({ kind: 'sendPeer', address, message: this.addFromParts(effect.message) });
+      this.outbox.push({ kind: 'sendPeer', address, message: this.addPartFields(effect.message) });
       return;
     }
     this.membersChanged = true;
@@ -275,9 +279,9 @@
     this.logChange('member.changed', { member: member.id, state: member.state, previous });
   }
 
-  private addFromParts(message: MembershipMessage): MembershipMessage {
+  private addPartFields(message: MembershipMessage): MembershipMessage {
     return this.machines.parts.reduce(
-      (sum, part) => part.addToMembership?.(sum, this.handledAt) ?? sum,
+      (sum, part) => part.addToMembership?.(sum, this.eventAt) ?? sum,
       message,
     );
   }
@@ -293,17 +297,16 @@
       case 'configurationChanged':
         this.routes = new RouteTable(effect.configuration);
         this.tenants.apply(effect.configuration.tenants);
-        for (const part of this.machines.parts)
-          part.applyConfiguration?.(effect.configuration, this.handledAt);
+        for (const part of this.machines.parts) part.applyConfiguration?.(effect.configuration, this.eventAt);
         this.outbox.push({ kind: 'configurationInForce', configuration: effect.configuration });
         break;
       case 'backendChanged':
         this.machines.directory.put(effect.record);
-        for (const part of this.machines.parts) part.applyBackend?.(effect.record, this.handledAt);
+        for (const part of this.machines.parts) part.applyBackend?.(effect.record, this.eventAt);
         break;
       case 'backendRemoved':
         this.machines.directory.remove(effect.id);
-        for (const part of this.machines.parts) part.removeBackend?.(effect.id, this.handledAt);
+        for (const part of this.machines.parts) part.removeBackend?.(effect.id, this.eventAt);
         this.outbox.push({ kind: 'backendGone', backendId: effect.id });
         break;
     }
--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -202,7 +202,7 @@
   const { identity, settings, random, emit, now } = context;
   const { replica, directory, kvIndex, signals, membership } = machines;
   // A placement counts only where the configuration says how much an engine of the service keeps.
-  const learnPlacement = (placement: PartPlacement): void => {
+  const applyPlacement = (placement: PartPlacement): void => {
     const service = directory.get(placement[0])?.record.service;
     if (service === undefined) return;
     const capacityTokens = context.routes()?.service(service)?.engine?.kvCapacityTokens;
@@ -212,7 +212,7 @@
     settings.exchange,
     replica,
     directory,
-    { placements: { take: () => kvIndex.takeRecent(), learn: learnPlacement }, ...signals },
+    { placements: { take: () => kvIndex.takeRecent(), learn: applyPlacement }, ...signals },
     {
       selfAddress: identity.address,
       zone: identity.zone,
--- a/src/daemon/limit-manager.ts
+++ b/src/daemon/limit-manager.ts
@@ -47,7 +47,7 @@
     this.holder = new SlotHolder(
       settings,
       (service) => this.ownership.ownerOf(service),
-      (effect) => this.onHolder(effect),
+      (effect) => this.onHolderEffect(effect),
     );
   }
 
@@ -100,7 +100,7 @@
     if (member) emit({ kind: 'sendPeer', address: member.address, message });
   }
 
-  private onHolder(effect: HolderEffect): void {
+  private onHolderEffect(effect: HolderEffect): void {
     const { admission, defer } = this.context;
     switch (effect.kind) {
       case 'sendLimit':
--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -49,7 +49,7 @@
       isFirst: () => getRendezvousPlace(CLEANER_KEY, getMemberIds(), selfId) === 0,
       hasOlderRun: ({ id }: WatchedBackend, before: number) => options.hasOlderAttempt(id, before),
     };
-    const onEffect = (effect: QuarantineEffect): void => this.onQuarantine(effect);
+    const onEffect = (effect: QuarantineEffect): void => this.onQuarantineEffect(effect);
     this.manager = new QuarantineManager(DEFAULT_QUARANTINE_SETTINGS, context, random, onEffect, now);
   }
 
@@ -91,7 +91,7 @@
     this.manager.tick(now);
   }
 
-  private onQuarantine(effect: QuarantineEffect): void {
+  private onQuarantineEffect(effect: QuarantineEffect): void {
     switch (effect.kind) {
       case 'quarantineTable':
         this.emit({ kind: 'tableRequest', tag: { kind: 'quarantine' }, request: effect.request });
--- a/src/daemon/service-editor.ts
+++ b/src/daemon/service-editor.ts
@@ -24,20 +24,20 @@
   readonly editId: string;
   readonly edits: readonly RowEdit[];
   readonly startedAt: number;
-  repeatAt: number;
-  awaiting: boolean;
+  retryAt: number;
+  isAwaitingAnswer: boolean;
   /** Whether an earlier sending may have taken effect. */
-  uncertain: boolean;
+  mayHaveApplied: boolean;
 }
 
 /** Interval between repeats of an edit without an answer. Milliseconds. */
-const REPEAT_INTERVAL_MS = 500;
+const RETRY_INTERVAL_MS = 500;
 /** An edit without an answer for so long fails. Milliseconds. */
 const EDIT_TIMEOUT_MS = 10_000;
 
 /** The editing machine of one daemon. Times are monotonic milliseconds. */
 export class ServiceEditor {
-  private readonly running = new Map<string, Edit>();
+  private readonly pendingEdits = new Map<string, Edit>();
 
   constructor(private readonly emit: EffectSink<EditorEffect>) {}
 
@@ -62,48 +62,55 @@
       this.emit({ kind: 'editFailed', editId, error });
       return;
     }
-    const edit: Edit = { editId, edits, startedAt: now, repeatAt: now, awaiting: false, uncertain: false };
-    this.running.set(editId, edit);
+    const edit: Edit = {
+      editId,
+      edits,
+      startedAt: now,
+      retryAt: now,
+      isAwaitingAnswer: false,
+      mayHaveApplied: false,
+    };
+    this.pendingEdits.set(editId, edit);
     this.send(edit);
   }
 
   /** Takes the answer to an `editTable` effect. Returns whether an edit was accepted. */
   receiveTableResult(editId: string, result: TableResult, now: number): boolean {
-    const edit = this.running.get(editId);
+    const edit = this.pendingEdits.get(editId);
     if (!edit) return false;
-    edit.awaiting = false;
+    edit.isAwaitingAnswer = false;
     switch (result.kind) {
       case 'committed':
-        this.running.delete(editId);
+        this.pendingEdits.delete(editId);
         this.emit({ kind: 'editAccepted', editId, revision: result.revision });
         return true;
       case 'conflict':
-        this.fail(edit, conflictError(edit, result));
+        this.fail(edit, makeConflictError(edit, result));
         return false;
       case 'rateLimited':
-        edit.repeatAt = now + result.retryAfterMs;
+        edit.retryAt = now + result.retryAfterMs;
         return false;
       default:
-        edit.uncertain = true;
-        edit.repeatAt = now + REPEAT_INTERVAL_MS;
+        edit.mayHaveApplied = true;
+        edit.retryAt = now + RETRY_INTERVAL_MS;
         return false;
     }
   }
 
   /** Repeats edits without an answer, and fails old ones without claiming that they had no effect. */
   tick(now: number): void {
-    for (const edit of [...this.running.values()]) {
+    for (const edit of [...this.pendingEdits.values()]) {
       if (now - edit.startedAt > EDIT_TIMEOUT_MS) {
-        const notRun = edit.uncertain || edit.awaiting ? 'unknown' : 'true';
+        const notRun = edit.mayHaveApplied || edit.isAwaitingAnswer ? 'unknown' : 'true';
         this.fail(edit, new TableUnavailableError('no answer to the edit', notRun, EDIT_RETRY_AFTER_MS));
-      } else if (!edit.awaiting && now >= edit.repeatAt) {
+      } else if (!edit.isAwaitingAnswer && now >= edit.retryAt) {
         this.send(edit);
       }
     }
   }
 
   private send(edit: Edit): void {
-    edit.awaiting = true;
+    edit.isAwaitingAnswer = true;
     const writes = edit.edits.map((row) => ({
       table: 'services' as const,
       key: row.name,
@@ -118,12 +125,12 @@
   }
 
   private fail(edit: Edit, error: PulleyledgeError): void {
-    this.running.delete(edit.editId);
+    this.pendingEdits.delete(edit.editId);
     this.emit({ kind: 'editFailed', editId: edit.editId, error });
   }
 }
 
-function conflictError(
+function makeConflictError(
   edit: Edit,
   result: Extract<TableResult, { kind: 'conflict' }>,
 ): RevisionConflictError {
--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -30,18 +30,18 @@
  * A member must have been the chosen one for so long before it takes the lease. Milliseconds; a choice
  * that the next member to join would change is not acted on.
  */
-const SETTLED_MS = 1500;
+const ELECTION_SETTLE_MS = 1500;
 
 /**
  * Members that may lead a service: the first in rank, and those that stand in for it. The store may refuse a
  * daemon that others do not miss.
  */
-const CANDIDATES = 3;
+const MAXIMUM_CANDIDATES = 3;
 /**
  * Each candidate waits for so long, for each one before it in rank, before it takes a lease that is free.
  * Milliseconds; a write that was lost is repeated within half of it.
  */
-const STANDBY_MS = 2000;
+const STANDBY_DELAY_MS = 2000;
 
 /** This daemon's place in rank for a service's lease, and since when that is so. */
 interface Election {
@@ -61,7 +61,7 @@
   private readonly coordinators = new Map<string, StageCoordinator>();
   private slots = new Map<string, number>();
   private readonly elections = new Map<string, Election>();
-  private electors: readonly Member[] = [];
+  private rankedMembers: readonly Member[] = [];
 
   constructor(
     private readonly selfId: string,
@@ -78,12 +78,12 @@
 
   /** Advances every coordinator. `mayLead` is false while the daemon stops or does not hear the store. */
   tick(now: number, mayLead: boolean): void {
-    this.elect(now);
+    this.updateElections(now);
     for (const [service, slots] of this.slots) {
       const election = this.elections.get(service);
-      const settled = election !== undefined && now - election.since >= SETTLED_MS;
-      const shouldLead = mayLead && settled && election.place < CANDIDATES;
-      const patienceMs = (election?.place ?? 0) * STANDBY_MS;
+      const settled = election !== undefined && now - election.since >= ELECTION_SETTLE_MS;
+      const shouldLead = mayLead && settled && election.place < MAXIMUM_CANDIDATES;
+      const patienceMs = (election?.place ?? 0) * STANDBY_DELAY_MS;
       this.tickService({ service, slots, shouldLead, patienceMs }, now);
     }
   }
@@ -109,11 +109,11 @@
   }
 
   /** Finds this daemon's place in rank for each service, when the members or the services have changed. */
-  private elect(now: number): void {
+  private updateElections(now: number): void {
     const members = this.parts.members();
     const known = [...this.slots.keys()].every((service) => this.elections.has(service));
-    if (members === this.electors && known) return;
-    this.electors = members;
+    if (members === this.rankedMembers && known) return;
+    this.rankedMembers = members;
     const ids = members.map((member) => member.id);
     for (const service of this.slots.keys()) {
       const place = getRendezvousPlace(service, ids, this.selfId);
@@ -122,7 +122,7 @@
   }
 
   private tickService({ service, slots, shouldLead, patienceMs }: ServiceTick, now: number): void {
-    const coordinator = this.coordinatorOf(service, now);
+    const coordinator = this.getCoordinator(service, now);
     const views = this.parts.directory.ofService(service);
     if (views.length === 0) return;
     const inFlight = views.reduce((sum, view) => sum + view.inFlight(), 0);
@@ -140,7 +140,7 @@
     for (const view of views) view.changing = coordinator.isChanging(view.record.id);
   }
 
-  private coordinatorOf(service: string, now: number): StageCoordinator {
+  private getCoordinator(service: string, now: number): StageCoordinator {
     let coordinator = this.coordinators.get(service);
     if (!coordinator) {
       coordinator = new StageCoordinator(service, this.selfId, this.settings, this.emit, now);
--- a/src/parts/backend-signal-part.ts
+++ b/src/parts/backend-signal-part.ts
@@ -16,16 +16,16 @@
   /// When each limit was last heard of or asked for.
   private readonly confirmedAt = new Map<BackendView, number>()
   /// Back ends that name their limits in answers to health checks too: there silence tells that one has ended.
-  private readonly namedInChecks = new Set<BackendView>()
+  private readonly namesLimitInChecks = new Set<BackendView>()
   /// The last signal of each back end that could not be read.
-  private readonly unreadable = new Map<BackendView, string>()
+  private readonly lastUnreadable = new Map<BackendView, string>()
 
-  constructor(private readonly surroundings: PartContext) {
+  constructor(private readonly context: PartContext) {
     super()
   }
 
   override applyBackend({id}: BackendRecord, now: number): void {
-    const {directory, leaving, limits} = this.surroundings
+    const {directory, leaving, limits} = this.context
     const view = directory.get(id)
     if (!view) return
     limits.applyRecord(view, now)
@@ -33,11 +33,11 @@
   }
 
   override removeBackend(id: string): void {
-    this.surroundings.leaving.remove(id)
+    this.context.leaving.remove(id)
   }
 
   override onSignals(view: BackendView, report: SignalReport, now: number): void {
-    const {leaving, limits, logChange} = this.surroundings
+    const {leaving, limits, logChange} = this.context
     const {id: backend} = view.record
     this.logUnreadable(view, report.signals.unreadable)
     limits.apply(view, report, now)
@@ -53,15 +53,15 @@
   override receiveAnswer(event: AnswerEvent, now: number): void {
     if (event.kind !== "backendSignalled") return
     const {backend, signals, sentAt, isHealthCheck} = event
-    const view = this.surroundings.directory.get(backend.id)
+    const view = this.context.directory.get(backend.id)
     if (!view || view.record.bornMs !== backend.bornMs) return
-    if (isHealthCheck && signals.requestsPerSecond !== undefined) this.namedInChecks.add(view)
-    const isConclusive = isHealthCheck && this.namedInChecks.has(view)
+    if (isHealthCheck && signals.requestsPerSecond !== undefined) this.namesLimitInChecks.add(view)
+    const isConclusive = isHealthCheck && this.namesLimitInChecks.has(view)
     this.onSignals(view, {signals, sentAt, isConclusive}, now)
   }
 
   override receivePeer(fromId: string, fromAddress: string, message: PeerMessage, now: number): void {
-    const {permits} = this.surroundings
+    const {permits} = this.context
     permits.hear(fromId, now)
     switch (message.kind) {
       case "quotaAsk":
@@ -75,43 +75,43 @@
   }
 
   override onProcessResumed(now: number): void {
-    this.surroundings.permits.resumeAfterPause(now)
+    this.context.permits.resumeAfterPause(now)
   }
 
   override onMachineSuspended(forMs: number): void {
-    this.surroundings.limits.addAge(forMs)
+    this.context.limits.addAge(forMs)
   }
 
   override tick(now: number): void {
-    this.surroundings.permits.tick(now)
+    this.context.permits.tick(now)
   }
 
   override scan(_leaving: boolean, now: number): void {
-    this.surroundings.limits.tick()
-    for (const known of [this.confirmedAt, this.namedInChecks, this.unreadable])
+    this.context.limits.tick()
+    for (const known of [this.confirmedAt, this.namesLimitInChecks, this.lastUnreadable])
       for (const view of known.keys()) if (view.gone) known.delete(view)
-    for (const view of this.surroundings.limits.getLimited()) this.confirm(view, now)
+    for (const view of this.context.limits.getLimited()) this.probeLimit(view, now)
   }
 
   override getFigures(): PartFigures {
-    return this.surroundings.permits.getFigures()
+    return this.context.permits.getFigures()
   }
 
   /// Once for what a back end says in answer after answer.
   private logUnreadable(view: BackendView, signals: readonly string[]): void {
     const {id: backend} = view.record
     for (const signal of signals) {
-      if (this.unreadable.get(view) === signal) continue
-      this.unreadable.set(view, signal)
-      this.surroundings.logChange("backend.signal-unreadable", {backend, signal})
+      if (this.lastUnreadable.get(view) === signal) continue
+      this.lastUnreadable.set(view, signal)
+      this.context.logChange("backend.signal-unreadable", {backend, signal})
     }
   }
 
   /// Without requests no answer would tell that a limit has ended. One daemon asks for all.
-  private confirm(view: BackendView, now: number): void {
-    const {emit, permits, routes} = this.surroundings
-    const heardAt = this.confirmedAt.get(view) ?? view.limit.getChangedAt()
-    if (now - heardAt < CONFIRM_INTERVAL_MS || !permits.isOwner(view, now)) return
+  private probeLimit(view: BackendView, now: number): void {
+    const {emit, permits, routes} = this.context
+    const lastConfirmedAt = this.confirmedAt.get(view) ?? view.limit.getChangedAt()
+    if (now - lastConfirmedAt < CONFIRM_INTERVAL_MS || !permits.isOwner(view, now)) return
     this.confirmedAt.set(view, now)
     const healthPath = routes()?.service(view.record.service)?.healthPath
     if (healthPath !== undefined) emit({kind: "probeBackend", probe: {backend: view.record}, healthPath})
--- a/src/parts/daemon-parts.ts
+++ b/src/parts/daemon-parts.ts
@@ -12,18 +12,18 @@
 import {StagePart} from "./stage-part.js"
 
 /// Every part of one daemon, in the order in which they hear of things.
-export function createParts(surroundings: PartContext, now: number): readonly DaemonPart[] {
-  const {duties, quotas} = surroundings.settings
-  const {regions} = surroundings
+export function createParts(context: PartContext, now: number): readonly DaemonPart[] {
+  const {duties, quotas} = context.settings
+  const {regions} = context
   return [
-    new HealthPart(surroundings),
-    new BackendSignalPart(surroundings),
-    new KvPart(surroundings, now),
-    new PacePart(surroundings),
-    new StagePart(surroundings),
-    new QuarantinePart(surroundings, now),
-    ...(regions ? [new RegionPart(surroundings, regions)] : []),
-    ...(duties ? [new DutyPart(surroundings, duties, now)] : []),
-    ...(quotas ? [new QuotaPart(surroundings, quotas)] : [])
+    new HealthPart(context),
+    new BackendSignalPart(context),
+    new KvPart(context, now),
+    new PacePart(context),
+    new StagePart(context),
+    new QuarantinePart(context, now),
+    ...(regions ? [new RegionPart(context, regions)] : []),
+    ...(duties ? [new DutyPart(context, duties, now)] : []),
+    ...(quotas ? [new QuotaPart(context, quotas)] : [])
   ]
 }
--- a/src/parts/duty-part.ts
+++ b/src/parts/duty-part.ts
@@ -12,12 +12,12 @@
   private readonly manager: DutyManager
 
   constructor(
-    private readonly surroundings: PartContext,
+    private readonly context: PartContext,
     settings: DutySettings,
     now: number
   ) {
     super()
-    const {identity, members, directory, routes} = surroundings
+    const {identity, members, directory, routes} = context
     this.manager = new DutyManager(
       identity.id,
       settings,
@@ -26,7 +26,7 @@
         services: () => routes()?.configuration.services ?? [],
         backendsOf: service => directory.ofService(service)
       },
-      effect => this.onDuty(effect),
+      effect => this.onDutyEffect(effect),
       now
     )
   }
@@ -66,7 +66,7 @@
         break
       case "dutyResult":
         if (event.result.kind !== "accepted")
-          this.surroundings.logChange("duty.failed", {duty: event.call.kind, ...event.result})
+          this.context.logChange("duty.failed", {duty: event.call.kind, ...event.result})
         this.manager.receiveDutyResult(event.call, event.result, now)
         break
       default:
@@ -78,8 +78,8 @@
     this.manager.tick(leaving, now)
   }
 
-  private onDuty(effect: DutyEffect): void {
-    const {emit, logChange} = this.surroundings
+  private onDutyEffect(effect: DutyEffect): void {
+    const {emit, logChange} = this.context
     switch (effect.kind) {
       case "callDuty":
         if (effect.call.kind === "orderServers") logChange("servers.ordered", {...effect.call})
--- a/src/parts/health-part.ts
+++ b/src/parts/health-part.ts
@@ -7,9 +7,9 @@
   override readonly name = "health"
   private readonly prober: HealthProber
 
-  constructor(private readonly surroundings: PartContext) {
+  constructor(private readonly context: PartContext) {
     super()
-    const {directory, routes, emit} = surroundings
+    const {directory, routes, emit} = context
     this.prober = new HealthProber(directory, probe => {
       const healthPath = routes()?.service(probe.backend.service)?.healthPath
       if (healthPath !== undefined) emit({kind: "probeBackend", probe, healthPath})
@@ -18,9 +18,9 @@
 
   override receiveAnswer(event: AnswerEvent, now: number): void {
     if (event.kind !== "probed") return
-    const wasLost = this.surroundings.directory.get(event.backendId)?.health.needsProbe(now)
+    const neededProbe = this.context.directory.get(event.backendId)?.health.needsProbe(now)
     this.prober.answered(event.backendId, event.well, now)
-    if (event.well && wasLost) this.surroundings.logChange("backend.recovered", {backend: event.backendId})
+    if (event.well && neededProbe) this.context.logChange("backend.recovered", {backend: event.backendId})
   }
 
   override scan(_leaving: boolean, now: number): void {
--- a/src/parts/pace-part.ts
+++ b/src/parts/pace-part.ts
@@ -2,18 +2,18 @@
 import {DaemonPart, type PartFigures, type PartContext} from "./daemon-part.js"
 
 /// The slowest back ends are shown by rank, so many of them.
-const SHOWN = 3
+const MAXIMUM_SHOWN = 3
 
 /// The pace of back ends as a part.
 export class PacePart extends DaemonPart {
   override readonly name = "paces"
 
-  constructor(private readonly surroundings: PartContext) {
+  constructor(private readonly context: PartContext) {
     super()
   }
 
   override scan(_leaving: boolean, now: number): void {
-    const {directory, logChange} = this.surroundings
+    const {directory, logChange} = this.context
     directory.paces.tick(now)
     for (const {id, slow, factor} of directory.paces.takeChanges()) {
       logChange(slow ? "backend.slow" : "backend.sound", {backend: id, factor: roundFactor(factor)})
@@ -21,9 +21,9 @@
   }
 
   override getFigures(): PartFigures {
-    const slowest = this.surroundings.directory.paces.getFactors().slice(0, SHOWN)
+    const slowest = this.context.directory.paces.getFactors().slice(0, MAXIMUM_SHOWN)
     const byRank = slowest.map(({factor}, rank) => [`factor_${rank + 1}`, roundFactor(factor)])
-    return {slow: this.surroundings.directory.paces.countSlow(), ...Object.fromEntries(byRank)}
+    return {slow: this.context.directory.paces.countSlow(), ...Object.fromEntries(byRank)}
   }
 }
 
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -12,16 +12,16 @@
   override readonly name = "quarantine"
   private readonly manager: QuarantineManager
   private readonly records = new Map<string, BackendRecord>()
-  private refused = 0
-  private handledAt: number
+  private refusedRequests = 0
+  private eventAt: number
 
   constructor(
-    private readonly surroundings: PartContext,
+    private readonly context: PartContext,
     now: number
   ) {
     super()
-    this.handledAt = now
-    const {identity, settings, members, isFirstReader: isFirst, directory, random} = surroundings
+    this.eventAt = now
+    const {identity, settings, members, isFirstReader: isFirst, directory, random} = context
     this.manager = new QuarantineManager(
       settings.quarantine,
       {
@@ -31,14 +31,14 @@
         hasOlderRun: ({id}, before) => directory.get(id)?.hasAttemptBefore(before) ?? false
       },
       random,
-      effect => this.onQuarantine(effect),
+      effect => this.onQuarantineEffect(effect),
       now
     )
   }
 
   override getQuarantineMs(key: string, now: number): number | undefined {
     const leftMs = this.manager.getQuarantineMs(key, now)
-    if (leftMs !== undefined) this.refused += 1
+    if (leftMs !== undefined) this.refusedRequests += 1
     return leftMs
   }
 
@@ -47,8 +47,8 @@
   }
 
   override onAttemptBroken(key: string, record: BackendRecord, startedAt: number, now: number): void {
-    this.handledAt = now
-    this.manager.addBreak(key, toWatched(record), startedAt, now)
+    this.eventAt = now
+    this.manager.addBreak(key, makeIncarnation(record), startedAt, now)
   }
 
   override onAttemptAnswered(key: string, now: number): void {
@@ -67,13 +67,13 @@
   override removeBackend(id: string, now: number): void {
     const record = this.records.get(id)
     this.records.delete(id)
-    this.handledAt = now
-    if (record && !this.surroundings.directory.isLeaving(record))
+    this.eventAt = now
+    if (record && !this.context.directory.isLeaving(record))
       this.manager.removeBackend(getIncarnation(record), now)
   }
 
   override receivePeer(_fromId: string, fromAddress: string, message: PeerMessage, now: number): void {
-    this.handledAt = now
+    this.eventAt = now
     switch (message.kind) {
       case "quarantineNews":
       case "quarantineDigest":
@@ -86,22 +86,22 @@
   }
 
   override receiveAnswer(event: AnswerEvent, now: number): void {
-    this.handledAt = now
+    this.eventAt = now
     if (event.kind === "backendChecked") this.manager.receiveCheck(event.backend, event.check, now)
     else if (event.kind === "quarantineTableResult") this.manager.receiveTable(event.result, now)
   }
 
   override tick(now: number): void {
-    this.handledAt = now
+    this.eventAt = now
     this.manager.tick(now)
   }
 
   override getFigures(now: number): PartFigures {
-    return {...this.manager.getFigures(now), refused: this.refused}
+    return {...this.manager.getFigures(now), refused: this.refusedRequests}
   }
 
-  private onQuarantine(effect: QuarantineEffect): void {
-    const {emit} = this.surroundings
+  private onQuarantineEffect(effect: QuarantineEffect): void {
+    const {emit} = this.context
     switch (effect.kind) {
       case "sendPeer":
       case "checkBackend":
@@ -109,10 +109,10 @@
         emit(effect)
         break
       case "peerFoundEnd":
-        this.avoidEnded(effect.incarnation)
+        this.avoidCrashed(effect.incarnation)
         break
       case "backendEnded":
-        this.avoidEnded(effect.backend.incarnation)
+        this.avoidCrashed(effect.backend.incarnation)
         emit(makeQuarantineChange(effect))
         break
       default:
@@ -122,14 +122,14 @@
 
   /// Nothing more is sent there until it answers a probe. Otherwise each daemon finds out for itself, by
   /// requests that it refuses.
-  private avoidEnded(incarnation: string): void {
+  private avoidCrashed(incarnation: string): void {
     for (const record of this.records.values())
       if (getIncarnation(record) === incarnation)
-        this.surroundings.directory.get(record.id)?.health.onProcessEnded(this.handledAt)
+        this.context.directory.get(record.id)?.health.onProcessEnded(this.eventAt)
   }
 }
 
-function toWatched(record: BackendRecord): WatchedBackend {
+function makeIncarnation(record: BackendRecord): WatchedBackend {
   const {id, address} = record
   return {id, address, incarnation: getIncarnation(record)}
 }
--- a/src/parts/quota-part.ts
+++ b/src/parts/quota-part.ts
@@ -12,12 +12,14 @@
   private readonly manager: QuotaManager
 
   constructor(
-    private readonly surroundings: PartContext,
+    private readonly context: PartContext,
     settings: QuotaSettings
   ) {
     super()
-    const {identity, random, fleet} = surroundings
-    this.manager = new QuotaManager(identity.id, settings, fleet, random, effect => this.onQuota(effect))
+    const {identity, random, fleet} = context
+    this.manager = new QuotaManager(identity.id, settings, fleet, random, effect =>
+      this.onQuotaEffect(effect)
+    )
   }
 
   override applyConfiguration({tenants}: RouteConfiguration, now: number): void {
@@ -67,8 +69,8 @@
     return this.manager.getFigures()
   }
 
-  private onQuota(effect: QuotaEffect): void {
-    if (effect.kind === "sendPeer") this.surroundings.emit(effect)
-    else this.surroundings.decideQuota(effect.requestId, effect.decision)
+  private onQuotaEffect(effect: QuotaEffect): void {
+    if (effect.kind === "sendPeer") this.context.emit(effect)
+    else this.context.decideQuota(effect.requestId, effect.decision)
   }
 }
--- a/src/parts/region-part.ts
+++ b/src/parts/region-part.ts
@@ -22,7 +22,7 @@
   private readonly probes = new Map<number, SentProbe>()
 
   constructor(
-    private readonly surroundings: PartContext,
+    private readonly context: PartContext,
     private readonly regions: RegionContext
   ) {
     super()
@@ -44,7 +44,7 @@
     this.probes.delete(message.sequence)
     // An answer through a third daemon went another way.
     if (probe?.target !== fromId) return
-    const member = this.surroundings.members().find(({id}) => id === fromId)
+    const member = this.context.members().find(({id}) => id === fromId)
     if (member) this.addSample(member, now - probe.sentAt)
   }
 
@@ -54,7 +54,7 @@
   }
 
   override scan(_leaving: boolean, now: number): void {
-    const {directory, logChange} = this.surroundings
+    const {directory, logChange} = this.context
     const {distance} = this.regions
     const cutOff = findCutOffRegions(directory.all(), distance, now)
     for (const region of cutOff) if (!this.cutOff.has(region)) logChange("region.lost", {region})
@@ -71,14 +71,14 @@
     for (const kind of DISTANCE_CLASSES) figures[`attempts_${kind}`] = attempts[kind]
     figures.share_elsewhere = all > 0 ? attempts.otherRegion / all : 0
     figures.regions_cut_off = this.cutOff.size
-    for (const region of places.getOtherRegions(this.surroundings.identity.zone))
+    for (const region of places.getOtherRegions(this.context.identity.zone))
       figures[`round_trip_ms_${region}`] = roundTrips.getMs(region, "otherRegion")
     return figures
   }
 
   private addSample({zone}: DaemonIdentity, ms: number): void {
     const {places, roundTrips} = this.regions
-    const distance = places.getDistance(this.surroundings.identity.zone, zone)
+    const distance = places.getDistance(this.context.identity.zone, zone)
     roundTrips.addSample(places.getRegion(zone), distance, ms)
   }
 }
--- a/src/parts/request-hooks.ts
+++ b/src/parts/request-hooks.ts
@@ -19,24 +19,24 @@
 
 /// The hooks of parts that may be created later than these.
 export function createRequestHooks(getParts: () => readonly DaemonPart[]): RequestHooks {
-  const findFirst = <Answer>(ask: (part: DaemonPart) => Answer | undefined): Answer | undefined => {
+  const findFirst = <Answer>(getAnswer: (part: DaemonPart) => Answer | undefined): Answer | undefined => {
     for (const part of getParts()) {
-      const answer = ask(part)
+      const answer = getAnswer(part)
       if (answer !== undefined) return answer
     }
     return undefined
   }
-  const tellAll = (tell: (part: DaemonPart) => void): void => getParts().forEach(tell)
+  const runAll = (run: (part: DaemonPart) => void): void => getParts().forEach(run)
   return {
-    onRequestBegan: (tenant, at) => tellAll(part => part.onRequestBegan?.(tenant, at)),
+    onRequestBegan: (tenant, at) => runAll(part => part.onRequestBegan?.(tenant, at)),
     getQuarantineMs: (key, now) => findFirst(part => part.getQuarantineMs?.(key, now)),
     getConfinedCaller: (key, now) => findFirst(part => part.getIsolatedCaller?.(key, now)),
     onRunBroken: (key, backend, startedAt, now) =>
-      tellAll(part => part.onAttemptBroken?.(key, backend, startedAt, now)),
-    onRunAnswered: (key, now) => tellAll(part => part.onAttemptAnswered?.(key, now)),
-    onSignals: (view, report, now) => tellAll(part => part.onSignals?.(view, report, now)),
+      runAll(part => part.onAttemptBroken?.(key, backend, startedAt, now)),
+    onRunAnswered: (key, now) => runAll(part => part.onAttemptAnswered?.(key, now)),
+    onSignals: (view, report, now) => runAll(part => part.onSignals?.(view, report, now)),
     takeQuota: (request, now) => findFirst(part => part.takeQuota?.(request, now)),
-    removeQuotaRequest: requestId => tellAll(part => part.removeQuotaRequest?.(requestId)),
-    chargeQuota: (tenant, cost, now) => tellAll(part => part.chargeQuota?.(tenant, cost, now))
+    removeQuotaRequest: requestId => runAll(part => part.removeQuotaRequest?.(requestId)),
+    chargeQuota: (tenant, cost, now) => runAll(part => part.chargeQuota?.(tenant, cost, now))
   }
 }
--- a/src/parts/stage-part.ts
+++ b/src/parts/stage-part.ts
@@ -11,14 +11,14 @@
   override readonly name = "stages"
   private readonly manager: StageManager
 
-  constructor(private readonly surroundings: PartContext) {
+  constructor(private readonly context: PartContext) {
     super()
-    const {identity, settings, members, directory, regions} = surroundings
+    const {identity, settings, members, directory, regions} = context
     this.manager = new StageManager(
       identity.id,
       settings.stages,
       {members, directory, regionOf: zone => regions?.places.getRegion(zone) ?? identity.region},
-      effect => this.onStage(effect)
+      effect => this.onStageEffect(effect)
     )
   }
 
@@ -40,7 +40,7 @@
         break
       case "orderResult": {
         const {backend} = event.order
-        this.surroundings.logChange("order.answered", {backend: backend.id, ...event.result})
+        this.context.logChange("order.answered", {backend: backend.id, ...event.result})
         this.manager.receiveOrderResult(backend.service, backend.id, event.result)
         break
       }
@@ -53,8 +53,8 @@
     this.manager.tick(now, !leaving)
   }
 
-  private onStage(effect: StageEffect): void {
-    const {emit} = this.surroundings
+  private onStageEffect(effect: StageEffect): void {
+    const {emit} = this.context
     if (effect.kind === "leaseTable" || effect.kind === "askEngine") emit(effect)
     else emit(makeStageChange(effect))
     if (effect.kind === "orderEngine") emit(effect)
--- a/test/daemon-parts.test.ts
+++ b/test/daemon-parts.test.ts
@@ -15,7 +15,7 @@
 
 const ADDRESS = '127.0.0.1:1';
 
-function makeSurroundings({ hasDuties }: { hasDuties: boolean }): PartContext {
+function makeContext({ hasDuties }: { hasDuties: boolean }): PartContext {
   const ports = { front: ADDRESS, ready: ADDRESS, control: ADDRESS, metrics: 2 };
   const file = formatSettings('daemon-1', 'zone-a', ports, [], SOAK_BOUNDS, ADDRESS, ADDRESS);
   const { daemon } = processSettings(checkPlatformSettings(file));
@@ -42,18 +42,18 @@
 
 describe('parts of a daemon', () => {
   it('have names of their own', () => {
-    const names = createParts(makeSurroundings({ hasDuties: true }), 0).map(({ name }) => name);
+    const names = createParts(makeContext({ hasDuties: true }), 0).map(({ name }) => name);
     expect(new Set(names).size).to.equal(names.length);
     expect(names).to.include('duties');
   });
 
   it('leave regions out in a fleet of one', () => {
-    const names = createParts(makeSurroundings({ hasDuties: false }), 0).map(({ name }) => name);
+    const names = createParts(makeContext({ hasDuties: false }), 0).map(({ name }) => name);
     expect(names).not.to.include('regions');
   });
 
   it('are left out where the settings do not ask for them', () => {
-    const names = createParts(makeSurroundings({ hasDuties: false }), 0).map(({ name }) => name);
+    const names = createParts(makeContext({ hasDuties: false }), 0).map(({ name }) => name);
     expect(names).not.to.include('duties');
   });
 });
--- a/test/drawn-day.ts
+++ b/test/drawn-day.ts
@@ -18,7 +18,7 @@
 import { watchEffects } from './watch-effects.js';
 
 const FLEET_STARTS_MS = 4000;
-const DAY_MS = 30_000;
+const RUN_MS = 30_000;
 const STEP_MS = 10;
 const REQUESTS_PER_STEP = 0.6;
 const FAULT_CHANCE = 0.012;
@@ -75,20 +75,20 @@
   private readonly random: SeededRandom;
   private readonly regions: number;
   private readonly fleet: ForwardingFleet;
-  private readonly cut = new Set<FleetNode>();
-  private readonly ended = new Set<string>();
+  private readonly partitionedNodes = new Set<FleetNode>();
+  private readonly stoppedAddresses = new Set<string>();
   private readonly orders = new Map<string, { stage: 'prefill' | 'decode'; count: number }>();
   private readonly backends = new Map<string, BackendRecord>();
   private version = 0;
-  private sent = 0;
+  private requestCount = 0;
 
   constructor(private readonly seed: number) {
     this.random = new SeededRandom(seed * 7919);
     this.regions = seed % 4 === 3 ? 2 : 1;
     const duties = seed % 5 === 4 ? undefined : new DutyModel(seed % 2 === 0, 3000);
     this.fleet = new ForwardingFleet(3 + (seed % 5), seed, this.makeSettings(), duties, this.regions);
-    this.fleet.isLinked = (from, to) => this.cut.has(from) === this.cut.has(to);
-    this.fleet.isListening = (address) => !this.ended.has(address);
+    this.fleet.isLinked = (from, to) => this.partitionedNodes.has(from) === this.partitionedNodes.has(to);
+    this.fleet.isListening = (address) => !this.stoppedAddresses.has(address);
   }
 
   /** Plays the day. */
@@ -96,7 +96,7 @@
     watchEffects(
       ForwardingDaemon,
       this.digest,
-      () => this.play(),
+      () => this.runSteps(),
       (daemon, effects) => {
         const node = this.fleet.nodes.find((candidate) => candidate.daemon === daemon);
         if (node) for (const effect of effects as ForwardingEffect[]) this.answer(node, effect);
@@ -115,18 +115,18 @@
     };
   }
 
-  private play(): void {
+  private runSteps(): void {
     this.configure();
     for (let index = 0; index < 4; index += 1) this.startBackend(`p${index}`, undefined);
     for (let index = 0; index < 6; index += 1)
       this.startBackend(`e${index}`, index % 3 === 0 ? 'prefill' : 'decode');
     this.fleet.time.runUntil(FLEET_STARTS_MS);
-    for (let at = FLEET_STARTS_MS; at < DAY_MS; at += STEP_MS) {
+    for (let at = FLEET_STARTS_MS; at < RUN_MS; at += STEP_MS) {
       this.fleet.time.runUntil(at);
       if (this.random.next() < REQUESTS_PER_STEP) this.send();
-      if (this.random.next() < FAULT_CHANCE) this.harm();
+      if (this.random.next() < FAULT_CHANCE) this.injectFault();
     }
-    this.fleet.time.runUntil(DAY_MS + 5000);
+    this.fleet.time.runUntil(RUN_MS + 5000);
   }
 
   private configure(): void {
@@ -162,7 +162,7 @@
       isSpot: id === 'e5',
       bornMs: Math.round(this.fleet.time.now()),
     };
-    this.ended.delete(value.address);
+    this.stoppedAddresses.delete(value.address);
     this.backends.set(id, value);
     this.fleet.write({ collection: 'backends', id, revision: 0, value });
   }
@@ -172,13 +172,13 @@
   }
 
   private send(): void {
-    this.sent += 1;
+    this.requestCount += 1;
     const node = this.pick(this.fleet.nodes);
     const route = this.pick(['/a/x', '/n/x', '/s/x', '/s/x', '/s/x', '/w/x', '/none/x']);
     const caller = this.pick(['anna', 'bert', 'cleo']);
     const isCrash = this.random.next() < 0.01;
     const prompt = route.startsWith('/s') || route.startsWith('/w') ? this.makePrompt() : undefined;
-    this.fleet.submit(node, `r${this.sent}`, route, {
+    this.fleet.submit(node, `r${this.requestCount}`, route, {
       prompt,
       usageTokens: prompt && prompt.promptTokens + prompt.maximumOutputTokens,
       bodyBytes: prompt && prompt.promptTokens * 4,
@@ -189,16 +189,16 @@
     });
     if (this.random.next() < 0.04)
       this.fleet.time.after(this.random.next() * 300, () =>
-        this.fleet.handle(node, { kind: 'cancel', requestId: `r${this.sent}` }),
+        this.fleet.handle(node, { kind: 'cancel', requestId: `r${this.requestCount}` }),
       );
-    if (isCrash) this.crashes.add(`r${this.sent}`);
+    if (isCrash) this.crashingRequests.add(`r${this.requestCount}`);
   }
 
-  private readonly crashes = new Set<string>();
+  private readonly crashingRequests = new Set<string>();
 
   private makePrompt(): PromptOutline {
     const shared = { id: `subject ${this.random.below(7)}`, tokens: this.pick([92, 1500, 13_300]) };
-    const own = { id: `own ${this.sent}`, tokens: this.pick([291, 3720]) };
+    const own = { id: `own ${this.requestCount}`, tokens: this.pick([291, 3720]) };
     const promptTokens = shared.tokens + own.tokens;
     return {
       model: 'model',
@@ -208,7 +208,7 @@
     };
   }
 
-  private harm(): void {
+  private injectFault(): void {
     const node = this.pick(this.fleet.nodes);
     const forMs = 300 + this.random.below(6000);
     const later = (end: () => void): void => this.fleet.time.after(forMs, end);
@@ -232,8 +232,8 @@
         later(() => (node.access = 'serves'));
         break;
       case 5:
-        this.cut.add(node);
-        later(() => this.cut.delete(node));
+        this.partitionedNodes.add(node);
+        later(() => this.partitionedNodes.delete(node));
         break;
       case 6:
         for (const each of this.fleet.nodes) each.access = 'silent';
@@ -243,7 +243,7 @@
         node.clockErrorMs = this.random.below(8000) - 4000;
         break;
       case 8:
-        this.endBackend(id);
+        this.stopBackend(id);
         break;
       case 9:
         this.drainBackend(id);
@@ -253,10 +253,10 @@
     }
   }
 
-  private endBackend(id: string): void {
+  private stopBackend(id: string): void {
     const record = this.backends.get(id);
     if (!record) return;
-    this.ended.add(record.address);
+    this.stoppedAddresses.add(record.address);
     this.fleet.time.after(2500, () => this.startBackend(id, record.stage));
   }
 
@@ -284,7 +284,7 @@
           this.fleet.handle(node, {
             kind: 'engineStatus',
             backend,
-            status: this.ended.has(backend.address) ? undefined : status,
+            status: this.stoppedAddresses.has(backend.address) ? undefined : status,
           }),
         );
         break;
@@ -292,12 +292,12 @@
       case 'orderEngine': {
         const { order } = effect;
         const count = this.orders.get(order.backend.id)?.count ?? 0;
-        const isTaken = count === order.expectedOrders;
-        if (isTaken) {
+        const isAccepted = count === order.expectedOrders;
+        if (isAccepted) {
           this.orders.set(order.backend.id, { stage: order.stage, count: count + 1 });
           after(1500, () => this.startBackend(order.backend.id, order.stage));
         }
-        const result = isTaken
+        const result = isAccepted
           ? ({ kind: 'accepted' } as const)
           : ({ kind: 'refused', status: 409 } as const);
         after(3, () => this.fleet.handle(node, { kind: 'orderResult', order, result }));
@@ -306,7 +306,11 @@
       case 'probeBackend': {
         const { id, address } = effect.probe.backend;
         after(3, () =>
-          this.fleet.handle(node, { kind: 'probed', backendId: id, well: !this.ended.has(address) }),
+          this.fleet.handle(node, {
+            kind: 'probed',
+            backendId: id,
+            well: !this.stoppedAddresses.has(address),
+          }),
         );
         break;
       }
@@ -317,28 +321,29 @@
 
   private answerAttempt(node: FleetNode, start: AttemptStart): void {
     const { requestId, attemptId, backend } = start;
-    const tell = (ms: number, event: ForwardAttemptEvent): void =>
+    const after = (ms: number, event: ForwardAttemptEvent): void =>
       this.fleet.time.after(ms, () =>
         this.fleet.handle(node, { kind: 'attempt', requestId, attemptId, event }),
       );
-    if (this.ended.has(backend.address)) return tell(2, { kind: 'unreachable', reason: 'ECONNREFUSED' });
-    if (this.crashes.has(requestId)) {
-      this.endBackend(backend.id);
-      return tell(40, { kind: 'broken', reason: 'ECONNRESET' });
+    if (this.stoppedAddresses.has(backend.address))
+      return after(2, { kind: 'unreachable', reason: 'ECONNREFUSED' });
+    if (this.crashingRequests.has(requestId)) {
+      this.stopBackend(backend.id);
+      return after(40, { kind: 'broken', reason: 'ECONNRESET' });
     }
     const draw = this.random.next();
     const workMs = 10 + this.random.next() * 120;
-    if (draw < 0.02) return tell(3, { kind: 'notExecuted', status: 503, wrongIncarnation: false });
-    if (draw < 0.03) return tell(3, { kind: 'notExecuted', status: 421, wrongIncarnation: true });
-    if (draw < 0.05) return tell(workMs, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
-    if (draw < 0.06) return tell(workMs, { kind: 'broken', reason: 'garbled', isForeign: true });
-    if (draw < 0.07) return tell(workMs, { kind: 'connectionSilent' });
+    if (draw < 0.02) return after(3, { kind: 'notExecuted', status: 503, wrongIncarnation: false });
+    if (draw < 0.03) return after(3, { kind: 'notExecuted', status: 421, wrongIncarnation: true });
+    if (draw < 0.05) return after(workMs, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
+    if (draw < 0.06) return after(workMs, { kind: 'broken', reason: 'garbled', isForeign: true });
+    if (draw < 0.07) return after(workMs, { kind: 'connectionSilent' });
     if (draw < 0.08) return;
-    if (start.prefillOnly) return tell(workMs, { kind: 'prefilled', handle: `kv ${attemptId}` });
-    if (!start.stream) return tell(workMs, { kind: 'whole', status: draw < 0.1 ? 500 : 200 });
-    tell(workMs, { kind: 'streamStarted' });
-    tell(workMs + 20, { kind: 'streamProgress', lastEventId: '1' });
-    if (draw < 0.12) tell(workMs + 40, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
-    else tell(workMs + 60, { kind: 'whole', status: 200 });
+    if (start.prefillOnly) return after(workMs, { kind: 'prefilled', handle: `kv ${attemptId}` });
+    if (!start.stream) return after(workMs, { kind: 'whole', status: draw < 0.1 ? 500 : 200 });
+    after(workMs, { kind: 'streamStarted' });
+    after(workMs + 20, { kind: 'streamProgress', lastEventId: '1' });
+    if (draw < 0.12) after(workMs + 40, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
+    else after(workMs + 60, { kind: 'whole', status: 200 });
   }
 }
--- a/test/effects-digest.ts
+++ b/test/effects-digest.ts
@@ -94,7 +94,11 @@
       const { address, message } = effect as unknown as { address: string; message: PeerMessage };
       const text = encodePeerMessage(message);
       const kept = this.messages.get(message.kind) ?? [];
-      if (kept.length < KEPT_MESSAGES && text.length < KEPT_LENGTH && !kept.includes(text))
+      if (
+        kept.length < MAXIMUM_MESSAGES_PER_KIND &&
+        text.length < MAXIMUM_MESSAGE_LENGTH &&
+        !kept.includes(text)
+      )
         this.messages.set(message.kind, [...kept, text]);
       return `${address} ${text}`;
     }
@@ -105,8 +109,8 @@
   }
 }
 
-const KEPT_MESSAGES = 2;
-const KEPT_LENGTH = 1500;
+const MAXIMUM_MESSAGES_PER_KIND = 2;
+const MAXIMUM_MESSAGE_LENGTH = 1500;
 
 /** The values of a structure, without the names of its fields. */
 function listValues(value: unknown): string[] {
--- a/test/effects.test.ts
+++ b/test/effects.test.ts
@@ -19,7 +19,7 @@
 describe('what a daemon asks for in a drawn day', () => {
   const messages = new Map<string, string[]>();
 
-  const keepMessages = (digest: EffectsDigest): void => {
+  const addMessages = (digest: EffectsDigest): void => {
     for (const [kind, texts] of digest.messages) if (!messages.has(kind)) messages.set(kind, texts);
   };
 
@@ -28,7 +28,7 @@
     for (const seed of SEEDS) {
       const day = new RandomFleetRun(seed);
       day.run();
-      keepMessages(day.digest);
+      addMessages(day.digest);
       snapshot.add(`seed ${seed}: ${day.digest.count} effects, ${day.digest.finish()}`);
     }
     snapshot.check();
@@ -50,7 +50,7 @@
           settings,
         });
       });
-      keepMessages(digest);
+      addMessages(digest);
       snapshot.add(`seed ${seed}: ${digest.count} effects, ${digest.finish()}`);
     }
     snapshot.check();
--- a/test/region-part.test.ts
+++ b/test/region-part.test.ts
@@ -35,7 +35,7 @@
   };
   const regions = { places, roundTrips, distance };
   const directory = new BackendDirectory(DEFAULT_FORWARDING_SETTINGS.health);
-  const surroundings = {
+  const context = {
     identity: { id: 'daemon-1.a', address: '10.0.0.1:1', zone: 'zone-a', region: 'r1' },
     settings: { ...DEFAULT_FORWARDING_SETTINGS } as PartContext['settings'],
     random: new SeededRandom(1),
@@ -53,7 +53,7 @@
     routes: () => undefined,
     logChange: () => undefined,
   };
-  return { part: new RegionPart(surroundings, regions), distance };
+  return { part: new RegionPart(context, regions), distance };
 }
 
 /** A probe of the far daemon, answered by `from` after so long. */
--- a/test/watch-effects.ts
+++ b/test/watch-effects.ts
@@ -1,21 +1,21 @@
 /** Adds the effects of every daemon of a class to a digest. */
 import type { EffectsDigest } from './effects-digest.js';
 
-type Handles = { handle(event: unknown, now: number): unknown[] };
+type EventHandler = { handle(event: unknown, now: number): unknown[] };
 
 /** Adds the effects of every daemon of a class to a digest while `run` runs; `see` is given them too. */
 export function watchEffects(
   machine: { prototype: unknown },
   digest: EffectsDigest,
   run: () => void,
-  see?: Watcher,
+  onEffects?: EffectsListener,
 ): void {
-  const prototype = machine.prototype as Handles;
+  const prototype = machine.prototype as EventHandler;
   const original = prototype.handle;
   prototype.handle = function handle(this: unknown, event: unknown, now: number): unknown[] {
-    const effects = original.call(this as Handles, event, now);
+    const effects = original.call(this as EventHandler, event, now);
     digest.add(effects as { kind: string }[], now);
-    see?.(this, effects);
+    onEffects?.(this, effects);
     return effects;
   };
   try {
@@ -25,4 +25,4 @@
   }
 }
 
-type Watcher = (daemon: unknown, effects: unknown[]) => void;
+type EffectsListener = (daemon: unknown, effects: unknown[]) => void;
