--- a/src/daemon/admission.ts
+++ b/src/daemon/admission.ts
@@ -1,13 +1,13 @@
 /**
- * Decides at once whether a request is admitted, and gets it a slot of its service before it begins. A
- * refusal is answered the moment it is decided and says truthfully whether the request ran. In this order a
- * request is refused: the daemon stops; it has no configuration, or a stale one; the service is unknown, or
- * of the other kind; a completion would wait for too long (src/routing/completion-rules.ts); the line for
- * slots is at its limit, or the owner of the limits gives no answer. Which Retry-After each gets is in
- * src/routing/retry-after.ts.
+ * Admission control: decides on arrival whether a request is admitted, and acquires a slot of its service
+ * before the request starts. A refusal is sent as soon as it is decided and states correctly whether the
+ * request was executed. The checks, in order: the daemon is stopping; it has no configuration, or a stale
+ * one; the service is unknown, or of the other kind; a completion would wait too long
+ * (src/routing/completion-rules.ts); the queue for slots is full, or the owner of the limits does not answer.
+ * The Retry-After values are in src/routing/retry-after.ts.
  *
- * Owns the requests that wait for a slot and which requests hold one; relies on the holder's side of the
- * limits.
+ * Owns the requests that wait for a slot and the record of which requests hold one; relies on the slot holder
+ * (src/limits/slot-holder.ts).
  */
 import type { ConfigurationReplica, Freshness } from '../configuration/configuration-replica.js';
 import type { ServiceRow } from '../configuration/service-row.js';
@@ -41,7 +41,7 @@
   readonly waitingSince: number;
 }
 
-/** The failure of a request that was not begun. */
+/** The failure of a request that was never started. */
 interface AdmissionEffect {
   readonly kind: 'replyFailed';
   readonly requestId: string;
@@ -49,7 +49,7 @@
   readonly tokensSent: number;
 }
 
-/** The parts of the daemon that admission works with. */
+/** The state machines of the daemon that admission uses. */
 interface AdmissionParts {
   readonly configuration: ConfigurationReplica;
   readonly slots: SlotHolder;
@@ -62,7 +62,7 @@
 /** The admission machine of one daemon. Times are monotonic milliseconds. */
 export class Admission {
   private readonly waiting = new Map<string, WaitingForSlot>();
-  /** Services with a limit whose requests hold a slot here, by request. */
+  /** The service whose slot a request holds, by request ID; only services with a limit. */
   private readonly slotServiceByRequest = new Map<string, string>();
   private draining = false;
 
@@ -71,27 +71,27 @@
     private readonly emit: EffectSink<AdmissionEffect>,
   ) {}
 
-  /** Requests that wait for a slot. */
+  /** Number of requests that wait for a slot. */
   countWaitingForSlots(): number {
     return this.waiting.size;
   }
 
-  /** From now on new requests are refused. */
+  /** Refuses all new requests from now on. */
   closeForNew(): void {
     this.draining = true;
   }
 
-  /** Takes a completion from a caller. */
+  /** Admits or refuses a caller's completion request. */
   submitCompletion(request: CompletionRequest, now: number): void {
     this.submit({ kind: 'completion', request }, now);
   }
 
-  /** Takes an application call from a caller. */
+  /** Admits or refuses a caller's application call. */
   submitApplication(request: ApplicationCall, now: number): void {
     this.submit({ kind: 'application', request }, now);
   }
 
-  /** The owner of the service's limits granted a slot. */
+  /** Starts a request to which the owner of the service's limits granted a slot. */
   onSlotGranted(requestId: string, now: number): void {
     const waiting = this.waiting.get(requestId);
     if (!waiting) return;
@@ -100,7 +100,7 @@
     this.begin(waiting.work, waiting.row, now);
   }
 
-  /** The waiting limit is reached. */
+  /** Refuses a request because the service's limit of waiting requests is reached. */
   onSlotRefused(requestId: string, retryAfterMs: number): void {
     const waiting = this.waiting.get(requestId);
     if (!waiting) return;
@@ -108,13 +108,13 @@
     this.refuse(requestId, new WaitingLimitError(row.name, row.maximumWaiting, retryAfterMs));
   }
 
-  /** The owner did not answer. */
+  /** Refuses a request because the owner of the limits did not answer. */
   onSlotTimedOut(requestId: string): void {
     const waiting = this.waiting.get(requestId);
     if (waiting) this.refuse(requestId, new SlotUnavailableError(waiting.row.name, SLOT_RETRY_AFTER_MS));
   }
 
-  /** A request is over: its slot goes back. */
+  /** Releases the slot of a finished request, if it holds one. */
   onRequestOver(requestId: string): void {
     const service = this.slotServiceByRequest.get(requestId);
     if (service === undefined) return;
@@ -122,7 +122,7 @@
     this.parts.slots.release(service);
   }
 
-  /** The caller went away while its request waited for a slot. Returns whether it did wait. */
+  /** Cancels a request whose caller disconnected. Returns whether the request was waiting for a slot. */
   cancel(requestId: string): boolean {
     if (!this.waiting.has(requestId)) return false;
     this.parts.slots.cancel(requestId);
@@ -130,7 +130,7 @@
     return true;
   }
 
-  /** Refuses requests that waited too long for a slot. */
+  /** Refuses requests that have passed their deadline or the service's longest wait for a slot. */
   tick(now: number): void {
     for (const [requestId, { work, row, waitingSince }] of [...this.waiting]) {
       const deadlineAt = work.request.receivedAt + (work.request.timeoutMs ?? row.deadlineMs);
--- a/src/daemon/cell-assignment.ts
+++ b/src/daemon/cell-assignment.ts
@@ -1,7 +1,8 @@
 /**
- * Which daemon routes to which cells, and which one coordinates a cell: two rules that every daemon computes
- * alike from the members and the cells, without asking anybody. Owns what it computed last. Who may give
- * orders is decided by the cell's lease alone; the coordinator chosen here is only the one that asks for it.
+ * Assigns cells to daemons and a coordinator to each cell. Both are pure functions of the members and the
+ * cells, so every daemon computes the same result without communication. Owns the last result. Only the
+ * holder of a cell's lease may give orders; the coordinator picked here is the daemon that tries to acquire
+ * it.
  */
 import { rankByRendezvous } from '../shared/rendezvous-hash.js';
 import type { Member } from '../membership/membership-messages.js';
@@ -9,8 +10,8 @@
 import type { CellSettings } from './completion-daemon-settings.js';
 
 /**
- * The cells that a daemon routes to: some of its own zone, and some of others for when that one is saturated
- * or down.
+ * The cells that a daemon routes to: some in its own zone, and some in other zones as a fallback for when its
+ * own zone is saturated or down.
  */
 function pickCells(
   daemon: { id: string; zone: string },
@@ -25,7 +26,7 @@
   ];
 }
 
-/** Computes subscriptions and coordinators, and remembers them until members or cells change. */
+/** Computes the cells of each daemon and the coordinators, and caches them until members or cells change. */
 export class CellAssignment {
   private readonly cellsByMember = new Map<string, string[]>();
   private members: readonly Member[] = [];
@@ -35,7 +36,7 @@
 
   constructor(private readonly settings: CellSettings) {}
 
-  /** Takes the present members and cells. */
+  /** Recomputes the assignment if the members or cells have changed. */
   update(members: readonly Member[], cells: readonly Cell[]): void {
     if (members === this.members && cells === this.cells) return;
     if (cells !== this.cells) this.cellsByMember.clear();
@@ -48,7 +49,7 @@
     this.pickCoordinators();
   }
 
-  /** The cells of one daemon. */
+  /** The cells that a daemon routes to. */
   getCells(member: { id: string; zone: string }): string[] {
     let cells = this.cellsByMember.get(member.id);
     if (!cells) {
@@ -63,12 +64,15 @@
     return this.subscribersByCell.get(cell) ?? [];
   }
 
-  /** The daemon that should coordinate a cell: one in its zone if there is one, with few other cells. */
+  /**
+   * The daemon that should coordinate a cell: in the cell's zone if possible, with few other cells to
+   * coordinate.
+   */
   getCoordinator(cell: string): string | undefined {
     return this.coordinators.get(cell);
   }
 
-  /** Goes through the cells in one order, so that every daemon with the same members chooses the same. */
+  /** Visits the cells in name order, so that all daemons with the same members pick the same coordinators. */
   private pickCoordinators(): void {
     this.coordinators.clear();
     const coordinatedCells = new Map<string, number>();
--- a/src/daemon/cell-manager.ts
+++ b/src/daemon/cell-manager.ts
@@ -1,7 +1,7 @@
 /**
- * All cells of one daemon: which of them it routes to, by the machine list and the members, and a runtime for
- * each with its lease and coordinator. Owns the machine list and the runtimes; what is learned of the
- * engines' load is in engine-reports.ts.
+ * The cells of one daemon: selects the cells that it routes to from the machine list and the members, and
+ * keeps a runtime with a lease and a coordinator for each. Owns the machine list and the runtimes; the load
+ * reports of engines are handled in engine-reports.ts.
  */
 import type { ConfigurationReplica } from '../configuration/configuration-replica.js';
 import type { EngineControlResult } from '../contracts/engine-protocol.js';
@@ -21,7 +21,7 @@
 import type { DemandTracker } from './demand-tracker.js';
 import { EngineReports } from './engine-reports.js';
 
-/** The parts of the daemon that cells work with. */
+/** The state machines of the daemon that the cells use. */
 interface CellManagerParts {
   readonly directory: EngineDirectory;
   readonly membership: Membership;
@@ -30,7 +30,7 @@
   readonly demand: DemandTracker;
 }
 
-/** A starting daemon waits this long at most to learn of every listed engine. Milliseconds. */
+/** Longest time that a starting daemon waits for a report of every listed engine. Milliseconds. */
 const ENGINE_DISCOVERY_TIMEOUT_MS = 3000;
 
 /** The cells of one daemon. Times are monotonic milliseconds. */
@@ -54,7 +54,7 @@
     this.reports = new EngineReports(settings, parts.directory, emit);
   }
 
-  /** Leases of the cells routed to, for status pages. */
+  /** Leases of the cells that this daemon routes to, for the status. */
   getLeases(now: number): { cell: string; holder: string; epoch: number; heldHere: boolean }[] {
     return [...this.runtimes.values()].map((runtime) => {
       const held = runtime.lease.current(now);
@@ -69,14 +69,14 @@
     });
   }
 
-  /** Changes of assignment ordered by this daemon. */
+  /** Number of changes of assignment that this daemon has ordered. */
   countRoleChanges(): number {
     let total = 0;
     for (const runtime of this.runtimes.values()) total += runtime.coordinator.changesOrdered;
     return total;
   }
 
-  /** Advances timers. `eligible` is false while the daemon stops. */
+  /** Advances timers. `eligible` is false while the daemon is draining: it then acquires no leases. */
   tick(now: number, eligible: boolean): void {
     this.assignment.update(this.parts.membership.active(), this.cells);
     if (now >= this.nextListingAt) this.requestListing(now);
@@ -95,23 +95,25 @@
     this.reports.tick(now);
   }
 
-  /** Why requests cannot be routed yet, or undefined. A site without engines needs none. */
+  /** The reason why requests cannot be routed yet, or undefined. A site without engines is ready. */
   findNotReadyReason(now: number): string | undefined {
     const views = [...this.parts.directory.all()];
     const known = views.filter((view) => view.assignment).length;
     const listed = this.listedSince !== undefined;
-    // Routing on a part of the engines would overload them; one that never answers must not hold up the rest.
+    // Routing to only some of the engines would overload them, but an engine that never answers must not
+    // block readiness for good.
     const timedOut = listed && now - (this.listedSince ?? now) > ENGINE_DISCOVERY_TIMEOUT_MS;
     if (known === views.length && (listed || known > 0)) return undefined;
     return known > 0 && (timedOut || !listed) ? undefined : 'the engines are not known yet';
   }
 
-  /** Takes the machine list, or undefined when it did not answer. */
+  /** Applies a machine list; undefined when the request for it failed. */
   receiveListing(listing: MachineListing | undefined, now: number): void {
     this.listingRequestedAt = undefined;
     if (!listing) return;
     const sameCells = JSON.stringify(listing.cells) === JSON.stringify(this.cells);
-    // The first answer names the cells; only the next one, for the cells chosen of them, names the engines.
+    // The first listing names the cells; only the next one, requested for the selected cells, names the
+    // engines.
     if (sameCells) this.listedSince ??= now;
     else this.cells = listing.cells;
     this.machines = listing.machines;
@@ -123,21 +125,21 @@
     this.applyMachines(now);
   }
 
-  /** The process was paused since `pausedAt`: what it reads now may be as old. */
+  /** The process was paused since `pausedAt`, so messages read now may be as old as that. */
   onProcessResumed(pausedAt: number, now: number): void {
     this.reports.onProcessResumed(pausedAt, now);
   }
 
   /**
-   * The clock stood still for a time that it has not counted: no lease counts any more, and what is read now
-   * may be as old.
+   * The machine was suspended, for a time that the monotonic clock did not count: all leases are void, and
+   * messages read now may be from before the suspension.
    */
   onMachineSuspended(now: number): void {
     this.onProcessResumed(now, now);
     for (const { lease } of this.runtimes.values()) lease.resumeAfterSuspension();
   }
 
-  /** Takes an engine's answer. */
+  /** Receives an engine's answer to a control request. */
   receiveControlResult(
     purpose: ControlPurpose,
     cell: string,
@@ -151,12 +153,12 @@
       this.reports.applyReport(engineId, result.report, now);
   }
 
-  /** Takes the answer to a lease's table request. */
+  /** Receives the answer to a table request of a cell's lease. */
   receiveLeaseResult(cell: string, result: TableResult, now: number): void {
     this.runtimes.get(cell)?.lease.receiveTableResult(result, now);
   }
 
-  /** Takes a digest or a demand report. */
+  /** Receives a digest or a demand report from a peer. */
   receive(fromId: string, message: CellMessage, now: number): void {
     if (message.kind === 'demandReport') {
       this.runtimes.get(message.cell)?.receiveDemand(fromId, message.demands, now);
--- a/src/daemon/cell-messages.ts
+++ b/src/daemon/cell-messages.ts
@@ -1,10 +1,11 @@
 /**
- * Messages about a cell, between its coordinator and the daemons that route to it. Owns their types; the
- * schema that checks what arrives is in src/adapters/peer-codec.ts. Field names travel and stay as they are.
+ * Messages about a cell, between its coordinator and the daemons that route to it. Owns their types; received
+ * messages are validated by the schema in src/adapters/peer-codec.ts. Field names are part of the wire format
+ * and must not change.
  */
 import type { EnginePhase, EngineReport } from '../contracts/engine-protocol.js';
 
-/** The load of one engine in the form that travels. */
+/** The load of one engine as encoded on the wire. */
 export type EngineLoad = readonly [
   id: string,
   phase: EnginePhase,
@@ -13,7 +14,7 @@
   ageMs: number,
 ];
 
-/** One engine with everything that changes seldom. */
+/** The properties of an engine that rarely change. */
 export interface EngineDescription {
   readonly id: string;
   readonly address: string;
@@ -21,7 +22,7 @@
   readonly report: EngineReport;
 }
 
-/** What one daemon sees asked of a model version in one cell, in tokens per second. */
+/** The demand that one daemon sees for a model version in one cell, in tokens per second. */
 export type DemandEntry = readonly [
   model: string,
   version: number,
@@ -31,14 +32,14 @@
 
 /** Messages about a cell between its coordinator and the daemons that route to it. */
 export type CellMessage =
-  /** From the coordinator: loads each time, descriptions when they changed and now and then. */
+  /** From the coordinator: loads in every digest, descriptions when they have changed and periodically. */
   | {
       readonly kind: 'cellDigest';
       readonly cell: string;
-      /** Counts up at one coordinator; an older digest that was held up on its way is dropped. */
+      /** Increases at one coordinator, so that a delayed older digest can be dropped. */
       readonly sequence: number;
       readonly coordinator: string;
-      /** Daemons that the receiver passes the digest on to. */
+      /** IDs of the daemons to which the receiver relays the digest. */
       readonly relayTo: readonly string[];
       readonly loads: readonly EngineLoad[];
       readonly descriptions: readonly EngineDescription[];
--- a/src/daemon/cell-runtime.ts
+++ b/src/daemon/cell-runtime.ts
@@ -1,7 +1,7 @@
 /**
- * One cell in one daemon: who holds its lease, what its coordinator decides on, and the digests and demand
- * reports that go out. Owns the lease, the coordinator and the demand heard from other daemons; relies on the
- * daemon for members, services and its own demand.
+ * One cell in one daemon: its lease, its coordinator, and the digests and demand reports that this daemon
+ * sends. Owns the lease, the coordinator and the demand reported by peers; relies on the daemon for members,
+ * services and the local demand.
  */
 import { CellCoordinator, type CellEngine, type CoordinatorEffect } from '../allocation/cell-coordinator.js';
 import { modelKey, type ModelDemand } from '../allocation/role-allocator.js';
@@ -13,7 +13,7 @@
 import type { CellMessage, DemandEntry, EngineDescription, EngineLoad } from './cell-messages.js';
 import type { CompletionDaemonSettings } from './completion-daemon-settings.js';
 
-/** What a cell asks its runner to do. */
+/** Effects that a cell requests. */
 export type CellEffect =
   | (CoordinatorEffect & { readonly cell: string })
   | LeaseEffect
@@ -24,38 +24,38 @@
   readonly receivedAt: number;
 }
 
-/** A digest in so many describes every engine; the others only those that changed. */
+/** One digest in this many describes every engine; the others describe only those that changed. */
 const DIGESTS_PER_FULL_DESCRIPTION = 15;
-/** Waiting prompt tokens are rounded to this, so that equal numbers repeat in a digest. Tokens. */
+/** Waiting prompt tokens are rounded to this multiple: equal numbers are encoded once in a digest. Tokens. */
 const WAITING_ROUNDING_TOKENS = 16;
-/** Up to so many subscribers get digests from the coordinator itself; more are served by relays. */
+/** Up to this number of subscribers, the coordinator sends digests directly; beyond it, through relays. */
 const MAXIMUM_DIRECT_SUBSCRIBERS = 8;
-/** Ages of reports are rounded to this, for the same reason. Milliseconds. */
+/** Ages of reports are rounded to this multiple, for the same reason. Milliseconds. */
 const AGE_ROUNDING_MS = 50;
-/** Size of a digest without its engines. Bytes. */
+/** Estimated size of a digest without its engines. Bytes. */
 const DIGEST_BYTES = 110;
-/** What each engine adds, with its share of the descriptions. Bytes. */
+/** Estimated size that each engine adds to a digest, including its share of the descriptions. Bytes. */
 const DIGEST_BYTES_PER_ENGINE = 60;
-/** A demand report counts for so many intervals of reports: two in a row may be lost. */
+/** A demand report expires after this many report intervals, so that two in a row may be lost. */
 const DEMAND_EXPIRY_INTERVALS = 3;
-/** Adapters that a model is asked to have loaded, at most. */
+/** Largest number of adapters requested for a model. */
 const MAXIMUM_ADAPTERS_PER_ENGINE = 64;
 
-/** What a tick needs to know of the rest of the daemon. */
+/** The state of the rest of the daemon that a tick reads. */
 interface CellContext {
   readonly selfId: string;
-  /** Who should coordinate the cell. */
+  /** The daemon that should coordinate the cell. */
   readonly coordinatorId: string | undefined;
   /** The daemons that route to the cell. */
   readonly subscriberIds: () => readonly string[];
   readonly services: () => readonly VersionedRow[];
-  /** What this daemon itself sees asked of the cell. */
+  /** The demand on the cell that this daemon sees itself. */
   readonly localDemand: () => readonly DemandEntry[];
-  /** False while the daemon stops: it then takes no lease. */
+  /** False while the daemon is draining: it then acquires no lease. */
   readonly eligible: boolean;
 }
 
-/** The cell machine. Times are monotonic milliseconds. */
+/** The state machine of one cell. Times are monotonic milliseconds. */
 export class CellRuntime {
   readonly lease: CellLease;
   readonly coordinator: CellCoordinator;
@@ -80,12 +80,12 @@
     );
   }
 
-  /** Takes the cell's engines from the machine list. */
+  /** Sets the cell's engines, from the machine list. */
   setEngines(engines: readonly CellEngine[], now: number): void {
     this.coordinator.setEngines(engines, now);
   }
 
-  /** Takes a demand report of another daemon. */
+  /** Receives the demand report of a daemon. */
   receiveDemand(daemonId: string, entries: readonly DemandEntry[], now: number): void {
     this.demandByDaemon.set(daemonId, { entries, receivedAt: now });
   }
@@ -115,7 +115,9 @@
     this.emit({ kind: 'sendCell', daemonId: context.coordinatorId, message });
   }
 
-  /** Demand of every model version that a service names, summed over the daemons heard lately. */
+  /**
+   * The demand for every model version that a service names, summed over all reports that have not expired.
+   */
   private getTotalDemand(now: number, services: readonly VersionedRow[]): ModelDemand[] {
     const totals = new Map<string, { prefill: number; decode: number }>();
     const expiryMs = this.settings.cells.demandIntervalMs * DEMAND_EXPIRY_INTERVALS;
@@ -135,7 +137,7 @@
     return getServiceDemands(services, totals);
   }
 
-  /** More subscribers and engines make digests rarer, so that a coordinator's traffic stays bounded. */
+  /** Grows with the number of subscribers and engines, to bound the coordinator's traffic. */
   private getDigestIntervalMs(subscribers: number): number {
     const sent = subscribers <= MAXIMUM_DIRECT_SUBSCRIBERS ? subscribers : Math.ceil(Math.sqrt(subscribers));
     const bytes = sent * (DIGEST_BYTES + DIGEST_BYTES_PER_ENGINE * this.coordinator.reports().length);
@@ -143,7 +145,9 @@
     return Math.max(digestIntervalMs, (bytes / digestBudgetBytes) * 1000);
   }
 
-  /** Rounds a report for travel; engines of one kind share one capability, which then travels once. */
+  /**
+   * Rounds a report for sending. Engines of one kind share one capability object, which is then encoded once.
+   */
   private roundReport(report: EngineReport): EngineReport {
     const rounded = Object.fromEntries(
       Object.entries(report.capability).map(([name, value]) => [name, Math.round(value)]),
@@ -194,8 +198,8 @@
 }
 
 /**
- * Divides the subscribers of a large cell into groups whose first member passes the digest on to the others.
- * The groups turn with each digest, so that a lost relay hides at most some of them from a daemon.
+ * Divides the subscribers of a large cell into groups whose first member relays the digest to the others. The
+ * groups rotate with each digest, so that a failed relay costs a daemon only some of the digests.
  */
 function makeRelayGroups(ids: readonly string[], rotation: number): string[][] {
   if (ids.length <= MAXIMUM_DIRECT_SUBSCRIBERS) return ids.map((id) => [id]);
@@ -207,7 +211,7 @@
   return groups;
 }
 
-/** Coarse numbers repeat, and what repeats travels once. */
+/** Rounds the numbers: repeated values are encoded once. */
 function makeLoad(id: string, report: EngineReport, ageMs: number): EngineLoad {
   const waiting = Math.round(report.waitingPrefillTokens / WAITING_ROUNDING_TOKENS) * WAITING_ROUNDING_TOKENS;
   return [id, report.phase, report.streams, waiting, Math.round(ageMs / AGE_ROUNDING_MS) * AGE_ROUNDING_MS];
--- a/src/daemon/change-log.ts
+++ b/src/daemon/change-log.ts
@@ -1,7 +1,7 @@
 /**
- * Changes that a daemon writes to its log and, a forwarding daemon, counts in its metrics: members,
- * configuration, back ends, store, leases, orders, quarantine. Owns the stable names of these events and the
- * fields that go with each; relies on the effects of the machines that find the changes.
+ * Changes that a daemon writes to its log; a forwarding daemon also counts them in its metrics. They concern
+ * members, configuration, back ends, store, leases, orders and quarantine. Owns the stable names of these
+ * events and the fields of each; relies on the effects of the state machines that detect the changes.
  */
 import type { StageEffect } from '../allocation/stage-coordinator.js';
 import type { DutyEffect } from '../duties/duty-manager.js';
@@ -61,7 +61,7 @@
 type LeaseChange = Extract<LeaseEffect, { kind: 'leaseAcquired' | 'leaseLost' }>;
 type StageChange = Exclude<StageEffect, { kind: 'leaseTable' | 'askEngine' }>;
 
-/** The log entry for a change of the replica. */
+/** The log entry for a change in the replica. */
 export function makeFleetChange(effect: FleetChange): ChangeEffect {
   switch (effect.kind) {
     case 'configurationChanged': {
@@ -96,7 +96,7 @@
   return makeChange(effect.kind === 'leaseAcquired' ? 'lease.acquired' : 'lease.lost', { cell, epoch });
 }
 
-/** The log entry for a step of the duties. */
+/** The log entry for a change in the duties. */
 export function makeDutyChange(effect: DutyChange): ChangeEffect {
   switch (effect.kind) {
     case 'leaseAcquired':
@@ -111,7 +111,7 @@
   }
 }
 
-/** The log entry for a step of a stage coordinator. */
+/** The log entry for a change in a stage coordinator. */
 export function makeStageChange(effect: StageChange): ChangeEffect {
   switch (effect.kind) {
     case 'leaseAcquired':
@@ -124,7 +124,7 @@
   }
 }
 
-/** The log entry for a step of the quarantine. */
+/** The log entry for a change in the quarantine. */
 export function makeQuarantineChange(
   effect: QuarantineChange,
 ): ChangeEffect<'backend.ended' | 'request.quarantined' | 'request.released'> {
--- a/src/daemon/completion-daemon-settings.ts
+++ b/src/daemon/completion-daemon-settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of the state machine of a daemon that serves completions, put together from those of its parts.
+ * Settings of the state machine of a daemon that serves completions, composed of the settings of its parts.
  * The keys are those of the settings file.
  */
 import { DEFAULT_ALLOCATION_SETTINGS, type AllocationSettings } from '../allocation/role-allocator.js';
@@ -16,28 +16,28 @@
 import { DEFAULT_DIRECTORY_SETTINGS, type DirectorySettings } from '../routing/engine-directory.js';
 import { DEFAULT_PICKER_SETTINGS, type PickerSettings } from '../routing/engine-picker.js';
 
-/** How a daemon takes part in cells. */
+/** Settings for a daemon's part in cells. */
 export interface CellSettings {
-  /** Cells of the own zone that the daemon routes to. Default 2. */
+  /** Number of cells of its own zone that the daemon routes to. Default 2. */
   readonly ownZoneCells: number;
-  /** Cells of other zones that the daemon routes to. Default 1. */
+  /** Number of cells of other zones that the daemon routes to. Default 1. */
   readonly otherZoneCells: number;
-  /** Shortest interval of digests from a coordinator. Milliseconds. Default 500. */
+  /** Shortest interval between digests of a coordinator. Milliseconds. Default 500. */
   readonly digestIntervalMs: number;
   /**
-   * A coordinator spends at most this on digests of a cell, by sending them less often. Bytes a second.
-   * Default 3000.
+   * Largest rate at which a coordinator sends digests of a cell; it sends them less often to stay below.
+   * Bytes per second. Default 3000.
    */
   readonly digestBudgetBytes: number;
-  /** Interval of demand reports to a coordinator. Milliseconds. Default 3000. */
+  /** Interval between demand reports to a coordinator. Milliseconds. Default 3000. */
   readonly demandIntervalMs: number;
-  /** Interval of reads of the machine list. Milliseconds. Default 2000. */
+  /** Interval between reads of the machine list. Milliseconds. Default 2000. */
   readonly machineListIntervalMs: number;
   /** Time constant of the demand estimate. Milliseconds. Default 5000. */
   readonly demandTimeConstantMs: number;
 }
 
-/** Default settings. */
+/** Default cell settings. */
 const DEFAULT_CELL_SETTINGS: CellSettings = {
   ownZoneCells: 2,
   otherZoneCells: 1,
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -1,9 +1,8 @@
 /**
- * The state machine of a daemon that serves completions: routes each event to the machine that it is for, and
- * holds back what machines ask of each other until the transition that asked is over. Which machines there
- * are and how they are wired is in completion-machines.ts. It is run by actors in a process and by the
- * simulator in virtual time; it reads no clock, opens no socket and draws no randomness but from what it is
- * given.
+ * The state machine of a daemon that serves completions: dispatches each event to the machine that handles
+ * it, and defers calls between machines until the transition that made them is finished. The machines are
+ * created and wired in completion-machines.ts. Actors run it in a process, the simulator runs it in virtual
+ * time; it reads no clock, opens no sockets, and uses only the random source that it is given.
  */
 import type { Freshness } from '../configuration/configuration-replica.js';
 import type { TableResult } from '../contracts/table-service.js';
@@ -21,7 +20,7 @@
 import type { PeerMessage } from './peer-messages.js';
 
 /**
- * A process that handled no event for so long was not running: ticks come many times a second.
+ * A process that handled no event for this duration was paused: ticks occur many times a second.
  * Milliseconds.
  */
 const PROCESS_PAUSE_MS = 1000;
@@ -29,7 +28,7 @@
 /** The state machine of one daemon. Times are monotonic milliseconds on the daemon's own clock. */
 export class CompletionDaemon {
   private outbox: CompletionDaemonEffect[] = [];
-  /** What machines asked of each other; it runs after the transition that made it. */
+  /** Calls between machines, which run after the transition that made them. */
   private readonly deferred: ((now: number) => void)[] = [];
   private readonly machines: CompletionMachines;
   private draining = false;
@@ -54,7 +53,7 @@
     });
   }
 
-  /** Handles one event and returns what is to be done, in order. */
+  /** Handles one event and returns the effects to perform, in order. */
   handle(event: CompletionDaemonEvent, now: number): CompletionDaemonEffect[] {
     if (now - this.lastEventAt > PROCESS_PAUSE_MS)
       this.machines.cells.onProcessResumed(this.lastEventAt, now);
@@ -79,28 +78,28 @@
     return { ready: true, reason: freshness.kind };
   }
 
-  /** Requests that still run or wait here; a stopping process waits for none. */
+  /** Number of requests that are active or waiting; a stopping process waits until there are none. */
   countOpenRequests(): number {
     const { completions, applications, admission } = this.machines;
     return completions.active() + applications.active() + admission.countWaitingForSlots();
   }
 
-  /** Revision of the configuration in force here; -1 before the first. */
+  /** Revision of the configuration in force; -1 before the first. */
   configurationRevision(): number {
     return this.machines.configuration.revision();
   }
 
-  /** Daemons in contact and daemons known, as the majority rule counts them. */
+  /** Number of daemons in contact and of known daemons, as counted by the majority rule. */
   getMemberCounts(): { alive: number; known: number } {
     return this.machines.membership.contact();
   }
 
-  /** Writes to the table still to be confirmed; a stopping process waits for them a while. */
+  /** Number of unconfirmed writes to the table; a stopping process waits for them for a limited time. */
   countUnconfirmedWrites(): number {
     return this.machines.ledger.waiting();
   }
 
-  /** What `status` shows. */
+  /** The status document that `pulleyledge status` shows. */
   status(now: number): CompletionDaemonStatus {
     const { ready, reason } = this.readiness(now);
     const { configuration, membership, directory, cells, limits } = this.machines;
@@ -235,7 +234,7 @@
         this.machines.quarantine.receive(fromAddress, message, now);
         break;
       default:
-        // Only forwarding daemons use the others.
+        // The other kinds are used by forwarding daemons only.
         break;
     }
   }
@@ -271,7 +270,8 @@
   }
 
   /**
-   * From now on new requests are refused; called when the listener closes, after callers had time to notice.
+   * Refuses new requests from now on. Called when the listener closes, after callers had time to see that the
+   * daemon is draining.
    */
   closeForNew(): void {
     this.machines.admission.closeForNew();
--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -1,9 +1,10 @@
 /**
- * The state machines that a daemon which serves completions is made of, and how they are wired: who reads
- * whose state, and where the effects of each go. Owns no state. The daemon routes events to the machines that
- * are made here.
+ * Creates and wires the state machines of a daemon that serves completions: which machine reads the state of
+ * which other, and where the effects of each go. Owns no state. The daemon dispatches events to the machines
+ * created here.
  *
- * What a machine asks of another one during a transition of that other one runs after it (`defer`).
+ * A call from one machine to another that is in the middle of a transition runs after that transition
+ * (`defer`).
  */
 import { ConfigurationReplica, type Freshness } from '../configuration/configuration-replica.js';
 import { OnceLedger } from '../ledger/once-ledger.js';
@@ -34,10 +35,10 @@
 import { CompletionQuarantine } from './run-quarantine.js';
 import { ServiceEditor } from './service-editor.js';
 
-/** What the machines are made from. */
+/** What the machines are created from. */
 interface CompletionContext {
   readonly identity: DaemonIdentity;
-  /** Addresses of daemons that are asked first for the others. */
+  /** Addresses of the daemons that are contacted first to find the others. */
   readonly seeds: readonly string[];
   readonly settings: CompletionDaemonSettings;
   readonly random: RandomSource;
@@ -50,23 +51,23 @@
 
 /** The machines of one daemon. */
 export interface CompletionMachines {
-  /** Which daemons there are. */
+  /** The daemons of the fleet. */
   readonly membership: Membership;
   /** The service table as last read. */
   readonly configuration: ConfigurationReplica;
-  /** The engines and what is known of their load. */
+  /** The engines and their known load. */
   readonly directory: EngineDirectory;
-  /** Whether a request is let in. */
+  /** Decides whether a request is admitted. */
   readonly admission: Admission;
   /** Slots of services with a limit. */
   readonly limits: LimitManager;
   readonly completions: CompletionManager;
   readonly applications: ApplicationManager;
-  /** Requests that end back ends. */
+  /** Requests that crash back ends. */
   readonly quarantine: CompletionQuarantine;
-  /** Claims of calls that may run once at most. */
+  /** Claims of calls that may be executed at most once. */
   readonly ledger: OnceLedger;
-  /** Tokens asked of each model. */
+  /** The demand for each model version. */
   readonly demand: DemandTracker;
   /** Leases, coordination and digests of the cells that this daemon routes to. */
   readonly cells: CellManager;
@@ -74,7 +75,7 @@
   readonly editor: ServiceEditor;
 }
 
-/** Makes the machines. Those that need each other reach one another by functions that are called later. */
+/** Creates the machines. Machines that depend on each other are wired by functions that are called later. */
 export function createCompletionMachines(context: CompletionContext): CompletionMachines {
   const { identity, settings, random, emit, defer, now } = context;
   const directory = new EngineDirectory(settings.directory);
--- a/src/daemon/completion-messages.ts
+++ b/src/daemon/completion-messages.ts
@@ -1,6 +1,6 @@
 /**
- * What goes into the state machine of a daemon that serves completions and what comes out of it: events,
- * effects, the status. Owns these types; the messages that travel between daemons are in peer-messages.ts.
+ * The events, effects and status of the state machine of a daemon that serves completions. Owns these types;
+ * the messages between daemons are in peer-messages.ts.
  */
 import type { ServiceRow, VersionedRow } from '../configuration/service-row.js';
 import type {
@@ -29,7 +29,7 @@
   readonly row: ServiceRow | null;
 }
 
-/** Which machine a table answer belongs to. */
+/** The machine that a table request belongs to; its answer is dispatched by this tag. */
 export type TableTag =
   | { readonly kind: 'configuration' }
   | { readonly kind: 'ledger' }
@@ -37,15 +37,15 @@
   | { readonly kind: 'quarantine' }
   | { readonly kind: 'edit'; readonly editId: string };
 
-/** Which part of the daemon asked an engine. */
+/** The part of the daemon that sent a control request to an engine. */
 export type ControlPurpose = 'coordinator' | 'directory';
 
-/** What goes in. */
+/** Events that the daemon handles. */
 export type CompletionDaemonEvent =
-  /** `wallMs` is the machine's time of day. Milliseconds. */
+  /** `wallMs` is the machine's wall-clock time. Milliseconds. */
   | { readonly kind: 'tick'; readonly wallMs?: number }
   /**
-   * The machine was suspended for so long, which the clock that times these events has not counted.
+   * The machine was suspended for `forMs`, which the monotonic clock of these events did not count.
    * Milliseconds.
    */
   | { readonly kind: 'clockStoodStill'; readonly forMs: number }
@@ -56,7 +56,7 @@
       readonly message: PeerMessage;
     }
   | { readonly kind: 'tableResult'; readonly tag: TableTag; readonly result: TableResult }
-  /** The machine list, or undefined when it did not answer. */
+  /** The machine list, or undefined when the request for it failed. */
   | { readonly kind: 'machineListing'; readonly listing: MachineListing | undefined }
   | {
       readonly kind: 'engineControlResult';
@@ -84,7 +84,7 @@
   | { readonly kind: 'editServices'; readonly editId: string; readonly edits: readonly RowEdit[] }
   | { readonly kind: 'beginDrain' };
 
-/** What comes out. */
+/** Effects that the daemon requests. */
 export type CompletionDaemonEffect =
   | { readonly kind: 'sendPeer'; readonly address: string; readonly message: PeerMessage }
   | { readonly kind: 'tableRequest'; readonly tag: TableTag; readonly request: TableRequest }
@@ -119,7 +119,7 @@
   | 'edit.accepted'
   | 'edit.failed';
 
-/** What `pulleyledge status` shows of a daemon. */
+/** The status document of a daemon that `pulleyledge status` shows. */
 export interface CompletionDaemonStatus {
   readonly id: string;
   readonly address: string;
--- a/src/daemon/demand-tracker.ts
+++ b/src/daemon/demand-tracker.ts
@@ -1,6 +1,6 @@
 /**
- * What services ask of each model version here, refused requests included. Owns smoothed rates by model and
- * the mean length of answers by service; the coordinators of cells decide on it.
+ * Tracks the demand for each model version at this daemon, including refused requests. Owns smoothed rates by
+ * model version and the mean output length by service. Cell coordinators assign engines by this demand.
  */
 import { SmoothedRate } from '../shared/smoothed-rate.js';
 import type { ServiceRow } from '../configuration/service-row.js';
@@ -13,24 +13,24 @@
   readonly decode: SmoothedRate;
 }
 
-/** Weight of the newest answer in the mean length of a service's answers. */
+/** Weight of the newest answer in the moving average of a service's output length. */
 const OUTPUT_LENGTH_WEIGHT = 0.05;
 
-/** Estimates demand in tokens per second. Output lengths are learnt per service. */
+/** Estimates demand in tokens per second, with output lengths learned per service. */
 export class DemandTracker {
   private readonly rates = new Map<string, ModelRates>();
   private readonly outputTokens = new Map<string, number>();
 
   constructor(private readonly timeConstantMs: number) {}
 
-  /** A request arrived. */
+  /** Adds the expected tokens of a request that arrived. */
   addArrival(row: ServiceRow, promptTokens: number, maximumTokens: number, now: number): void {
     const rates = this.getRates(row);
     rates.prefill.add(promptTokens, now);
     rates.decode.add(Math.min(maximumTokens, this.outputTokens.get(row.name) ?? maximumTokens), now);
   }
 
-  /** An answer is over. */
+  /** Adds the output length of a finished answer, in tokens. */
   addOutput(service: string, outputTokens: number): void {
     if (outputTokens === 0) return;
     const known = this.outputTokens.get(service);
@@ -38,7 +38,7 @@
     this.outputTokens.set(service, next);
   }
 
-  /** The present demand, scaled by `share`. */
+  /** The current demand, scaled by `share`. */
   getEntries(now: number, share: number): DemandEntry[] {
     return [...this.rates.values()].map((rates) => [
       rates.model,
