--- a/src/daemon/effect-sinks.ts
+++ b/src/daemon/effect-sinks.ts
@@ -1,6 +1,6 @@
 /**
- * Where the effects of each machine of a daemon that serves completions go: out of the daemon, into its log,
- * or into another of its machines. Owns no state.
+ * Dispatches the effects of each machine of a daemon that serves completions: out of the daemon, to its log,
+ * or to another of its machines. Owns no state.
  */
 import type { ConfigurationReplica } from '../configuration/configuration-replica.js';
 import type { MembershipEffect } from '../membership/membership.js';
@@ -15,8 +15,8 @@
 import type { EditorEffect } from './service-editor.js';
 
 /**
- * Handles those of the membership; `onChange` hears that somebody has joined or left, and who is dead if that
- * is why.
+ * Handles effects of the membership. `onChange` is called when a daemon has joined or left; `deadId` is its
+ * ID if it is believed dead.
  */
 export function createMembershipSink(
   emit: EffectSink<CompletionDaemonEffect>,
@@ -36,7 +36,7 @@
   };
 }
 
-/** Handles those of the configuration. */
+/** Handles effects of the configuration replica. */
 export function createConfigurationSink(
   emit: EffectSink<CompletionDaemonEffect>,
 ): ConstructorParameters<typeof ConfigurationReplica>[2] {
@@ -54,15 +54,18 @@
   };
 }
 
-/** What the ledger's effects need of the rest of the daemon. */
+/** The parts of the daemon that the ledger's effects use. */
 interface LedgerSinkParts {
   readonly emit: EffectSink<CompletionDaemonEffect>;
-  /** Runs a step after the transition that made it. */
+  /** Runs a step after the transition that created it. */
   readonly defer: (step: (now: number) => void) => void;
   readonly applications: () => ApplicationManager;
 }
 
-/** Handles those of the ledger: commits go out, answers to claims go to the application calls. */
+/**
+ * Handles effects of the ledger: sends commits to the table, and the outcomes of claims to the application
+ * calls.
+ */
 export function createLedgerSink({ emit, defer, applications }: LedgerSinkParts): EffectSink<LedgerEffect> {
   return (effect) => {
     switch (effect.kind) {
@@ -82,7 +85,10 @@
   };
 }
 
-/** Handles those of completions: a request that is over gives its slot back and counts as demand. */
+/**
+ * Handles effects of completions: a finished request releases its slot and adds its output length to the
+ * demand.
+ */
 export function createCompletionSink(
   emit: EffectSink<CompletionDaemonEffect>,
   parts: () => { readonly demand: DemandTracker; readonly admission: Admission },
@@ -98,7 +104,7 @@
   };
 }
 
-/** Handles those of application calls: a call that is over gives its slot back. */
+/** Handles effects of application calls: a finished call releases its slot. */
 export function createApplicationSink(
   emit: EffectSink<CompletionDaemonEffect>,
   admission: () => Admission,
@@ -109,7 +115,7 @@
   };
 }
 
-/** Handles those of operators' edits. */
+/** Handles effects of operators' edits. */
 export function createEditorSink(emit: EffectSink<CompletionDaemonEffect>): EffectSink<EditorEffect> {
   return (effect) => {
     if (effect.kind !== 'editTable') {
--- a/src/daemon/engine-reports.ts
+++ b/src/daemon/engine-reports.ts
@@ -1,8 +1,8 @@
 /**
- * What a daemon learns of the load of its engines, and how old it takes each report to be. Three sources:
- * digests of the cells' coordinators, answers of engines to this daemon's own coordinators, and, where
- * digests are missing, engines that it asks itself, so that routing depends on no coordinator. Owns the times
- * and sequences of the last digests; writes to the engine directory.
+ * Receives load reports of engines and estimates the age of each. There are three sources: digests of the
+ * cells' coordinators, answers of engines to coordinators of this daemon, and, where digests are missing,
+ * reports that this daemon requests from the engines itself, so that routing does not depend on a
+ * coordinator. Owns the times and sequence numbers of the last digests; writes to the engine directory.
  */
 import type { EngineReport } from '../contracts/engine-protocol.js';
 import type { EngineDirectory, EngineView } from '../routing/engine-directory.js';
@@ -13,22 +13,22 @@
 
 type CellDigest = Extract<CellMessage, { kind: 'cellDigest' }>;
 
-/** After a pause messages that waited in sockets are read within this time. Milliseconds. */
+/** After a process pause, messages that were queued in sockets are read within this time. Milliseconds. */
 const PAUSE_GRACE_MS = 1000;
 /**
- * Without a digest for this long the daemon asks the engines itself. Milliseconds; large cells get a
- * digest each 2 s.
+ * Without a digest for this duration, the daemon requests reports from the engines itself. Milliseconds.
+ * Large cells send a digest every 2 s.
  */
 const DIGEST_TIMEOUT_MS = 3000;
-/** Engines asked per interval without digests, at least. */
+/** Least number of engines that are asked for a report per interval without digests. */
 const DIRECT_REPORTS_PER_INTERVAL = 4;
 /**
- * Without digests every engine is asked about once in this many intervals: 2 s by default, within the 5 s for
- * which a report counts.
+ * Without digests, each engine is asked for a report about once in this number of intervals: every 2 s by
+ * default, within the 5 s for which a report is valid.
  */
 const DIRECT_REPORT_ROUNDS = 4;
 
-/** The reports of one daemon. Times are monotonic milliseconds. */
+/** The engine reports that one daemon receives. Times are monotonic milliseconds. */
 export class EngineReports {
   private readonly lastDigestAt = new Map<string, number>();
   private readonly lastDigest = new Map<string, { coordinator: string; sequence: number }>();
@@ -42,31 +42,34 @@
     private readonly emit: EffectSink<CompletionDaemonEffect>,
   ) {}
 
-  /** The cell's loads are known at `now`: this daemon coordinates it, or has just begun to route to it. */
+  /**
+   * Counts the cell's loads as known at `now`: this daemon coordinates it, or has just started to route to
+   * it.
+   */
   setLoadsKnown(cell: string, now: number): void {
     this.lastDigestAt.set(cell, now);
   }
 
   /**
-   * The process was paused. What it reads now may have waited in its sockets all the time, so for a moment
-   * reports count as made before the pause.
+   * The process was paused. Messages that it reads now may have been queued in its sockets since then, so for
+   * `PAUSE_GRACE_MS` reports count as made before the pause.
    */
   onProcessResumed(pausedAt: number, now: number): void {
     this.pausedAt = pausedAt;
     this.pauseGraceUntil = now + PAUSE_GRACE_MS;
   }
 
-  /** Takes an engine's own answer. */
+  /** Applies a report that an engine sent itself. */
   applyReport(engineId: string, report: EngineReport, now: number): void {
     this.directory.get(engineId)?.applyReport(report, this.getMadeAt(now, 0));
   }
 
-  /** Takes a digest. One that is older than the last of the same coordinator is dropped. */
+  /** Applies a digest, unless it is older than the last one of the same coordinator. */
   applyDigest(digest: CellDigest, now: number): void {
     if (!this.isNewDigest(digest)) return;
     this.lastDigestAt.set(digest.cell, now);
     for (const { id, address, zone, report } of digest.descriptions) {
-      // The machine list may be out of reach; a digest names the engines too.
+      // The machine list may be unreachable; a digest also names the engines.
       const view = this.directory.ensure(id, address, zone, digest.cell);
       view.applyReport(report, this.getMadeAt(now, this.settings.cells.digestIntervalMs));
     }
@@ -74,8 +77,8 @@
   }
 
   /**
-   * Asks engines whose cells send no digests: those of which nothing is known, then those with the oldest
-   * reports.
+   * Requests reports from engines whose cells send no digests: first from those without any report, then from
+   * those with the oldest.
    */
   tick(now: number): void {
     if (now < this.nextDirectReportAt) return;
@@ -86,7 +89,7 @@
       if (view.assignment === undefined || now - digestAt > DIGEST_TIMEOUT_MS) withoutDigest.push(view);
     }
     withoutDigest.sort((left, right) => left.reportTime() - right.reportTime());
-    // Engines of which nothing is known come first, all of them: a starting daemon needs them.
+    // All engines without a report are asked at once: a starting daemon is not ready without them.
     const unknown = withoutDigest.filter((view) => view.assignment === undefined).length;
     const count = Math.max(unknown, DIRECT_REPORTS_PER_INTERVAL, withoutDigest.length / DIRECT_REPORT_ROUNDS);
     for (const view of withoutDigest.slice(0, count)) this.requestReport(view);
@@ -102,7 +105,7 @@
     view.applyReport(report, this.getMadeAt(now, ageMs));
   }
 
-  /** When a report of this age was made, at the latest, on this daemon's clock. */
+  /** The latest time, on this daemon's clock, at which a report of this age was made. */
   private getMadeAt(now: number, ageMs: number): number {
     const madeAt = now - ageMs - this.settings.directory.reportLagMs;
     return now < this.pauseGraceUntil ? Math.min(madeAt, this.pausedAt) : madeAt;
--- a/src/daemon/forwarding-daemon-settings.ts
+++ b/src/daemon/forwarding-daemon-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a forwarding daemon, by part, and their defaults. Each part says what its settings mean. */
+/** Settings of a forwarding daemon, by part, and their defaults. Each part documents its own settings. */
 import { DEFAULT_FLEET_REPLICA_SETTINGS, type FleetReplicaSettings } from '../fleet/fleet-replica.js';
 import { DEFAULT_PEER_EXCHANGE_SETTINGS, type PeerExchangeSettings } from '../fleet/peer-exchange.js';
 import {
@@ -35,13 +35,13 @@
   readonly retries: RetryAllowanceSettings;
   readonly quarantine: QuarantineSettings;
   readonly stages: StageCoordinatorSettings;
-  /** Undefined where the platform asks for no duties. */
+  /** Undefined if the platform requires no duties. */
   readonly duties: DutySettings | undefined;
-  /** Undefined where tenants' quotas are not held. */
+  /** Undefined if tenants' quotas are not enforced. */
   readonly quotas?: QuotaSettings | undefined;
 }
 
-/** Default settings; the budget of retries, the stages and the duties have none. */
+/** Default settings; the retry budget, the stages and the duties have none. */
 export const DEFAULT_FORWARDING_SETTINGS: Omit<ForwardingDaemonSettings, 'retries' | 'stages' | 'duties'> = {
   membership: DEFAULT_MEMBERSHIP_SETTINGS,
   replica: DEFAULT_FLEET_REPLICA_SETTINGS,
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -1,8 +1,8 @@
 /**
- * The state machine of a daemon that forwards requests by routes: routes each event to the machine or the
- * part that it is for. Owns the routes in force, whether the daemon drains, and its rank among those that
- * follow the store. Which machines there are and how they are wired is in forwarding-machines.ts. It reads no
- * clock and opens no socket.
+ * The state machine of a daemon that forwards requests by routes: dispatches each event to the machine or the
+ * part that handles it. Owns the routes in force, whether the daemon is draining, and its rank among the
+ * daemons that follow the store. The machines are created and wired in forwarding-machines.ts. It reads no
+ * clock and opens no sockets.
  */
 import type { FleetEffect } from '../fleet/fleet-replica.js';
 import { RouteTable } from '../forwarding/routes/route-table.js';
@@ -20,23 +20,23 @@
 import type { PeerMessage } from './peer-messages.js';
 
 /**
- * Daemons assumed, at least, to share the retry budget and the connections of back ends while some may
- * not be known.
+ * Least number of daemons assumed to share the retry budget and the connections of back ends while some
+ * daemons may be unknown.
  */
 const MINIMUM_ASSUMED_DAEMONS = 32;
 /**
- * Interval between ticks. Milliseconds. What waits for a tick (a deadline, a stalled attempt, a digest) bears
- * so much delay; each tick costs a process some 0.05 ms.
+ * Interval between ticks. Milliseconds. Whatever a tick triggers (a deadline, a stalled attempt, a digest) is
+ * delayed by up to this time; each tick costs a process about 0.05 ms.
  */
 export const TICK_MS = 40;
 /**
- * Interval between looks at every back end: probes, followed caches, stages. Milliseconds. Every third
+ * Interval between scans of all back ends, for probes, followed caches and stages. Milliseconds. Every third
  * tick, since there may be hundreds of back ends.
  */
 const BACKEND_SCAN_MS = 120;
-/** A process that saw so much time pass between two ticks was paused. Milliseconds. Six ticks. */
+/** A process that measures more than this time between two ticks was paused. Milliseconds. Six ticks. */
 const PROCESS_PAUSE_MS = 250;
-/** Daemons are ranked as readers of the store by this key. */
+/** Rendezvous key by which daemons are ranked as readers of the store. */
 const STORE_READER_KEY = 'store-reader';
 
 /** The state machine of one forwarding daemon. Times are monotonic milliseconds. */
@@ -48,9 +48,9 @@
   private routes: RouteTable | undefined;
   private draining = false;
   private membersChanged = true;
-  /** This daemon's place among those that follow the store. */
+  /** This daemon's rank among the daemons that follow the store. */
   private readerRank = 0;
-  /** The time of the event that is handled now. */
+  /** The time of the event that is being handled. */
   private eventAt: number;
   private lastTickAt: number;
   private lastScanAt = -Infinity;
@@ -93,7 +93,7 @@
     );
   }
 
-  /** Handles one event and returns what is to be done, in order. */
+  /** Handles one event and returns the effects to perform, in order. */
   handle(event: ForwardingEvent, now: number): ForwardingEffect[] {
     this.eventAt = now;
     this.dispatch(event, now);
@@ -102,12 +102,12 @@
     return effects;
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether callers should send requests to this daemon. */
   ready(): boolean {
     return !this.draining && this.routes !== undefined && this.machines.replica.knowsBackends();
   }
 
-  /** Requests in hand. */
+  /** Number of requests that are active or waiting. */
   countOpenRequests(): number {
     return this.machines.manager.active();
   }
@@ -117,22 +117,22 @@
     return this.routes?.configuration.version ?? -1;
   }
 
-  /** How long ago the store last confirmed the configuration. Milliseconds. */
+  /** Time since the store last confirmed the configuration. Milliseconds. */
   configurationAgeMs(now: number): number {
     return this.machines.replica.ageMs('configuration', now);
   }
 
-  /** Daemons believed to run, this one included. */
+  /** Number of daemons believed to be running, including this one. */
   members(): number {
     return this.machines.membership.active().length;
   }
 
-  /** Requests of all daemons at a back end, as far as this one knows. */
+  /** Number of requests of all daemons at a back end, as far as this daemon knows. */
   getInFlight(backendId: string): number {
     return this.machines.directory.get(backendId)?.inFlight() ?? 0;
   }
 
-  /** What an operator sees of each part. */
+  /** The figures of each part, by its name, for operators. */
   getPartFigures(now: number): Readonly<Record<string, PartFigures>> {
     return Object.fromEntries(this.machines.parts.map((part) => [part.name, part.getFigures?.(now) ?? {}]));
   }
@@ -200,7 +200,8 @@
   }
 
   /**
-   * As after a pause, and beside that nothing that is measured by the clock of this process counts any more.
+   * Besides the handling of a process pause, invalidates everything that is measured by the monotonic clock,
+   * which did not count the suspension.
    */
   private onMachineSuspended(forMs: number, now: number): void {
     this.logChange('process.suspended', { forMs: Math.round(forMs), requests: this.countOpenRequests() });
@@ -226,7 +227,7 @@
         this.machines.exchange.receive(fromId, fromAddress, message, now);
         break;
       default:
-        // For a part, or of daemons that serve completions.
+        // The other kinds are handled by parts, or used by daemons that serve completions only.
         break;
     }
   }
@@ -239,7 +240,7 @@
   }
 
   /**
-   * Finds this daemon's place among those that follow the store. Before it knows any peer it is the first.
+   * Computes this daemon's rank among those that follow the store. Before it knows any peer, it is the first.
    */
   private setReaderRank(): void {
     if (!this.membersChanged) return;
@@ -254,9 +255,10 @@
   }
 
   /**
-   * Daemons that share what back ends bear. One that is stopping counts until it is forgotten: it serves for
-   * seconds, and shares that grow meanwhile add up to more than the whole (nine daemons stopped in turn
-   * repeated 2.7 times what their budget allows).
+   * Number of daemons among which the retry budget and the connections of back ends are divided. A stopping
+   * daemon counts until it is dropped from the members: it keeps serving for seconds, and if the shares of
+   * the others grew meanwhile, the sum would exceed the limit (nine daemons stopped in turn sent 2.7 times
+   * the retries that their budget allows).
    */
   private countSharingDaemons(): number {
     const sharing = this.machines.membership.countSharing();
--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -1,7 +1,7 @@
 /**
- * The state machines that a forwarding daemon is made of, and how they are wired: who reads whose state, and
- * where the effects of each go. Owns no state. The daemon routes events to the machines that are made here;
- * what it does beside forwarding is in the parts (src/parts), which are plugged in.
+ * Creates and wires the state machines of a forwarding daemon: which machine reads the state of which other,
+ * and where the effects of each go. Owns no state. The daemon dispatches events to the machines created here;
+ * everything besides forwarding is in the parts (src/parts), which are plugged in.
  */
 import { FleetReplica, type FleetEffect } from '../fleet/fleet-replica.js';
 import { PeerExchange } from '../fleet/peer-exchange.js';
@@ -32,10 +32,10 @@
 import type { ForwardingDaemonSettings } from './forwarding-daemon-settings.js';
 import type { ForwardingEffect } from './forwarding-messages.js';
 
-/** What the machines are made from, and what they ask of the daemon. */
+/** What the machines are created from, and the functions of the daemon that they call. */
 interface ForwardingContext {
   readonly identity: DaemonIdentity;
-  /** Addresses of daemons that are asked first for the others. */
+  /** Addresses of the daemons that are contacted first to find the others. */
   readonly seeds: readonly string[];
   readonly settings: ForwardingDaemonSettings;
   readonly random: RandomSource;
@@ -45,11 +45,11 @@
   readonly emit: EffectSink<ForwardingEffect>;
   /** The routes in force; undefined before the first configuration. */
   routes(): RouteTable | undefined;
-  /** Daemons that share what back ends bear. */
+  /** Number of daemons that share the retry budget and the connections of back ends. */
   daemons(): number;
-  /** Whether this daemon is the first of those that follow the store. */
+  /** Whether this daemon is the first in rank among those that follow the store. */
   isFirstReader(): boolean;
-  /** The time of the event that is handled now. Monotonic milliseconds. */
+  /** The time of the event that is being handled. Monotonic milliseconds. */
   getEventTime(): number;
   logChange(event: ChangeEvent, fields: Readonly<Record<string, unknown>>): void;
   onMembership(effect: MembershipEffect): void;
@@ -58,32 +58,32 @@
 
 /** The machines of one daemon. */
 export interface ForwardingMachines {
-  /** Which daemons there are. */
+  /** The daemons of the fleet. */
   readonly membership: Membership;
-  /** The configuration and the records of the back ends, as the store or a peer last gave them. */
+  /** The configuration and the back ends' records, as last received from the store or a peer. */
   readonly replica: FleetReplica;
-  /** The back ends and what is known of their load and health. */
+  /** The back ends and their known load and health. */
   readonly directory: BackendDirectory;
-  /** Which back ends hold the KV cache of which prompts. */
+  /** Maps prompts to the back ends that hold their KV cache. */
   readonly kvIndex: KvIndex;
-  /** The budget of retries. */
+  /** The retry budget. */
   readonly retries: RetryAllowance;
-  /** Requests in hand. */
+  /** The requests that are active or waiting. */
   readonly manager: ForwardManager;
-  /** Digests of loads and changes of records, to and from peers. */
+  /** Exchanges load digests and record changes with peers. */
   readonly exchange: PeerExchange;
-  /** Everything that the daemon does beside passing requests on. */
+  /** Everything that the daemon does besides forwarding requests. */
   readonly parts: readonly DaemonPart[];
 }
 
-/** How far back ends are. */
+/** Distances to back ends. */
 interface Distances {
   readonly places: Places;
   readonly roundTrips: RoundTrips;
   readonly distance: BackendDistance;
 }
 
-/** Makes the machines. Those that need each other reach one another by functions that are called later. */
+/** Creates the machines. Machines that depend on each other are wired by functions that are called later. */
 export function createForwardingMachines(context: ForwardingContext): ForwardingMachines {
   const { identity, seeds, settings, random, now } = context;
   const directory = new BackendDirectory(settings.health, settings.picker.pace);
@@ -114,13 +114,13 @@
   return { membership, replica, directory, kvIndex, retries, manager, exchange, parts };
 }
 
-/** How this daemon sees its fleet. */
+/** The fleet as this daemon sees it. */
 function getFleetView(membership: Membership): FleetView {
   const members = membership.active();
   return { members, known: membership.contact().known, joined: membership.joined() };
 }
 
-/** What is known of back ends by their own words, and the permits to send to those that name a limit. */
+/** What back ends report about themselves, and the permits for sending to those that name a limit. */
 interface SignalMachines {
   readonly limits: BackendLimits;
   readonly leaving: LeavingBackends;
@@ -128,9 +128,9 @@
 }
 
 interface SignalContext extends Pick<ForwardingMachines, 'directory' | 'membership'> {
-  /** Requests of the service that wait for a permit are looked at again. */
+  /** Retries to dispatch the service's requests that wait for a permit. */
   resumeWaiting(service: string, now: number): void;
-  /** The other daemons are told at once. */
+  /** Sends a digest to the peers at once. */
   sendSoon(now: number): void;
 }
 
@@ -201,7 +201,7 @@
 function createExchange(context: ForwardingContext, machines: ExchangeMachines): PeerExchange {
   const { identity, settings, random, emit, now } = context;
   const { replica, directory, kvIndex, signals, membership } = machines;
-  // A placement counts only where the configuration says how much an engine of the service keeps.
+  // A placement is used only if the configuration states the KV cache capacity of the service's engines.
   const applyPlacement = (placement: PartPlacement): void => {
     const service = directory.get(placement[0])?.record.service;
     if (service === undefined) return;
--- a/src/daemon/forwarding-messages.ts
+++ b/src/daemon/forwarding-messages.ts
@@ -1,6 +1,6 @@
 /**
- * What goes into the state machine of a forwarding daemon and what comes out of it: events and effects. Owns
- * these types; messages that travel between daemons are in peer-messages.ts.
+ * The events and effects of the state machine of a forwarding daemon. Owns these types; the messages between
+ * daemons are in peer-messages.ts.
  */
 import type { EngineStatus, StageOrder, StageOrderResult } from '../allocation/engine-orders.js';
 import type { DutyAuthority, DutyCall, DutyResult } from '../duties/duty-messages.js';
@@ -16,12 +16,12 @@
 import type { ChangeEffect } from './change-log.js';
 import type { PeerMessage } from './peer-messages.js';
 
-/** What goes in. */
+/** Events that the daemon handles. */
 export type ForwardingEvent =
-  /** `wallMs` is the machine's time of day. Milliseconds. */
+  /** `wallMs` is the machine's wall-clock time. Milliseconds. */
   | { readonly kind: 'tick'; readonly wallMs: number }
   /**
-   * The machine was suspended for so long, which the clock that times these events has not counted.
+   * The machine was suspended for `forMs`, which the monotonic clock of these events did not count.
    * Milliseconds.
    */
   | { readonly kind: 'clockStoodStill'; readonly forMs: number }
@@ -42,8 +42,8 @@
     }
   | { readonly kind: 'probed'; readonly backendId: string; readonly well: boolean }
   /**
-   * What a back end says of itself in the answer to a call of the daemon's own, which was sent at `sentAt`. Monotonic
-   * milliseconds. `isHealthCheck`: it was a health check, and the back end is well.
+   * What a back end reports about itself in its answer to a call by the daemon itself, sent at `sentAt`
+   * (monotonic milliseconds). `isHealthCheck`: the call was a health check, and the back end is healthy.
    */
   | {
       readonly kind: 'backendSignalled';
@@ -69,10 +69,10 @@
       readonly answer: KvChanges | undefined;
     }
   | { readonly kind: 'beginDrain' }
-  /** The process will end too soon for new requests. */
+  /** The process stops soon and accepts no new requests. */
   | { readonly kind: 'closeForNew' };
 
-/** What comes out. */
+/** Effects that the daemon requests. */
 export type ForwardingEffect =
   | ForwardEffect
   | ChangeEffect
--- a/src/daemon/interval-reports.ts
+++ b/src/daemon/interval-reports.ts
@@ -1,29 +1,29 @@
 /**
- * Lines of the log that sum up an interval, where one line for each occurrence would be too many: members
- * that were found, and use of the retry budget. Owns the counts and the times of the last lines.
+ * Log lines that aggregate an interval, where one line per occurrence would be too many: newly found members
+ * and the use of the retry budget. Owns the counts and the times of the last lines.
  */
 import type { RetryAllowance } from '../forwarding/retry/retry-allowance.js';
 import type { ChangeEvent } from './change-log.js';
 
 /**
- * A daemon that starts finds hundreds of members within a second: one line an interval says how many.
- * Milliseconds.
+ * Interval between lines on found members. Milliseconds. A starting daemon finds hundreds of members within a
+ * second.
  */
 const MEMBERS_FOUND_INTERVAL_MS = 1000;
-/** Interval between lines on retries, if any were asked for. Milliseconds. */
+/** Interval between lines on retries, if any were requested. Milliseconds. */
 const RETRIES_USED_INTERVAL_MS = 1000;
 
-/** What the reports read, and where they go. */
+/** What the reports read, and where they are written. */
 interface IntervalReportsContext {
   readonly retries: RetryAllowance;
-  /** Active members, this daemon included. */
+  /** Number of active members, including this daemon. */
   members(): number;
-  /** Daemons that share what back ends bear. */
+  /** Number of daemons that share the retry budget. */
   daemons(): number;
   logChange(event: ChangeEvent, fields: Readonly<Record<string, unknown>>): void;
 }
 
-/** The reports of one daemon. Times are monotonic milliseconds. */
+/** The interval reports of one daemon. Times are monotonic milliseconds. */
 export class IntervalReports {
   private membersFound = 0;
   private membersLoggedAt: number;
@@ -37,12 +37,12 @@
     this.retriesLoggedAt = now;
   }
 
-  /** Counts a member that was found. */
+  /** Counts a newly found member. */
   addMember(): void {
     this.membersFound += 1;
   }
 
-  /** Writes the lines that are due. */
+  /** Writes the log lines that are due. */
   tick(now: number): void {
     this.logMembers(now);
     this.logRetries(now);
--- a/src/daemon/limit-manager.ts
+++ b/src/daemon/limit-manager.ts
@@ -1,7 +1,7 @@
 /**
- * A daemon's part in the limits of services: the slots it holds for its own requests and the limits it owns
- * for all. Messages to the daemon itself are handled as those of others, after the transition that made them.
- * Owns both sides.
+ * A daemon's two roles in the limits of services: holder of slots for its local requests, and owner of some
+ * services' limits for all daemons. Messages that it sends to itself are handled like those of peers, after
+ * the transition that made them. Owns the state machines of both roles.
  */
 import type { ConfigurationReplica } from '../configuration/configuration-replica.js';
 import type { LimitMessage, LimitSettings } from '../limits/limit-messages.js';
@@ -13,19 +13,19 @@
 import type { Admission } from './admission.js';
 import type { CompletionDaemonEffect } from './completion-messages.js';
 
-/** What the manager reads, and whom it tells. */
+/** What the manager reads, and where its effects go. */
 interface LimitContext {
   readonly membership: Membership;
   readonly configuration: ConfigurationReplica;
   readonly admission: () => Admission;
   readonly emit: (effect: CompletionDaemonEffect) => void;
-  /** Runs a step after the transition that made it. */
+  /** Runs a step after the transition that created it. */
   readonly defer: (step: (now: number) => void) => void;
 }
 
-/** The limits as one daemon sees them. Times are monotonic milliseconds. */
+/** The limit manager of one daemon. Times are monotonic milliseconds. */
 export class LimitManager {
-  /** Slots for this daemon's own requests. */
+  /** Slots for this daemon's local requests. */
   readonly holder: SlotHolder;
   private readonly owner: SlotOwner;
   private readonly ownership: SlotOwnership;
@@ -51,7 +51,7 @@
     );
   }
 
-  /** Services whose limits are owned here, and slots in use, for status pages. */
+  /** Services whose limits this daemon owns, with their slots in use and waiting requests, for the status. */
   getInUse(): ReturnType<SlotOwner['inUse']> {
     return this.owner.inUse();
   }
@@ -62,7 +62,7 @@
     this.holder.tick(now, (id) => this.ownership.isUp(id));
   }
 
-  /** Takes a message of another daemon, or of this one. */
+  /** Receives a message from a peer or from this daemon itself. */
   receive(fromId: string, message: LimitMessage, now: number): void {
     switch (message.kind) {
       case 'slotGrant':
@@ -79,13 +79,13 @@
     }
   }
 
-  /** Takes that daemons have joined or left; `deadId` is one that is believed dead. */
+  /** Applies a change of members; `deadId` is the ID of a daemon that is believed dead. */
   applyMembership(deadId: string | undefined, now: number): void {
     this.owner.applyMembership(now);
     if (deadId !== undefined) this.owner.removeDaemon(deadId);
   }
 
-  /** Tells the successors what is held by whom: this daemon leaves. */
+  /** Sends the holders of all slots to the succeeding owners, when this daemon is leaving. */
   handOver(): void {
     this.owner.handOver((service) => this.ownership.successorOf(service));
   }
--- a/src/daemon/peer-contact.ts
+++ b/src/daemon/peer-contact.ts
@@ -1,10 +1,10 @@
 /**
- * How a daemon is in contact with the others, as the rule on stale configurations reads it. Owns no state.
+ * Derives a daemon's contact with its peers for the rule on stale configurations. Owns no state.
  */
 import type { PeerContact } from '../configuration/configuration-replica.js';
 import type { Membership } from '../membership/membership.js';
 
-/** The contact at `now` (monotonic milliseconds). A daemon that knows no other is always in contact. */
+/** The contact at `now` (monotonic milliseconds). A daemon that knows no peers counts as in contact. */
 export function getPeerContact(membership: Membership, now: number): PeerContact {
   const { alive, known } = membership.contact();
   return { alive, known, lastContactAt: known <= 1 ? now : membership.lastContact() };
--- a/src/daemon/peer-messages.ts
+++ b/src/daemon/peer-messages.ts
@@ -1,6 +1,7 @@
 /**
- * Everything that daemons send each other, of both programs. A daemon ignores the kinds that only the other
- * program uses. Owns no type but the union: each message is defined beside the machine that sends it.
+ * All messages between daemons, both forwarding daemons and daemons that serve completions. Each ignores the
+ * kinds that only the other uses. Owns only the union: each message is defined next to the machine that sends
+ * it.
  */
 import type { ConfigurationMessage } from '../configuration/configuration-replica.js';
 import type { UsageCounts } from '../duties/duty-messages.js';
--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * The quarantine of a daemon that routes completions and calls: which requests are kept from back ends
- * because runs of theirs ended several. Hears of runs from the two managers and asks the quarantine machine
- * of `src/quarantine`, which owns the state and the rules.
+ * The quarantine of a daemon that serves completions and application calls: requests whose attempts crashed
+ * several back ends are kept from back ends. Receives the outcomes of attempts from the two managers and
+ * passes them to the quarantine machine in `src/quarantine`, which owns the state and the rules.
  */
 import type { Member } from '../membership/membership-messages.js';
 import type { BackendCheck, WatchedBackend } from '../quarantine/break-watch.js';
@@ -16,12 +16,12 @@
 import { makeQuarantineChange } from './change-log.js';
 import type { CompletionDaemonEffect } from './completion-messages.js';
 
-/** What the quarantine works with. */
+/** What the quarantine reads, and where its effects go. */
 interface CompletionQuarantineOptions {
   readonly selfId: string;
-  /** Active members, this daemon included. */
+  /** Active members, including this daemon. */
   members(): readonly Member[];
-  /** Whether a run that was sent before a moment is still at a back end. */
+  /** Whether an attempt that was sent before the time `before` is still in flight at a back end. */
   hasOlderAttempt(backendId: string, before: number): boolean;
   readonly random: RandomSource;
   readonly emit: EffectSink<CompletionDaemonEffect>;
@@ -29,7 +29,7 @@
   readonly now: number;
 }
 
-/** The daemon that is ranked first by this key removes old rows from the store. */
+/** Rendezvous key; the daemon ranked first by it removes old rows from the store. */
 const CLEANER_KEY = 'quarantine-cleaner';
 
 /** The quarantine of one daemon. Times are monotonic milliseconds. */
@@ -70,22 +70,22 @@
     if (key !== undefined) this.manager.addAnswer(key, now);
   }
 
-  /** Takes the outcome of a check. */
+  /** Receives the result of a check on a back end. */
   receiveCheck(backend: WatchedBackend, check: BackendCheck, now: number): void {
     this.manager.receiveCheck(backend, check, now);
   }
 
-  /** Takes a peer's message. */
+  /** Receives a peer's message. */
   receive(fromAddress: string, message: QuarantineMessage, now: number): void {
     this.manager.receive(fromAddress, message, now);
   }
 
-  /** Takes the store's answer. */
+  /** Receives the store's answer to a table request. */
   receiveTable(result: TableResult, now: number): void {
     this.manager.receiveTable(result, now);
   }
 
-  /** Advances timers; `wallMs` is the time of day, if it is known. */
+  /** Advances timers; `wallMs` is the wall-clock time in milliseconds, if it is known. */
   tick(wallMs: number | undefined, now: number): void {
     if (wallMs !== undefined) this.manager.setClock(wallMs);
     this.manager.tick(now);
@@ -108,7 +108,7 @@
         break;
       }
       case 'peerFoundEnd':
-        // Engines and servers are known to be gone by the machine list and by their reports.
+        // Not needed here: the machine list and missing reports show that engines and servers are gone.
         break;
     }
   }
--- a/src/daemon/service-editor.ts
+++ b/src/daemon/service-editor.ts
@@ -1,6 +1,7 @@
 /**
- * Operators' edits: compare-and-set on each row's revision, all rows of an edit or none. An edit whose answer
- * was lost is sent again under the same write id until the table says what became of it.
+ * Operators' edits of the service table: a compare-and-set on each row's revision, applied to all rows of an
+ * edit or none. An edit whose answer was lost is sent again with the same write ID until the table reports
+ * its outcome. Owns the edits that are in progress.
  */
 import {
   QuorumLostError,
@@ -14,7 +15,7 @@
 import type { TableRequest, TableResult } from '../contracts/table-service.js';
 import type { RowEdit } from './completion-messages.js';
 
-/** What the editor asks its runner to do. */
+/** Effects that the editor requests. */
 export type EditorEffect =
   | { readonly kind: 'editTable'; readonly editId: string; readonly request: TableRequest }
   | { readonly kind: 'editAccepted'; readonly editId: string; readonly revision: number }
@@ -26,22 +27,25 @@
   readonly startedAt: number;
   retryAt: number;
   isAwaitingAnswer: boolean;
-  /** Whether an earlier sending may have taken effect. */
+  /** Whether an earlier write of this edit may have been applied. */
   mayHaveApplied: boolean;
 }
 
-/** Interval between repeats of an edit without an answer. Milliseconds. */
+/** Delay before an edit whose outcome is unknown is sent again. Milliseconds. */
 const RETRY_INTERVAL_MS = 500;
-/** An edit without an answer for so long fails. Milliseconds. */
+/** An edit without a known outcome fails after this time. Milliseconds. */
 const EDIT_TIMEOUT_MS = 10_000;
 
-/** The editing machine of one daemon. Times are monotonic milliseconds. */
+/** The service editor of one daemon. Times are monotonic milliseconds. */
 export class ServiceEditor {
   private readonly pendingEdits = new Map<string, Edit>();
 
   constructor(private readonly emit: EffectSink<EditorEffect>) {}
 
-  /** Starts an edit. `editId` becomes the table's write id, so an operator may repeat it safely. */
+  /**
+   * Starts an edit. `editId` is used as the table's write ID, so an operator can safely repeat the edit.
+   * `contact` is the number of daemons in contact and of known daemons.
+   */
   begin(
     editId: string,
     edits: readonly RowEdit[],
@@ -56,7 +60,8 @@
       });
       return;
     }
-    // Daemons in a majority go on through a table outage, so an edit must be known to one of them.
+    // During a table outage, daemons in a majority continue with the configuration they know, so an accepted
+    // edit must reach one of them.
     if (contact.alive * 2 <= contact.known) {
       const error = new QuorumLostError(contact.alive, contact.known, EDIT_RETRY_AFTER_MS);
       this.emit({ kind: 'editFailed', editId, error });
@@ -74,7 +79,7 @@
     this.send(edit);
   }
 
-  /** Takes the answer to an `editTable` effect. Returns whether an edit was accepted. */
+  /** Receives the answer to an `editTable` effect. Returns whether an edit was accepted. */
   receiveTableResult(editId: string, result: TableResult, now: number): boolean {
     const edit = this.pendingEdits.get(editId);
     if (!edit) return false;
@@ -97,7 +102,7 @@
     }
   }
 
-  /** Repeats edits without an answer, and fails old ones without claiming that they had no effect. */
+  /** Retries edits with unknown outcomes, and fails those that timed out as possibly applied. */
   tick(now: number): void {
     for (const edit of [...this.pendingEdits.values()]) {
       if (now - edit.startedAt > EDIT_TIMEOUT_MS) {
--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -1,8 +1,8 @@
 /**
- * The stage coordinators of a forwarding daemon, one a service of model engines, and which daemons should lead
- * each: the first of the active members by rendezvous hash of the service, once that has been so for a while,
- * and the next in rank when it does not. Owns the coordinators and the ranks; who may give orders is decided by
- * the lease of each coordinator.
+ * The stage coordinators of a forwarding daemon, one per service of model engines, and the election of the
+ * daemon that should lead each: the first active member by rendezvous hash of the service, once its rank is
+ * stable, or the next in rank if the first does not take the lease. Owns the coordinators and the ranks; only
+ * the holder of a coordinator's lease may give orders.
  */
 import type { EngineStatus, StageOrderResult } from '../allocation/engine-orders.js';
 import {
@@ -17,33 +17,33 @@
 import type { EffectSink } from '../shared/effect-sink.js';
 import { getRendezvousPlace } from '../shared/rendezvous-hash.js';
 
-/** What the manager works with. */
+/** What the manager reads. */
 interface StageManagerParts {
-  /** Active members; the same array as long as they are the same. */
+  /** Active members; returns the same array until they change. */
   members(): readonly Member[];
   readonly directory: BackendDirectory;
-  /** The region of a zone; left out where there is one. */
+  /** The region of a zone; omitted if there is only one region. */
   regionOf?(zone: string): string;
 }
 
 /**
- * A member must have been the chosen one for so long before it takes the lease. Milliseconds; a choice
- * that the next member to join would change is not acted on.
+ * A member's rank must be unchanged for this duration before it acquires the lease, so that no ranks are used
+ * that the next joining member would change. Milliseconds.
  */
 const ELECTION_SETTLE_MS = 1500;
 
 /**
- * Members that may lead a service: the first in rank, and those that stand in for it. The store may refuse a
- * daemon that others do not miss.
+ * Number of members that may lead a service: the first in rank, and its standbys. Standbys are needed because
+ * the store may refuse a daemon that its peers still consider alive.
  */
 const MAXIMUM_CANDIDATES = 3;
 /**
- * Each candidate waits for so long, for each one before it in rank, before it takes a lease that is free.
- * Milliseconds; a write that was lost is repeated within half of it.
+ * Time that a candidate waits, per candidate ahead of it in rank, before it acquires a free lease.
+ * Milliseconds. A lost write is repeated within half of this time.
  */
 const STANDBY_DELAY_MS = 2000;
 
-/** This daemon's place in rank for a service's lease, and since when that is so. */
+/** This daemon's place in the ranking for a service's lease, and since when it has that place. */
 interface Election {
   readonly place: number;
   readonly since: number;
@@ -56,7 +56,7 @@
   readonly patienceMs: number;
 }
 
-/** The manager of one daemon. Times are monotonic milliseconds. */
+/** The stage manager of one daemon. Times are monotonic milliseconds. */
 export class StageManager {
   private readonly coordinators = new Map<string, StageCoordinator>();
   private slots = new Map<string, number>();
@@ -70,13 +70,15 @@
     private readonly emit: EffectSink<StageEffect>,
   ) {}
 
-  /** Takes the services of a configuration. */
+  /** Applies the services of a configuration. */
   applyConfiguration(configuration: RouteConfiguration): void {
     this.slots = new Map();
     for (const { name, engine } of configuration.services) if (engine) this.slots.set(name, engine.slots);
   }
 
-  /** Advances every coordinator. `mayLead` is false while the daemon stops or does not hear the store. */
+  /**
+   * Advances every coordinator. `mayLead` is false while the daemon is draining: it then acquires no leases.
+   */
   tick(now: number, mayLead: boolean): void {
     this.updateElections(now);
     for (const [service, slots] of this.slots) {
@@ -88,27 +90,27 @@
     }
   }
 
-  /** This process's clock stood still for a time that nobody here has counted. */
+  /** The machine was suspended, for a time that the monotonic clock did not count: leases are void. */
   onMachineSuspended(): void {
     for (const coordinator of this.coordinators.values()) coordinator.resumeAfterSuspension();
   }
 
-  /** Takes the answer to a `leaseTable` effect. */
+  /** Receives the answer to a `leaseTable` effect. */
   receiveTableResult(service: string, result: TableResult, now: number): void {
     this.coordinators.get(service)?.receiveTableResult(result, now);
   }
 
-  /** Takes an engine's state. */
+  /** Receives an engine's status; undefined if it did not answer. */
   receiveStatus(service: string, backendId: string, status: EngineStatus | undefined, now: number): void {
     this.coordinators.get(service)?.receiveStatus(backendId, status, now);
   }
 
-  /** Takes the outcome of an order. */
+  /** Receives the result of an order. */
   receiveOrderResult(service: string, backendId: string, result: StageOrderResult): void {
     this.coordinators.get(service)?.receiveOrderResult(backendId, result);
   }
 
-  /** Finds this daemon's place in rank for each service, when the members or the services have changed. */
+  /** Computes this daemon's rank for each service when the members or the services have changed. */
   private updateElections(now: number): void {
     const members = this.parts.members();
     const known = [...this.slots.keys()].every((service) => this.elections.has(service));
