--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -108,7 +108,7 @@
         break;
       }
       case 'peerFoundEnd':
-        // Not needed here: the machine list and missing reports show that engines and servers are gone.
+        // Not needed here: the machine list and the reports show which engines and servers are gone.
         break;
     }
   }
--- a/src/parts/backend-signal-part.ts
+++ b/src/parts/backend-signal-part.ts
@@ -1,23 +1,24 @@
-/// Follows what back ends say of themselves: the limits that they name, with the permits to send there, that
-/// they leave, and that they want nothing for a while.
+/// Tracks what back ends report about themselves: their limits, with the permits for sending to them, that
+/// they are leaving, and that they ask for a back-off.
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import type {BackendView} from "../forwarding/backends/backend-view.js"
 import type {SignalReport} from "../forwarding/backends/backend-signals.js"
 import type {BackendRecord} from "../forwarding/routes/route.js"
 import {DaemonPart, type AnswerEvent, type PartFigures, type PartContext} from "./daemon-part.js"
 
-/// A limit of which nothing was heard for so long is asked for by a health check, and again after that time.
-/// Milliseconds.
+/// A limit that was not confirmed for this duration is requested by a health check, which is repeated at this
+/// interval. Milliseconds.
 const CONFIRM_INTERVAL_MS = 3000
 
-/// The signals as a part.
+/// The part that handles back ends' signals.
 export class BackendSignalPart extends DaemonPart {
   override readonly name = "backendSignals"
-  /// When each limit was last heard of or asked for.
+  /// The time at which each limit was last confirmed or requested.
   private readonly confirmedAt = new Map<BackendView, number>()
-  /// Back ends that name their limits in answers to health checks too: there silence tells that one has ended.
+  /// Back ends that name their limits in answers to health checks too: if such an answer names none, the
+  /// limit has ended.
   private readonly namesLimitInChecks = new Set<BackendView>()
-  /// The last signal of each back end that could not be read.
+  /// The last signal of each back end that could not be parsed.
   private readonly lastUnreadable = new Map<BackendView, string>()
 
   constructor(private readonly context: PartContext) {
@@ -86,7 +87,7 @@
     this.context.permits.tick(now)
   }
 
-  override scan(_leaving: boolean, now: number): void {
+  override scan(_draining: boolean, now: number): void {
     this.context.limits.tick()
     for (const known of [this.confirmedAt, this.namesLimitInChecks, this.lastUnreadable])
       for (const view of known.keys()) if (view.gone) known.delete(view)
@@ -97,7 +98,7 @@
     return this.context.permits.getFigures()
   }
 
-  /// Once for what a back end says in answer after answer.
+  /// Logs each unreadable signal once, since a back end may repeat it in every answer.
   private logUnreadable(view: BackendView, signals: readonly string[]): void {
     const {id: backend} = view.record
     for (const signal of signals) {
@@ -107,7 +108,8 @@
     }
   }
 
-  /// Without requests no answer would tell that a limit has ended. One daemon asks for all.
+  /// Sends a health check to a back end whose limit was not confirmed recently: without requests, no answer
+  /// would show that the limit has ended. Only the owner of the limit does so, for all daemons.
   private probeLimit(view: BackendView, now: number): void {
     const {emit, permits, routes} = this.context
     const lastConfirmedAt = this.confirmedAt.get(view) ?? view.limit.getChangedAt()
--- a/src/parts/daemon-part.ts
+++ b/src/parts/daemon-part.ts
@@ -1,6 +1,6 @@
-/// The shape of everything that a forwarding daemon does beside passing requests on: it hears of the
-/// configuration, the members, the back ends, messages of peers, answers of outside systems and time, and
-/// asks for effects. A part is written and tested without the daemon; one line in `daemon-parts.ts` plugs it
+/// The interface of everything that a forwarding daemon does besides forwarding requests: a part is notified
+/// of the configuration, the members, the back ends, messages of peers, answers of external systems and time,
+/// and emits effects. A part is written and tested without the daemon; one line in `daemon-parts.ts` plugs it
 /// in.
 import type {RandomSource} from "../shared/random.js"
 import type {BackendDistance} from "../forwarding/choose/backend-distance.js"
@@ -24,46 +24,48 @@
 import type {ForwardingDaemonSettings} from "../daemon/forwarding-daemon-settings.js"
 import type {ForwardingEffect, ForwardingEvent} from "../daemon/forwarding-messages.js"
 
-/// What is known of the regions of a fleet.
+/// The regions of a fleet: places, measured round trips, and distances to back ends.
 export interface RegionContext {
   readonly places: Places
   readonly roundTrips: RoundTrips
   readonly distance: BackendDistance
 }
 
-/// What a part may look at, and where its effects go.
+/// What a part may read, and where its effects go.
 export interface PartContext {
   readonly identity: DaemonIdentity
   readonly settings: ForwardingDaemonSettings
   readonly random: RandomSource
   readonly directory: BackendDirectory
   readonly kvIndex: KvIndex
-  /// Back ends that have said that they leave.
+  /// Back ends that have announced that they are leaving.
   readonly leaving: LeavingBackends
-  /// The limits that back ends name, and the permits to send there.
+  /// The limits that back ends name.
   readonly limits: BackendLimits
+  /// The permits for sending to back ends that name a limit.
   readonly permits: PermitManager
-  /// Missing where the fleet lies in one region.
+  /// Undefined if the fleet is in a single region.
   readonly regions?: RegionContext | undefined
   readonly emit: EffectSink<ForwardingEffect>
-  /// Active members, this daemon included; the same array as long as they are the same.
+  /// Active members, including this daemon; returns the same array until they change.
   members(): readonly Member[]
-  /// How this daemon sees its fleet.
+  /// The fleet as this daemon sees it.
   fleet(): FleetView
-  /// Whether this daemon is the one of the fleet that looks after what all share in the store.
+  /// Whether this daemon is the first in rank among the readers of the store, which maintains the records
+  /// that the fleet shares there.
   isFirstReader(): boolean
   /// The routes in force; undefined before the first configuration.
   routes(): RouteTable | undefined
-  /// A request that waited for its tenant's quota is decided.
+  /// Applies the decision on a request that waited for its tenant's quota.
   decideQuota(requestId: string, decision: QuotaDecision): void
   /// Writes a change to the daemon's log and counts it in its metrics.
   logChange(event: ChangeEvent, fields: Readonly<Record<string, unknown>>): void
 }
 
-/// Figures of a part by name, for the status and the metrics. Their number is bounded.
+/// Figures of a part by name, for the status and the metrics. The number of names is bounded.
 export type PartFigures = Readonly<Record<string, number>>
 
-/// What an outside system answered: every event that the daemon does not take itself.
+/// Answers of external systems: every event that the daemon does not handle itself.
 export type AnswerEvent = Exclude<
   ForwardingEvent,
   {
@@ -80,72 +82,73 @@
   }
 >
 
-/// One part of a daemon. Whatever a part does not care for it leaves out. Times are monotonic milliseconds.
+/// One part of a daemon. A part omits the methods that it does not need. Times are monotonic milliseconds.
 export abstract class DaemonPart {
-  /// Its figures are shown under this name.
+  /// The name under which the part's figures are shown.
   abstract readonly name: string
 
-  /// A configuration has come into force.
+  /// Applies a configuration that has come into force.
   applyConfiguration?(configuration: RouteConfiguration, now: number): void
 
-  /// A back end is new, or its record has changed.
+  /// Applies the record of a back end that is new or has changed.
   applyBackend?(record: BackendRecord, now: number): void
 
-  /// The record of a back end is gone.
+  /// Removes a back end whose record was removed or has expired.
   removeBackend?(id: string, now: number): void
 
-  /// Takes a peer's message, if it is one for this part.
+  /// Receives a peer's message; a part ignores those for other parts.
   receivePeer?(fromId: string, fromAddress: string, message: PeerMessage, now: number): void
 
-  /// Takes an outside system's answer, if this part asked.
+  /// Receives an external system's answer; a part ignores those that it did not request.
   receiveAnswer?(event: AnswerEvent, now: number): void
 
-  /// Hears the machine's time of day. Milliseconds.
+  /// Receives the machine's wall-clock time. Milliseconds.
   receiveClock?(wallMs: number, now: number): void
 
-  /// Adds to a message of the membership before it is sent.
+  /// Adds the part's fields to a membership message before it is sent.
   addToMembership?(message: MembershipMessage, now: number): MembershipMessage
 
-  /// Asks whether the tenant's quota allows a request. Undefined from a part that holds no quotas.
+  /// Takes the cost of a request from its tenant's quota. Undefined from a part that enforces no quotas.
   takeQuota?(need: QuotaRequest, now: number): QuotaAnswer | undefined
 
-  /// A request that waits for its tenant's quota is over.
+  /// Removes a request that is over from those that wait for their tenant's quota.
   removeQuotaRequest?(requestId: string): void
 
-  /// Counts a request again for its tenant, or, with a cost below 0, gives back what never ran.
+  /// Charges a further cost of a request to its tenant; a negative cost refunds what was never executed.
   chargeQuota?(tenant: Tenant, cost: number, now: number): void
 
-  /// How long a request is still to be kept from back ends; undefined when it may run. Milliseconds.
+  /// The remaining quarantine of a request; undefined if it may be sent to back ends. Milliseconds.
   getQuarantineMs?(key: string, now: number): number | undefined
 
-  /// The caller whose requests may all run at one and the same back end only; undefined for most.
+  /// The isolated caller of a request, whose requests may all run at the same back end only; undefined for
+  /// most.
   getIsolatedCaller?(key: string, now: number): string | undefined
 
-  /// The connection of a run at a back end ended before the answer was whole.
+  /// The connection of an attempt at a back end ended before the answer was complete.
   onAttemptBroken?(key: string, record: BackendRecord, startedAt: number, now: number): void
 
-  /// A back end gave a whole answer to a request.
+  /// A back end completed its answer to a request.
   onAttemptAnswered?(key: string, now: number): void
 
-  /// A back end has answered, and says this of itself.
+  /// A back end has answered, with this report about itself.
   onSignals?(view: BackendView, report: SignalReport, now: number): void
 
-  /// A back end began at `at` to run a request of the tenant.
+  /// A back end started to execute a request of the tenant at `at`.
   onRequestBegan?(tenant: string, at: number): void
 
-  /// This process stood still until now.
+  /// The process was paused (stopped, or starved) until now.
   onProcessResumed?(now: number): void
 
-  /// This process's clock stood still for so long, which nobody here has counted: authority that runs out by
-  /// it is void. Milliseconds.
+  /// The machine was suspended for `forMs`, which the monotonic clock did not count: authority whose expiry
+  /// is measured by it is void. Milliseconds.
   onMachineSuspended?(forMs: number): void
 
-  /// Advances what cannot wait for `scan`.
+  /// Advances timers that cannot wait for `scan`.
   tick?(now: number): void
 
-  /// Advances timers and looks at the back ends. `leaving` says that this daemon is about to end.
-  scan?(leaving: boolean, now: number): void
+  /// Advances timers and checks the back ends. `draining` is true while this daemon is stopping.
+  scan?(draining: boolean, now: number): void
 
-  /// What an operator sees of this part.
+  /// The figures of this part, for operators.
   getFigures?(now: number): PartFigures
 }
--- a/src/parts/daemon-parts.ts
+++ b/src/parts/daemon-parts.ts
@@ -1,5 +1,5 @@
-/// The parts of a forwarding daemon. A new one is one more line here; one that the settings do not ask for is
-/// left out.
+/// Creates the parts of a forwarding daemon. A new part needs one more line here; parts that the settings do
+/// not enable are left out. Owns no state.
 import {BackendSignalPart} from "./backend-signal-part.js"
 import type {DaemonPart, PartContext} from "./daemon-part.js"
 import {DutyPart} from "./duty-part.js"
@@ -11,7 +11,7 @@
 import {RegionPart} from "./region-part.js"
 import {StagePart} from "./stage-part.js"
 
-/// Every part of one daemon, in the order in which they hear of things.
+/// Creates every part of one daemon, in the order in which they are called.
 export function createParts(context: PartContext, now: number): readonly DaemonPart[] {
   const {duties, quotas} = context.settings
   const {regions} = context
--- a/src/parts/duty-part.ts
+++ b/src/parts/duty-part.ts
@@ -1,12 +1,12 @@
-/// The duties before the platform: they count what began to run, agree on the time of day, and act while this
-/// daemon holds their lease.
+/// The duties towards the platform: counts the requests that started, agrees with peers on the wall-clock
+/// time, and performs the duties while this daemon holds their lease.
 import {makeDutyChange} from "../daemon/change-log.js"
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import {DUTY_CELL, DutyManager, type DutyEffect, type DutySettings} from "../duties/duty-manager.js"
 import type {MembershipMessage} from "../membership/membership-messages.js"
 import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
-/// The duties as a part.
+/// The part that performs the duties.
 export class DutyPart extends DaemonPart {
   override readonly name = "duties"
   private readonly manager: DutyManager
@@ -35,7 +35,7 @@
     this.manager.clock.setOwn(wallMs, now)
   }
 
-  /// Probes and their answers carry the time of day: by them daemons agree on it.
+  /// Adds the wall-clock time to probes and their answers, by which daemons agree on it.
   override addToMembership(message: MembershipMessage, now: number): MembershipMessage {
     if (message.kind !== "ping" && message.kind !== "ack") return message
     const wallMs = this.manager.clock.getOwn(now)
@@ -74,8 +74,8 @@
     }
   }
 
-  override scan(leaving: boolean, now: number): void {
-    this.manager.tick(leaving, now)
+  override scan(draining: boolean, now: number): void {
+    this.manager.tick(draining, now)
   }
 
   private onDutyEffect(effect: DutyEffect): void {
--- a/src/parts/health-part.ts
+++ b/src/parts/health-part.ts
@@ -1,8 +1,8 @@
-/// Probes back ends that stay silent or refuse connections.
+/// Probes back ends that do not respond or refuse connections.
 import {HealthProber} from "../forwarding/backends/health-prober.js"
 import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
-/// The prober as a part.
+/// The part that runs the health prober.
 export class HealthPart extends DaemonPart {
   override readonly name = "health"
   private readonly prober: HealthProber
@@ -23,7 +23,7 @@
     if (event.well && neededProbe) this.context.logChange("backend.recovered", {backend: event.backendId})
   }
 
-  override scan(_leaving: boolean, now: number): void {
+  override scan(_draining: boolean, now: number): void {
     this.prober.tick(now)
   }
 }
--- a/src/parts/kv-part.ts
+++ b/src/parts/kv-part.ts
@@ -1,12 +1,12 @@
-/// Follows the engines' KV caches once the process is warm.
+/// Follows the engines' KV caches once the process has warmed up.
 import {KvFollower} from "../forwarding/kv-cache/kv-follower.js"
 import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
-/// Engines' caches are followed from so long after the start on: before, the process is needed for the first
-/// requests. Milliseconds. A small machine takes about as long until its code is warm.
+/// Delay after the start before engines' caches are followed, so that the process serves the first requests
+/// without this load. Milliseconds. A small machine takes about this long to warm up its code.
 const WARM_UP_MS = 2000
 
-/// The follower as a part.
+/// The part that runs the KV cache follower.
 export class KvPart extends DaemonPart {
   override readonly name = "kv"
   private readonly follower: KvFollower
@@ -36,7 +36,7 @@
     if (event.kind === "kvChangesRead") this.follower.receive(event.backend, event.answer, now)
   }
 
-  override scan(_leaving: boolean, now: number): void {
+  override scan(_draining: boolean, now: number): void {
     if (now - this.startedAt >= WARM_UP_MS) this.follower.tick(now)
   }
 }
--- a/src/parts/pace-part.ts
+++ b/src/parts/pace-part.ts
@@ -1,10 +1,10 @@
-/// How fast the back ends work: lets what is known of it fade, and tells operators of slow ones.
+/// The pace of the back ends: lets old measurements decay, and reports slow back ends to operators.
 import {DaemonPart, type PartFigures, type PartContext} from "./daemon-part.js"
 
-/// The slowest back ends are shown by rank, so many of them.
+/// Number of the slowest back ends that are shown, by rank.
 const MAXIMUM_SHOWN = 3
 
-/// The pace of back ends as a part.
+/// The part that tracks the pace of back ends.
 export class PacePart extends DaemonPart {
   override readonly name = "paces"
 
@@ -12,7 +12,7 @@
     super()
   }
 
-  override scan(_leaving: boolean, now: number): void {
+  override scan(_draining: boolean, now: number): void {
     const {directory, logChange} = this.context
     directory.paces.tick(now)
     for (const {id, slow, factor} of directory.paces.takeChanges()) {
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -1,4 +1,4 @@
-/// Keeps requests that end the back ends that run them away from back ends.
+/// Keeps requests that crash back ends away from them.
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import {makeQuarantineChange} from "../daemon/change-log.js"
 import type {BackendRecord} from "../forwarding/routes/route.js"
@@ -7,7 +7,7 @@
 import type {WatchedBackend} from "../quarantine/break-watch.js"
 import {DaemonPart, type AnswerEvent, type PartFigures, type PartContext} from "./daemon-part.js"
 
-/// The quarantine as a part.
+/// The part that runs the quarantine.
 export class QuarantinePart extends DaemonPart {
   override readonly name = "quarantine"
   private readonly manager: QuarantineManager
@@ -63,7 +63,8 @@
     this.records.set(record.id, record)
   }
 
-  /// A back end that has said that it leaves ends as planned; runs that break off there prove nothing.
+  /// The end of a back end that has announced that it is leaving is planned: attempts that break off there
+  /// are no evidence of a crash.
   override removeBackend(id: string, now: number): void {
     const record = this.records.get(id)
     this.records.delete(id)
@@ -120,8 +121,8 @@
     }
   }
 
-  /// Nothing more is sent there until it answers a probe. Otherwise each daemon finds out for itself, by
-  /// requests that it refuses.
+  /// Sends nothing to a crashed back end until it answers a probe. Otherwise each daemon would detect the
+  /// crash by itself, through requests that the back end refuses.
   private avoidCrashed(incarnation: string): void {
     for (const record of this.records.values())
       if (getIncarnation(record) === incarnation)
--- a/src/parts/quota-part.ts
+++ b/src/parts/quota-part.ts
@@ -1,4 +1,4 @@
-/// Holds tenants to their quotas, over the whole fleet.
+/// Enforces tenants' quotas across the whole fleet.
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import type {RouteConfiguration, Tenant} from "../forwarding/routes/route.js"
 import type {QuotaAnswer, QuotaRequest} from "../forwarding/admit/tenant-quota.js"
@@ -6,7 +6,7 @@
 import type {QuotaLimit, QuotaSettings} from "../quotas/quota-settings.js"
 import {DaemonPart, type PartFigures, type PartContext} from "./daemon-part.js"
 
-/// Quotas as a part.
+/// The part that enforces quotas.
 export class QuotaPart extends DaemonPart {
   override readonly name = "quotas"
   private readonly manager: QuotaManager
--- a/src/parts/region-part.ts
+++ b/src/parts/region-part.ts
@@ -1,13 +1,13 @@
-/// Learns the round trips to other regions from the probes between daemons, finds which of them are cut off,
-/// and tells how much work leaves the own region.
+/// Measures the round trips to other regions by the probes between daemons, detects regions that are cut off,
+/// and reports the share of attempts that leave the daemon's own region.
 import type {DaemonIdentity, MembershipMessage} from "../membership/membership-messages.js"
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import {findCutOffRegions} from "../forwarding/backends/region-contact.js"
 import {DISTANCE_CLASSES} from "../places/places.js"
 import {DaemonPart, type PartFigures, type PartContext, type RegionContext} from "./daemon-part.js"
 
-/// Probes remembered at most; one is answered or timed out within a few seconds, and few are sent in that
-/// time.
+/// Largest number of probes in flight that are recorded. A probe is answered or times out within a few
+/// seconds, and few are sent in that time.
 const MAXIMUM_PROBES = 64
 
 interface SentProbe {
@@ -15,7 +15,7 @@
   readonly sentAt: number
 }
 
-/// Regions as a part.
+/// The part that tracks regions.
 export class RegionPart extends DaemonPart {
   override readonly name = "regions"
   private cutOff: ReadonlySet<string> = new Set()
@@ -28,7 +28,7 @@
     super()
   }
 
-  /// Notes when a probe is sent; nothing is added to it.
+  /// Records when a probe is sent; the message is unchanged.
   override addToMembership(message: MembershipMessage, now: number): MembershipMessage {
     if (message.kind === "ping") {
       this.probes.set(message.sequence, {target: message.target, sentAt: now})
@@ -42,18 +42,18 @@
     if (message.kind !== "ack") return
     const probe = this.probes.get(message.sequence)
     this.probes.delete(message.sequence)
-    // An answer through a third daemon went another way.
+    // An answer relayed by a third daemon took a different route.
     if (probe?.target !== fromId) return
     const member = this.context.members().find(({id}) => id === fromId)
     if (member) this.addSample(member, now - probe.sentAt)
   }
 
-  /// Silence while this process stood still is nobody's.
+  /// Discards probes from before a process pause: the pause would count as round-trip time.
   override onProcessResumed(): void {
     this.probes.clear()
   }
 
-  override scan(_leaving: boolean, now: number): void {
+  override scan(_draining: boolean, now: number): void {
     const {directory, logChange} = this.context
     const {distance} = this.regions
     const cutOff = findCutOffRegions(directory.all(), distance, now)
--- a/src/parts/request-hooks.ts
+++ b/src/parts/request-hooks.ts
@@ -1,9 +1,9 @@
-/// What the parts of a daemon have to say on requests, asked of one after another: the first part with an
-/// answer decides.
+/// Hooks by which the forwarding of requests calls the parts of a daemon. Queries are passed to one part
+/// after another until one answers; notifications are passed to all. Owns no state.
 import type {ForwardContext} from "../forwarding/forward-manager.js"
 import type {DaemonPart} from "./daemon-part.js"
 
-/// What the forwarding of requests asks of the parts, and tells them.
+/// The hooks of the forwarding of requests that parts implement.
 type RequestHooks = Pick<
   ForwardContext,
   | "onRequestBegan"
@@ -17,7 +17,7 @@
   | "chargeQuota"
 >
 
-/// The hooks of parts that may be created later than these.
+/// Creates the hooks. The parts may be created later: `getParts` is called at each use.
 export function createRequestHooks(getParts: () => readonly DaemonPart[]): RequestHooks {
   const findFirst = <Answer>(getAnswer: (part: DaemonPart) => Answer | undefined): Answer | undefined => {
     for (const part of getParts()) {
--- a/src/parts/stage-part.ts
+++ b/src/parts/stage-part.ts
@@ -1,4 +1,4 @@
-/// Changes the stages of engines while this daemon holds the lease for it.
+/// Changes the stages of engines while this daemon holds the lease of their service.
 import type {StageEffect} from "../allocation/stage-coordinator.js"
 import {makeStageChange} from "../daemon/change-log.js"
 import {StageManager} from "../daemon/stage-manager.js"
@@ -6,7 +6,7 @@
 import type {RouteConfiguration} from "../forwarding/routes/route.js"
 import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
-/// The stage manager as a part.
+/// The part that runs the stage manager.
 export class StagePart extends DaemonPart {
   override readonly name = "stages"
   private readonly manager: StageManager
@@ -49,8 +49,8 @@
     }
   }
 
-  override scan(leaving: boolean, now: number): void {
-    this.manager.tick(now, !leaving)
+  override scan(draining: boolean, now: number): void {
+    this.manager.tick(now, !draining)
   }
 
   private onStageEffect(effect: StageEffect): void {
