--- a/test/daemon-parts.test.ts
+++ b/test/daemon-parts.test.ts
@@ -1,4 +1,4 @@
-/** A part is plugged in by one line, left out where nothing asks for it, and shown to operators by its name. */
+/** Checks which parts a daemon has by its settings, and that operators can tell them apart by name. */
 import { expect } from 'chai';
 import { DEFAULT_FORWARDING_SETTINGS } from '../src/daemon/forwarding-daemon-settings.js';
 import { BackendDirectory } from '../src/forwarding/backends/backend-directory.js';
@@ -41,18 +41,18 @@
 }
 
 describe('parts of a daemon', () => {
-  it('have names of their own', () => {
+  it('have unique names', () => {
     const names = createParts(makeContext({ hasDuties: true }), 0).map(({ name }) => name);
     expect(new Set(names).size).to.equal(names.length);
     expect(names).to.include('duties');
   });
 
-  it('leave regions out in a fleet of one', () => {
+  it('do not include regions in a fleet of a single region', () => {
     const names = createParts(makeContext({ hasDuties: false }), 0).map(({ name }) => name);
     expect(names).not.to.include('regions');
   });
 
-  it('are left out where the settings do not ask for them', () => {
+  it('are left out if the settings do not enable them', () => {
     const names = createParts(makeContext({ hasDuties: false }), 0).map(({ name }) => name);
     expect(names).not.to.include('duties');
   });
--- a/test/drawn-day.ts
+++ b/test/drawn-day.ts
@@ -1,4 +1,7 @@
-/** One drawn day of a fleet of forwarding daemons in virtual time: callers, back ends that answer, and faults. */
+/**
+ * A random run of a fleet of forwarding daemons in virtual time, with callers, back ends that answer, and
+ * faults.
+ */
 import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
 import { DutyModel } from '../lab/duty-model.js';
 import { FLEET_SETTINGS, ForwardingFleet, type FleetNode } from '../simulation/forwarding-fleet.js';
@@ -17,11 +20,11 @@
 import { EffectsDigest, FORWARDING_LABELS } from './effects-digest.js';
 import { watchEffects } from './watch-effects.js';
 
-const FLEET_STARTS_MS = 4000;
+const FLEET_START_MS = 4000;
 const RUN_MS = 30_000;
 const STEP_MS = 10;
 const REQUESTS_PER_STEP = 0.6;
-const FAULT_CHANCE = 0.012;
+const FAULT_PROBABILITY = 0.012;
 const TENANTS: Tenant[] = ['anna', 'bert', 'cleo'].map((name, index) => ({
   name,
   keyDigests: [`key of ${name}`],
@@ -69,7 +72,7 @@
   };
 }
 
-/** The day of one seed. */
+/** The run of one seed. */
 export class RandomFleetRun {
   readonly digest = new EffectsDigest(FORWARDING_LABELS);
   private readonly random: SeededRandom;
@@ -91,7 +94,7 @@
     this.fleet.isListening = (address) => !this.stoppedAddresses.has(address);
   }
 
-  /** Plays the day. */
+  /** Executes the run. */
   run(): void {
     watchEffects(
       ForwardingDaemon,
@@ -120,11 +123,11 @@
     for (let index = 0; index < 4; index += 1) this.startBackend(`p${index}`, undefined);
     for (let index = 0; index < 6; index += 1)
       this.startBackend(`e${index}`, index % 3 === 0 ? 'prefill' : 'decode');
-    this.fleet.time.runUntil(FLEET_STARTS_MS);
-    for (let at = FLEET_STARTS_MS; at < RUN_MS; at += STEP_MS) {
+    this.fleet.time.runUntil(FLEET_START_MS);
+    for (let at = FLEET_START_MS; at < RUN_MS; at += STEP_MS) {
       this.fleet.time.runUntil(at);
       if (this.random.next() < REQUESTS_PER_STEP) this.send();
-      if (this.random.next() < FAULT_CHANCE) this.injectFault();
+      if (this.random.next() < FAULT_PROBABILITY) this.injectFault();
     }
     this.fleet.time.runUntil(RUN_MS + 5000);
   }
@@ -153,9 +156,9 @@
 
   private startBackend(id: string, stage: 'prefill' | 'decode' | undefined): void {
     const place = this.backends.size;
-    const known = this.backends.get(id);
+    const previous = this.backends.get(id);
     const value: BackendRecord = {
-      ...labBackend(id, known?.address ?? `10.1.0.${place}:80`),
+      ...labBackend(id, previous?.address ?? `10.1.0.${place}:80`),
       service: stage ? 'service' : 'plain',
       zone: `zone-${Number(id.slice(1)) % (this.regions === 1 ? 3 : 4)}`,
       stage,
@@ -198,11 +201,11 @@
 
   private makePrompt(): PromptOutline {
     const shared = { id: `subject ${this.random.below(7)}`, tokens: this.pick([92, 1500, 13_300]) };
-    const own = { id: `own ${this.requestCount}`, tokens: this.pick([291, 3720]) };
-    const promptTokens = shared.tokens + own.tokens;
+    const unique = { id: `own ${this.requestCount}`, tokens: this.pick([291, 3720]) };
+    const promptTokens = shared.tokens + unique.tokens;
     return {
       model: 'model',
-      parts: [shared, own],
+      parts: [shared, unique],
       promptTokens,
       maximumOutputTokens: this.pick([4, 11, 120]),
     };
@@ -321,29 +324,29 @@
 
   private answerAttempt(node: FleetNode, start: AttemptStart): void {
     const { requestId, attemptId, backend } = start;
-    const after = (ms: number, event: ForwardAttemptEvent): void =>
+    const sendEvent = (ms: number, event: ForwardAttemptEvent): void =>
       this.fleet.time.after(ms, () =>
         this.fleet.handle(node, { kind: 'attempt', requestId, attemptId, event }),
       );
     if (this.stoppedAddresses.has(backend.address))
-      return after(2, { kind: 'unreachable', reason: 'ECONNREFUSED' });
+      return sendEvent(2, { kind: 'unreachable', reason: 'ECONNREFUSED' });
     if (this.crashingRequests.has(requestId)) {
       this.stopBackend(backend.id);
-      return after(40, { kind: 'broken', reason: 'ECONNRESET' });
+      return sendEvent(40, { kind: 'broken', reason: 'ECONNRESET' });
     }
     const draw = this.random.next();
     const workMs = 10 + this.random.next() * 120;
-    if (draw < 0.02) return after(3, { kind: 'notExecuted', status: 503, wrongIncarnation: false });
-    if (draw < 0.03) return after(3, { kind: 'notExecuted', status: 421, wrongIncarnation: true });
-    if (draw < 0.05) return after(workMs, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
-    if (draw < 0.06) return after(workMs, { kind: 'broken', reason: 'garbled', isForeign: true });
-    if (draw < 0.07) return after(workMs, { kind: 'connectionSilent' });
+    if (draw < 0.02) return sendEvent(3, { kind: 'notExecuted', status: 503, wrongIncarnation: false });
+    if (draw < 0.03) return sendEvent(3, { kind: 'notExecuted', status: 421, wrongIncarnation: true });
+    if (draw < 0.05) return sendEvent(workMs, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
+    if (draw < 0.06) return sendEvent(workMs, { kind: 'broken', reason: 'garbled', isForeign: true });
+    if (draw < 0.07) return sendEvent(workMs, { kind: 'connectionSilent' });
     if (draw < 0.08) return;
-    if (start.prefillOnly) return after(workMs, { kind: 'prefilled', handle: `kv ${attemptId}` });
-    if (!start.stream) return after(workMs, { kind: 'whole', status: draw < 0.1 ? 500 : 200 });
-    after(workMs, { kind: 'streamStarted' });
-    after(workMs + 20, { kind: 'streamProgress', lastEventId: '1' });
-    if (draw < 0.12) after(workMs + 40, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
-    else after(workMs + 60, { kind: 'whole', status: 200 });
+    if (start.prefillOnly) return sendEvent(workMs, { kind: 'prefilled', handle: `kv ${attemptId}` });
+    if (!start.stream) return sendEvent(workMs, { kind: 'whole', status: draw < 0.1 ? 500 : 200 });
+    sendEvent(workMs, { kind: 'streamStarted' });
+    sendEvent(workMs + 20, { kind: 'streamProgress', lastEventId: '1' });
+    if (draw < 0.12) sendEvent(workMs + 40, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
+    else sendEvent(workMs + 60, { kind: 'whole', status: 200 });
   }
 }
--- a/test/effects-digest.ts
+++ b/test/effects-digest.ts
@@ -1,7 +1,7 @@
 /**
- * Digests of everything that a state machine asks for, log lines left out. The words with which this program names its
- * effects are turned into the labels below, and the fields of an effect are taken as a set of values, so that a name
- * inside the program may change while what is asked for may not. Messages between daemons count byte for byte.
+ * Digests of all effects of a state machine, except log lines. The kind of an effect is replaced by one of
+ * the labels below, and its fields are reduced to a sorted list of values, so that internal names may change
+ * while the effects may not. Messages between daemons are compared byte for byte.
  */
 import { createHash } from 'node:crypto';
 import { appendFileSync } from 'node:fs';
@@ -11,7 +11,9 @@
 import type { ForwardingEffect } from '../src/daemon/forwarding-messages.js';
 import { PulleyledgeError } from '../src/errors/index.js';
 
-/** The label of each effect; undefined for those that only tell what was decided. */
+/**
+ * The label of each kind of effect; undefined for effects that only report a decision, which are left out.
+ */
 type Labels<Kind extends string> = Readonly<Record<Kind, string | undefined>>;
 
 /** Labels of the forwarding daemon's effects. */
@@ -62,11 +64,13 @@
 
 type Effect = { readonly kind: string };
 
-/** Effects of one run. Set `EFFECTS_LOG` to a file's name to find the first effect that differs. */
+/**
+ * The effects of one run. Set `EFFECTS_LOG` to a file name to write them there and find the first difference.
+ */
 export class EffectsDigest {
-  /** Effects that were counted. */
+  /** Number of effects in the digest. */
   count = 0;
-  /** The first messages of each kind, as they are sent. */
+  /** The first messages of each kind, as encoded for sending. */
   readonly messages = new Map<string, string[]>();
   private readonly hash = createHash('sha256');
 
@@ -84,7 +88,7 @@
     }
   }
 
-  /** The digest of all that was added. */
+  /** The digest of all added effects. */
   finish(): string {
     return this.hash.digest('hex').slice(0, 16);
   }
@@ -112,7 +116,7 @@
 const MAXIMUM_MESSAGES_PER_KIND = 2;
 const MAXIMUM_MESSAGE_LENGTH = 1500;
 
-/** The values of a structure, without the names of its fields. */
+/** The values of a structure, without its field names. */
 function listValues(value: unknown): string[] {
   if (value === undefined || typeof value === 'function') return [];
   if (value instanceof PulleyledgeError)
--- a/test/effects.test.ts
+++ b/test/effects.test.ts
@@ -1,4 +1,7 @@
-/** What both state machines ask for in drawn days with faults: pinned, so that a change of the code's shape is seen to change nothing else. */
+/**
+ * Pins the effects of both state machines in random runs with faults, to detect a refactoring that changes
+ * behaviour.
+ */
 import { expect } from 'chai';
 import { parse } from 'devalue';
 import fc from 'fast-check';
@@ -16,25 +19,25 @@
 const LOAD_UNTIL_MS = 30_000;
 const SITES = ['cundinamarca', 'trust-tt-north'];
 
-describe('what a daemon asks for in a drawn day', () => {
+describe('the effects of a daemon in a random run', () => {
   const messages = new Map<string, string[]>();
 
   const addMessages = (digest: EffectsDigest): void => {
     for (const [kind, texts] of digest.messages) if (!messages.has(kind)) messages.set(kind, texts);
   };
 
-  it('stays as it was where requests are forwarded by routes', () => {
+  it('are unchanged if requests are forwarded by routes', () => {
     const snapshot = new Snapshot('effects-forwarding');
     for (const seed of SEEDS) {
-      const day = new RandomFleetRun(seed);
-      day.run();
-      addMessages(day.digest);
-      snapshot.add(`seed ${seed}: ${day.digest.count} effects, ${day.digest.finish()}`);
+      const run = new RandomFleetRun(seed);
+      run.run();
+      addMessages(run.digest);
+      snapshot.add(`seed ${seed}: ${run.digest.count} effects, ${run.digest.finish()}`);
     }
     snapshot.check();
   });
 
-  it('stays as it was where completions are served', () => {
+  it('are unchanged if completions are served', () => {
     const snapshot = new Snapshot('effects-completions');
     const plans = fc.sample(drawnFaults, { numRuns: SEEDS.length, seed: 46 });
     const allocation = { ...DEFAULT_COMPLETION_DAEMON_SETTINGS.allocation, policy: 'threshold' } as const;
@@ -56,7 +59,7 @@
     snapshot.check();
   });
 
-  it('uses messages between daemons that are read and written as they were', () => {
+  it('contain messages between daemons that are encoded and decoded as before', () => {
     const snapshot = new Snapshot('peer-messages');
     for (const kind of [...messages.keys()].sort())
       for (const text of messages.get(kind) ?? []) snapshot.add(text);
--- a/test/region-part.test.ts
+++ b/test/region-part.test.ts
@@ -1,4 +1,4 @@
-/** Regions as a part of a daemon: round trips learned from probes, and figures for operators. */
+/** The region part of a daemon: round trips measured by probes, and figures for operators. */
 import { expect } from 'chai';
 import { DEFAULT_FORWARDING_SETTINGS } from '../src/daemon/forwarding-daemon-settings.js';
 import { BackendDirectory } from '../src/forwarding/backends/backend-directory.js';
@@ -56,20 +56,20 @@
   return { part: new RegionPart(context, regions), distance };
 }
 
-/** A probe of the far daemon, answered by `from` after so long. */
+/** Sends a probe to the far daemon, answered by `from` after `ms` milliseconds. */
 function probe(part: RegionPart, sequence: number, ms: number, from = FAR): void {
   part.addToMembership({ kind: 'ping', sequence, target: FAR, updates: [] }, 1000);
   part.receivePeer(from, '10.0.0.2:1', { kind: 'ack', sequence, updates: [] }, 1000 + ms);
 }
 
-describe('regions as a part', () => {
-  it('learn the round trip to each region from probes', () => {
+describe('the region part', () => {
+  it('measures the round trip to each region by probes', () => {
     const { part } = makePart();
     for (let sequence = 0; sequence < 30; sequence += 1) probe(part, sequence, 400);
     expect(part.getFigures().round_trip_ms_r2).to.be.closeTo(400, 20);
   });
 
-  it('learn nothing from answers of others, answers to no probe, and time in which this process stood still', () => {
+  it('ignores answers of other daemons, answers to no probe, and the time of a process pause', () => {
     const { part } = makePart();
     probe(part, 1, 400, THIRD);
     part.receivePeer(FAR, '10.0.0.2:1', { kind: 'ack', sequence: 7, updates: [] }, 1000);
@@ -79,7 +79,7 @@
     expect(part.getFigures().round_trip_ms_r2).to.equal(distanceSettings.roundTripMs.otherRegion);
   });
 
-  it('tell the share of attempts that leave the region', () => {
+  it('reports the share of attempts that leave the region', () => {
     const { part, distance } = makePart();
     const { health } = DEFAULT_FORWARDING_SETTINGS;
     const directory = new BackendDirectory(health);
--- a/test/run-quarantine.test.ts
+++ b/test/run-quarantine.test.ts
@@ -1,6 +1,7 @@
 /**
- * Requests under which engines and servers end, at the interface for completions and calls. The counting is that of forwarded requests; see
- * request-that-ends-back-ends.test.ts for its story. Without a key ten such calls end ten servers here.
+ * Requests that crash engines and servers, sent as completions and application calls. Crashes are counted by
+ * request key, as for forwarded requests; request-that-ends-back-ends.test.ts describes the failure. Without
+ * a key, ten such calls crash ten servers here.
  */
 import { expect } from 'chai';
 import { DEFAULT_COMPLETION_DAEMON_SETTINGS } from '../src/daemon/completion-daemon-settings.js';
@@ -44,8 +45,8 @@
   sequence: 0,
 };
 
-/** The quarantine of a daemon without peers, before back ends that are all gone when they are checked. */
-class Site {
+/** The quarantine of a daemon without peers; each back end that is checked turns out to have crashed. */
+class QuarantineHarness {
   readonly effects: CompletionDaemonEffect[] = [];
   readonly quarantine = new CompletionQuarantine({
     selfId: 'daemon-1',
@@ -56,8 +57,8 @@
     now: 0,
   });
 
-  /** Answers every check. */
-  check(now: number): void {
+  /** Answers all requested checks. */
+  answerChecks(now: number): void {
     for (const effect of this.effects.splice(0))
       if (effect.kind === 'checkBackend') this.quarantine.receiveCheck(effect.backend, 'ended', now);
   }
@@ -67,22 +68,27 @@
   return effects.flatMap((effect) => (effect.kind === 'replyFailed' ? [effect.error.code] : []));
 }
 
-describe('a request that ends engines or servers', () => {
-  it('is refused as not run once it has ended three servers; others are called', () => {
-    const site = new Site();
+describe('a request that crashes engines or servers', () => {
+  it('is refused as not executed once it has crashed three servers, while other requests are executed', () => {
+    const harness = new QuarantineHarness();
     const effects: ApplicationEffect[] = [];
     const ledger = new OnceLedger('daemon-1', DEFAULT_COMPLETION_DAEMON_SETTINGS.ledger, () => undefined);
     const random = new SeededRandom(2);
-    const calls = new ApplicationManager(ledger, random, (effect) => effects.push(effect), site.quarantine);
+    const calls = new ApplicationManager(
+      ledger,
+      random,
+      (effect) => effects.push(effect),
+      harness.quarantine,
+    );
     const servers = Array.from({ length: TRIES }, (_, i) => ({
       id: `s${i}`,
       address: `a${i}`,
       leaving: false,
     }));
     const row = parseServiceRow({ name: 'docs', kind: 'application', repeatable: true });
-    let ended = 0;
+    let crashed = 0;
     for (let i = 0; i < TRIES; i += 1) {
-      calls.setServers(servers.slice(ended));
+      calls.setServers(servers.slice(crashed));
       const call = {
         requestId: `r${i}`,
         service: 'docs',
@@ -97,20 +103,20 @@
         expect(getErrors(effects)).to.deep.equal([new QuarantinedError('docs', 1).code]);
         continue;
       }
-      ended += 1;
+      crashed += 1;
       calls.callEvent(`r${i}`, start.attemptId, { kind: 'broken', reason: 'reset' }, i);
       calls.cancel(`r${i}`, i);
-      site.check(i);
+      harness.answerChecks(i);
     }
-    expect(ended).to.equal(3);
+    expect(crashed).to.equal(3);
     effects.length = 0;
     const other = { requestId: 'o', service: 'docs', idempotencyKey: 'o', receivedAt: 20, timeoutMs: 9000 };
     calls.begin({ ...other, key: OTHER_KEY }, row, 20);
     expect(effects.map(({ kind }) => kind)).to.deep.equal(['startApplicationCall']);
   });
 
-  it('is refused once it has ended three engines', () => {
-    const site = new Site();
+  it('is refused once it has crashed three engines', () => {
+    const harness = new QuarantineHarness();
     const effects: CompletionEffect[] = [];
     const directory = new EngineDirectory(DEFAULT_COMPLETION_DAEMON_SETTINGS.directory);
     const picker = new EnginePicker(DEFAULT_COMPLETION_DAEMON_SETTINGS.picker, 'a', new SeededRandom(3));
@@ -120,11 +126,11 @@
       directory,
       picker,
       emit: (effect) => effects.push(effect),
-      runs: site.quarantine,
+      runs: harness.quarantine,
     });
     for (let i = 0; i < TRIES; i += 1) directory.ensure(`e${i}`, `a${i}`, 'a', 'cell').applyReport(REPORT, 0);
     const row = parseServiceRow({ name: 'grade', model: 'm', repeatable: true });
-    const ended = new Set<string>();
+    const crashed = new Set<string>();
     for (let i = 0; i < TRIES; i += 1) {
       const now = 100 * i;
       const handled = new Set<string>();
@@ -135,17 +141,17 @@
         const start = effects.filter((effect) => effect.kind === 'startAttempt').at(-1)?.start;
         if (!start || handled.has(start.attemptId)) break;
         handled.add(start.attemptId);
-        const event = ended.has(start.engineId)
+        const event = crashed.has(start.engineId)
           ? { kind: 'unreachable' as const, reason: 'refused' }
           : { kind: 'broken' as const, reason: 'reset' };
-        ended.add(start.engineId);
+        crashed.add(start.engineId);
         completions.attemptEvent(`r${i}`, start.attemptId, event, now);
-        site.check(now);
+        harness.answerChecks(now);
         completions.tick(now);
       }
       completions.cancel(`r${i}`, now);
     }
-    expect(ended.size).to.be.within(3, 4);
+    expect(crashed.size).to.be.within(3, 4);
     expect(getErrors(effects)).to.deep.equal(['quarantined']);
   });
 });
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -1,4 +1,7 @@
-/** A machine that was suspended: its steady clock stood still, and nothing that is measured by it counts any more. */
+/**
+ * A machine that was suspended: its monotonic clock did not count that time, so leases and ages measured by
+ * it are no longer valid.
+ */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
@@ -11,12 +14,12 @@
 const WALL_MS = 1_800_000_000_000;
 const SUSPENDED_MS = 8000;
 
-/** A contender whose own clock may lie behind that of the others. */
+/** A contender for the lease whose clock may be behind that of the others. */
 class Contender {
   readonly lease: CellLease;
   behindMs = 0;
-  /** Answers wait until they are taken. */
-  holdsAnswers = false;
+  /** Whether answers of the store are held until `deliverAnswers` is called. */
+  delaysAnswers = false;
   private readonly answers: (() => void)[] = [];
 
   constructor(
@@ -33,10 +36,10 @@
 
   tick(): void {
     this.lease.tick(this.now(), true);
-    if (!this.holdsAnswers) this.takeAnswers();
+    if (!this.delaysAnswers) this.deliverAnswers();
   }
 
-  takeAnswers(): void {
+  deliverAnswers(): void {
     for (const take of this.answers.splice(0)) take();
   }
 
@@ -51,7 +54,7 @@
   }
 }
 
-/** Two contenders, the first of which holds the lease. */
+/** Creates two contenders, of which the first holds the lease. */
 function startContest(): { now: (ms?: number) => number; first: Contender; second: Contender } {
   let nowMs = 0;
   const now = (ms = 0) => (nowMs += ms);
@@ -68,7 +71,7 @@
 }
 
 describe('a machine that was suspended', () => {
-  it('has its suspension noticed by the time of day, and no other change of the clocks', () => {
+  it('is detected by the wall clock, unlike any other change of the clocks', () => {
     const step = fc.record({ ms: fc.nat(5000), suspendedMs: fc.nat(20_000), setBackMs: fc.nat(5000) });
     fc.assert(
       fc.property(fc.array(step), (steps) => {
@@ -87,10 +90,10 @@
     );
   });
 
-  it('holds no lease when it goes on, and takes none up by an answer from before', () => {
+  it('holds no lease after it resumes, and acquires none by an answer to an earlier write', () => {
     const { now, first, second } = startContest();
-    // A renewal is on its way when the machine stands still.
-    first.holdsAnswers = true;
+    // A renewal is in flight when the machine is suspended.
+    first.delaysAnswers = true;
     now(DEFAULT_LEASE_SETTINGS.renewIntervalMs + 100);
     first.tick();
     first.behindMs += SUSPENDED_MS;
@@ -99,11 +102,11 @@
       second.tick();
     }
     expect(second.holds()).to.equal(true);
-    expect(first.holds(), 'by its own clock alone').to.equal(true);
+    expect(first.holds(), 'by its monotonic clock alone').to.equal(true);
     first.lease.resumeAfterSuspension();
     expect(first.holds()).to.equal(false);
-    first.holdsAnswers = false;
-    first.takeAnswers();
+    first.delaysAnswers = false;
+    first.deliverAnswers();
     expect(first.holds(), 'after the answer').to.equal(false);
     for (let step = 0; step < 20; step += 1) {
       now(100);
@@ -113,25 +116,25 @@
     }
   });
 
-  it('acquires no lease by a write from before', () => {
+  it('acquires no lease by a write from before the suspension', () => {
     const { now, first, second } = startContest();
     first.lease.release(now());
     first.tick();
-    first.takeAnswers();
-    second.holdsAnswers = true;
+    first.deliverAnswers();
+    second.delaysAnswers = true;
     for (let step = 0; step < 60; step += 1) {
       now(100);
       second.tick();
-      if (step % 10 === 5) second.takeAnswers();
+      if (step % 10 === 5) second.deliverAnswers();
     }
     second.behindMs += SUSPENDED_MS;
     now(SUSPENDED_MS);
     second.lease.resumeAfterSuspension();
-    second.takeAnswers();
+    second.deliverAnswers();
     expect(second.holds()).to.equal(false);
   });
 
-  it('takes its configuration for old and denies nothing by it', () => {
+  it('treats its configuration as stale and denies no request by it', () => {
     const fleet = new ForwardingFleet(3, 1);
     fleet.write({ collection: 'configuration', revision: 0, value: labConfiguration(1, [labRoute({})]) });
     fleet.write({ collection: 'backends', id: 'b1', revision: 0, value: labBackend('b1', '10.1.0.1:80') });
--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -1,4 +1,7 @@
-/** Callers' keys: who a request is for, what is denied and when, and that no key goes past the daemon. */
+/**
+ * Callers' API keys: the tenant of a request, which requests are denied, and that no key is sent to a back
+ * end.
+ */
 import { connect } from 'node:net';
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -22,12 +25,12 @@
 const ROUTE = labRoute({});
 const PUBLIC_ROUTE = labRoute({ isPublic: true });
 
-function tenant(name: string, keys: readonly string[], priority?: number): Tenant {
+function makeTenant(name: string, keys: readonly string[], priority?: number): Tenant {
   return { name, keyDigests: keys.map(digestKey), priority };
 }
 
 describe('the directory of tenants', () => {
-  it('gives the tenant of each valid key and nobody for any other, after any changes', () => {
+  it('returns the tenant of each valid key and none for any other key, after any changes', () => {
     const digests = ['a', 'b', 'c', 'd', 'e', 'f'];
     const tenants = fc
       .array(fc.constantFrom(undefined, 't1', 't2', 't3'), { minLength: 6, maxLength: 6 })
@@ -55,21 +58,21 @@
 });
 
 describe('requests with keys', () => {
-  function forwarding(route = ROUTE, backends = PLAIN): Forwarding {
+  function makeForwarding(route = ROUTE, backends = PLAIN): Forwarding {
     const daemon = new Forwarding([route], backends);
-    daemon.tenants.apply([tenant('mary', [KEY], 3), tenant('anna', [OTHER_KEY])]);
+    daemon.tenants.apply([makeTenant('mary', [KEY], 3), makeTenant('anna', [OTHER_KEY])]);
     return daemon;
   }
 
-  it('a valid key sends the request on in the name of its tenant', () => {
-    const daemon = forwarding();
+  it('a request with a valid key is forwarded with its tenant', () => {
+    const daemon = makeForwarding();
     daemon.begin({ keyDigest: digestKey(KEY) });
     expect(daemon.starts().map((start) => start.tenant)).to.deep.equal(['mary']);
   });
 
-  it('a missing or unknown key is denied at once; where a newer version may know it, as not run', () => {
+  it('a missing or unknown key is denied at once, or refused as not executed if a newer version may know it', () => {
     for (const keyDigest of [undefined, digestKey('nobody')]) {
-      const daemon = forwarding();
+      const daemon = makeForwarding();
       daemon.begin({ keyDigest });
       daemon.stale = true;
       daemon.begin({ id: 'r2', keyDigest });
@@ -78,24 +81,24 @@
     }
   });
 
-  it('a key that was taken away is denied from then on', () => {
-    const daemon = forwarding();
-    daemon.tenants.apply([tenant('mary', [], 3)]);
+  it('a key is denied once it has been removed', () => {
+    const daemon = makeForwarding();
+    daemon.tenants.apply([makeTenant('mary', [], 3)]);
     daemon.begin({ keyDigest: digestKey(KEY) });
     daemon.begin({ id: 'r2', keyDigest: digestKey(OTHER_KEY) });
     expect(daemon.failures()).to.deep.equal([401, 401]);
   });
 
-  it('a public route takes everybody, in nobody’s name', () => {
-    const daemon = forwarding(PUBLIC_ROUTE);
+  it('a public route accepts every caller, without a tenant', () => {
+    const daemon = makeForwarding(PUBLIC_ROUTE);
     daemon.begin({ keyDigest: digestKey(KEY) });
     daemon.begin({ id: 'r2' });
     expect(daemon.starts().map((start) => start.tenant)).to.deep.equal([undefined, undefined]);
   });
 
-  it('the rank of a tenant goes before that of the route, for prompts and for what follows', () => {
+  it('the priority of a tenant overrides that of the route, for prefill and for decode', () => {
     const route = labRoute({ kind: 'stream', priority: 1 });
-    const daemon = forwarding(route, ENGINES);
+    const daemon = makeForwarding(route, ENGINES);
     daemon.begin({ keyDigest: digestKey(KEY), prompt: prompt(2000, 0) });
     daemon.event({ kind: 'prefilled', handle: 'h' }, 10);
     daemon.begin({ id: 'r2', keyDigest: digestKey(OTHER_KEY), prompt: prompt(2000, 0) });
@@ -110,8 +113,8 @@
 describe('keys on the wire', () => {
   const dialect = new HttpDialect();
 
-  it('no key and no claimed tenant goes to a back end, by any kind of call', () => {
-    const spelled = (name: string): fc.Arbitrary<string> =>
+  it('neither the key nor a tenant claimed by the caller is sent to a back end, in any kind of call', () => {
+    const makeSpelling = (name: string): fc.Arbitrary<string> =>
       fc
         .array(fc.boolean(), { minLength: name.length, maxLength: name.length })
         .map((upper) =>
@@ -125,35 +128,43 @@
       resumeAfter: fc.option(fc.constant('7'), { nil: undefined }),
     });
     fc.assert(
-      fc.property(starts, spelled('x-api-key'), spelled('x-tenant'), (fields, keyName, tenantName) => {
-        const start: AttemptStart = {
-          requestId: 'r',
-          attemptId: 'r/1',
-          backend: { ...labBackend('b', '10.0.0.1:80'), stage: 'decode' },
-          remainingMs: 100,
-          urgency: 0,
-          stream: true,
-          once: false,
-          ...fields,
-        };
-        const headers = dialect.requestHeaders([keyName, KEY, tenantName, 'claimed', 'X-Model', 'm'], start);
-        expect(headers.join('\n')).not.to.include(KEY).and.not.to.include('claimed');
-        const names = headers.filter((_, i) => i % 2 === 0).map((name) => name.toLowerCase());
-        expect(names).not.to.include('x-api-key');
-        expect(names.filter((name) => name === 'x-tenant').length).to.equal(start.tenant ? 1 : 0);
-        if (start.tenant) expect(headers[headers.indexOf('X-Tenant') + 1]).to.equal('mary');
-      }),
+      fc.property(
+        starts,
+        makeSpelling('x-api-key'),
+        makeSpelling('x-tenant'),
+        (fields, keyName, tenantName) => {
+          const start: AttemptStart = {
+            requestId: 'r',
+            attemptId: 'r/1',
+            backend: { ...labBackend('b', '10.0.0.1:80'), stage: 'decode' },
+            remainingMs: 100,
+            urgency: 0,
+            stream: true,
+            once: false,
+            ...fields,
+          };
+          const headers = dialect.requestHeaders(
+            [keyName, KEY, tenantName, 'claimed', 'X-Model', 'm'],
+            start,
+          );
+          expect(headers.join('\n')).not.to.include(KEY).and.not.to.include('claimed');
+          const names = headers.filter((_, i) => i % 2 === 0).map((name) => name.toLowerCase());
+          expect(names).not.to.include('x-api-key');
+          expect(names.filter((name) => name === 'x-tenant').length).to.equal(start.tenant ? 1 : 0);
+          if (start.tenant) expect(headers[headers.indexOf('X-Tenant') + 1]).to.equal('mary');
+        },
+      ),
       { seed: SEED, numRuns: 300 },
     );
   });
 
-  it('a key that stands twice is none', () => {
+  it('a key header that occurs twice counts as no key', () => {
     expect(dialect.callerHead(['X-Api-Key', KEY]).keyDigest).to.equal(digestKey(KEY));
     expect(dialect.callerHead(['X-Api-Key', KEY, 'x-api-key', OTHER_KEY]).keyDigest).to.equal(undefined);
     expect(dialect.callerHead([]).keyDigest).to.equal(undefined);
   });
 
-  it('a configuration is read into digests; one that cannot be read tells no key', () => {
+  it('the keys of a configuration are parsed into digests, and parse errors reveal no key', () => {
     const value = {
       version: 1,
       routes: [],
@@ -161,13 +172,13 @@
       tenants: [{ name: 'mary', api_keys: [KEY], priority: 1 }],
     };
     const text = JSON.stringify(value);
-    expect(readConfiguration(text).tenants).to.deep.equal([tenant('mary', [KEY], 1)]);
+    expect(readConfiguration(text).tenants).to.deep.equal([makeTenant('mary', [KEY], 1)]);
     expect(readConfiguration('{"version":1,"routes":[],"services":[]}').tenants).to.equal(null);
     for (let cut = 1; cut < text.length; cut += 1) {
-      const broken = text.slice(cut);
+      const truncated = text.slice(cut);
       try {
-        readConfiguration(broken);
-        expect.fail('half a configuration was read');
+        readConfiguration(truncated);
+        expect.fail('a truncated configuration was parsed');
       } catch (error) {
         expect(error).to.be.instanceOf(ValidationError);
         expect((error as Error).message).not.to.match(/[a-z0-9]{12}/);
@@ -175,8 +186,8 @@
     }
   });
 
-  it('a configuration of a peer that says nothing of tenants is not taken', () => {
-    const value = labConfiguration(1, [ROUTE], [tenant('mary', [KEY])]);
+  it('a peer’s configuration without a list of tenants is rejected', () => {
+    const value = labConfiguration(1, [ROUTE], [makeTenant('mary', [KEY])]);
     const message = (configuration: object): PeerMessage =>
       ({
         kind: 'recordsChanged',
@@ -194,10 +205,10 @@
   });
 });
 
-describe('a key that is taken away', () => {
+describe('a change of keys in a fleet', () => {
   const BOUND_MS = 2000;
 
-  function fleetWithKeys(): ForwardingFleet {
+  function makeFleetWithKeys(): ForwardingFleet {
     const fleet = new ForwardingFleet(9, SEED);
     writeTenants(fleet, 1, [KEY]);
     fleet.write({ collection: 'backends', id: 'a', revision: 0, value: labBackend('a', '10.1.0.1:80') });
@@ -206,13 +217,13 @@
   }
 
   function writeTenants(fleet: ForwardingFleet, version: number, keys: readonly string[]): void {
-    const value = labConfiguration(version, [ROUTE], [tenant('mary', keys)]);
+    const value = labConfiguration(version, [ROUTE], [makeTenant('mary', keys)]);
     fleet.write({ collection: 'configuration', revision: 0, value });
   }
 
-  it('is denied in time also by daemons that the store turns away, and never as unknown by one that is cut off', () => {
+  it('a removed key is denied in time also by daemons that the store refuses, and never as unknown by one that is cut off', () => {
     for (const access of ['refuses', 'silent'] as const) {
-      const fleet = fleetWithKeys();
+      const fleet = makeFleetWithKeys();
       for (const node of fleet.nodes.slice(0, 4)) node.access = access;
       const since = fleet.time.now();
       writeTenants(fleet, 2, []);
@@ -225,8 +236,8 @@
     }
   });
 
-  it('a new key is refused as not run, never denied, by a daemon that hears nobody', () => {
-    const fleet = fleetWithKeys();
+  it('a new key is refused as not executed, never denied, by daemons that the store does not answer', () => {
+    const fleet = makeFleetWithKeys();
     for (const node of fleet.nodes) node.access = 'silent';
     fleet.time.runUntil(fleet.time.now() + 3000);
     for (const node of fleet.nodes)
@@ -235,8 +246,8 @@
   });
 });
 
-describe('a daemon with keys, as a process', () => {
-  it('takes the key off, names the tenant and answers 401 to everybody else', async () => {
+describe('a daemon process with keys', () => {
+  it('removes the key, sends the tenant and answers 401 to all other callers', async () => {
     const heads: string[] = [];
     const backend = new ScriptedBackend((request, socket) => {
       heads.push(request.head);
@@ -248,9 +259,9 @@
     const site = await startForwardingSite(
       [ROUTE],
       [labBackend('b1', await backend.listen())],
-      [tenant('mary', [KEY])],
+      [makeTenant('mary', [KEY])],
     );
-    const ask = (lines: string): Promise<string> =>
+    const sendRequest = (lines: string): Promise<string> =>
       new Promise((resolve) => {
         const [host, port] = site.callers.split(':');
         let text = '';
@@ -260,11 +271,11 @@
         socket.write(`GET /a/x HTTP/1.1\r\nHost: site.example\r\nConnection: close\r\n${lines}\r\n\r\n`);
       });
     try {
-      expect(await ask(`X-Attempt-Id: i1\r\nX-Api-Key: ${KEY}\r\nX-Tenant: anna`)).to.match(
+      expect(await sendRequest(`X-Attempt-Id: i1\r\nX-Api-Key: ${KEY}\r\nX-Tenant: anna`)).to.match(
         /^HTTP\/1.1 200 /,
       );
-      expect(await ask(`X-Attempt-Id: i2\r\nX-Api-Key: ${OTHER_KEY}`)).to.match(/^HTTP\/1.1 401 /);
-      expect(await ask('X-Attempt-Id: i3')).to.match(/^HTTP\/1.1 401 /);
+      expect(await sendRequest(`X-Attempt-Id: i2\r\nX-Api-Key: ${OTHER_KEY}`)).to.match(/^HTTP\/1.1 401 /);
+      expect(await sendRequest('X-Attempt-Id: i3')).to.match(/^HTTP\/1.1 401 /);
       expect(heads.length).to.equal(1);
       expect(heads[0]).to.match(/x-tenant: mary/i);
       expect(heads[0]).not.to.include(KEY).and.not.to.include('anna');
--- a/test/watch-effects.ts
+++ b/test/watch-effects.ts
@@ -1,9 +1,9 @@
-/** Adds the effects of every daemon of a class to a digest. */
+/** Adds the effects of all daemons of a class to a digest. */
 import type { EffectsDigest } from './effects-digest.js';
 
 type EventHandler = { handle(event: unknown, now: number): unknown[] };
 
-/** Adds the effects of every daemon of a class to a digest while `run` runs; `see` is given them too. */
+/** Adds the effects of all daemons of a class to a digest during `run`, and passes them to `onEffects`. */
 export function watchEffects(
   machine: { prototype: unknown },
   digest: EffectsDigest,
