--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -80,7 +80,7 @@
    * Advances every coordinator. `mayLead` is false while the daemon is draining: it then acquires no leases.
    */
   tick(now: number, mayLead: boolean): void {
-    this.updateElections(now);
+    this.setElections(now);
     for (const [service, slots] of this.slots) {
       const election = this.elections.get(service);
       const settled = election !== undefined && now - election.since >= ELECTION_SETTLE_MS;
@@ -111,7 +111,7 @@
   }
 
   /** Computes this daemon's rank for each service when the members or the services have changed. */
-  private updateElections(now: number): void {
+  private setElections(now: number): void {
     const members = this.parts.members();
     const known = [...this.slots.keys()].every((service) => this.elections.has(service));
     if (members === this.rankedMembers && known) return;
--- a/src/parts/daemon-part.ts
+++ b/src/parts/daemon-part.ts
@@ -93,7 +93,7 @@
   /// Applies the record of a back end that is new or has changed.
   applyBackend?(record: BackendRecord, now: number): void
 
-  /// Removes a back end whose record was removed or has expired.
+  /// Removes a back end whose record no longer exists.
   removeBackend?(id: string, now: number): void
 
   /// Receives a peer's message; a part ignores those for other parts.
--- a/test/run-quarantine.test.ts
+++ b/test/run-quarantine.test.ts
@@ -69,7 +69,7 @@
 }
 
 describe('a request that crashes engines or servers', () => {
-  it('is refused as not executed once it has crashed three servers, while other requests are executed', () => {
+  it('is refused as not executed once it has crashed three servers, while other requests are sent', () => {
     const harness = new QuarantineHarness();
     const effects: ApplicationEffect[] = [];
     const ledger = new OnceLedger('daemon-1', DEFAULT_COMPLETION_DAEMON_SETTINGS.ledger, () => undefined);
--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -1,7 +1,4 @@
-/**
- * Callers' API keys: the tenant of a request, which requests are denied, and that no key is sent to a back
- * end.
- */
+/** Callers' API keys: the tenant of a request, which requests are denied, and that no key leaves the daemon. */
 import { connect } from 'node:net';
 import { expect } from 'chai';
 import fc from 'fast-check';
