--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -1,4 +1,6 @@
-/** Callers' API keys: the tenant of a request, which requests are denied, and that no key leaves the daemon. */
+/**
+ * Callers' API keys: the tenant of a request, which requests are denied, and that no key leaves the daemon.
+ */
 import { connect } from 'node:net';
 import { expect } from 'chai';
 import fc from 'fast-check';
