--- a/src/parts/request-hooks.ts
+++ b/src/parts/request-hooks.ts
@@ -30,10 +30,10 @@
   return {
     onRequestBegan: (tenant, at) => runAll(part => part.onRequestBegan?.(tenant, at)),
     getQuarantineMs: (key, now) => findFirst(part => part.getQuarantineMs?.(key, now)),
-    getConfinedCaller: (key, now) => findFirst(part => part.getIsolatedCaller?.(key, now)),
-    onRunBroken: (key, backend, startedAt, now) =>
+    getIsolatedCaller: (key, now) => findFirst(part => part.getIsolatedCaller?.(key, now)),
+    onAttemptBroken: (key, backend, startedAt, now) =>
       runAll(part => part.onAttemptBroken?.(key, backend, startedAt, now)),
-    onRunAnswered: (key, now) => runAll(part => part.onAttemptAnswered?.(key, now)),
+    onAttemptAnswered: (key, now) => runAll(part => part.onAttemptAnswered?.(key, now)),
     onSignals: (view, report, now) => runAll(part => part.onSignals?.(view, report, now)),
     takeQuota: (request, now) => findFirst(part => part.takeQuota?.(request, now)),
     removeQuotaRequest: requestId => runAll(part => part.removeQuotaRequest?.(requestId)),
--- a/test/drawn-day.ts
+++ b/test/drawn-day.ts
@@ -339,7 +339,7 @@
     if (draw < 0.02) return sendEvent(3, { kind: 'notExecuted', status: 503, wrongIncarnation: false });
     if (draw < 0.03) return sendEvent(3, { kind: 'notExecuted', status: 421, wrongIncarnation: true });
     if (draw < 0.05) return sendEvent(workMs, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
-    if (draw < 0.06) return sendEvent(workMs, { kind: 'broken', reason: 'garbled', isForeign: true });
+    if (draw < 0.06) return sendEvent(workMs, { kind: 'broken', reason: 'garbled', isInvalidAnswer: true });
     if (draw < 0.07) return sendEvent(workMs, { kind: 'connectionSilent' });
     if (draw < 0.08) return;
     if (start.prefillOnly) return sendEvent(workMs, { kind: 'prefilled', handle: `kv ${attemptId}` });
