--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -95,7 +95,7 @@
     directory,
     picker: new EnginePicker(settings.picker, identity.zone, random),
     emit: createCompletionSink(emit, () => ({ demand, admission })),
-    runs: quarantine,
+    attemptListener: quarantine,
   });
   const onCall = createApplicationSink(emit, () => admission);
   const applications: ApplicationManager = new ApplicationManager(ledger, random, onCall, quarantine);
@@ -138,7 +138,7 @@
   return new CompletionQuarantine({
     selfId: identity.id,
     members: () => membership.active(),
-    hasOlderAttempt: (id, before) => managers().some((manager) => manager.hasOlderRun(id, before)),
+    hasOlderAttempt: (id, before) => managers().some((manager) => manager.hasOlderAttempt(id, before)),
     random,
     emit,
     now,
--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -92,7 +92,7 @@
 
   /** The machine was suspended, for a time that the monotonic clock did not count: leases are void. */
   onMachineSuspended(): void {
-    for (const coordinator of this.coordinators.values()) coordinator.resumeAfterSuspension();
+    for (const coordinator of this.coordinators.values()) coordinator.onMachineSuspended();
   }
 
   /** Receives the answer to a `leaseTable` effect. */
@@ -134,7 +134,7 @@
         slots,
         loaded: inFlight > 0,
         shouldLead,
-        patienceMs,
+        standbyDelayMs: patienceMs,
         regionOf: (zone) => this.parts.regionOf?.(zone) ?? '',
       },
       now,
--- a/test/run-quarantine.test.ts
+++ b/test/run-quarantine.test.ts
@@ -104,7 +104,7 @@
         continue;
       }
       crashed += 1;
-      calls.callEvent(`r${i}`, start.attemptId, { kind: 'broken', reason: 'reset' }, i);
+      calls.onCallEvent(`r${i}`, start.attemptId, { kind: 'broken', reason: 'reset' }, i);
       calls.cancel(`r${i}`, i);
       harness.answerChecks(i);
     }
@@ -126,7 +126,7 @@
       directory,
       picker,
       emit: (effect) => effects.push(effect),
-      runs: harness.quarantine,
+      attemptListener: harness.quarantine,
     });
     for (let i = 0; i < TRIES; i += 1) directory.ensure(`e${i}`, `a${i}`, 'a', 'cell').applyReport(REPORT, 0);
     const row = parseServiceRow({ name: 'grade', model: 'm', repeatable: true });
@@ -145,7 +145,7 @@
           ? { kind: 'unreachable' as const, reason: 'refused' }
           : { kind: 'broken' as const, reason: 'reset' };
         crashed.add(start.engineId);
-        completions.attemptEvent(`r${i}`, start.attemptId, event, now);
+        completions.onAttemptEvent(`r${i}`, start.attemptId, event, now);
         harness.answerChecks(now);
         completions.tick(now);
       }
