--- a/src/daemon/cell-runtime.ts
+++ b/src/daemon/cell-runtime.ts
@@ -1,7 +1,7 @@
 /**
- * One cell in one daemon: who holds its lease, what its coordinator decides on, and the digests and demand
- * reports that go out. Owns the lease, the coordinator and the demand heard from other daemons; relies on the
- * daemon for members, services and its own demand.
+ * One cell in one daemon: its lease, its coordinator, and the digests and demand reports that this daemon
+ * sends. Owns the lease, the coordinator and the demand reported by peers; relies on the daemon for members,
+ * services and the local demand.
  */
 import { CellCoordinator, type CellEngine, type CoordinatorEffect } from '../allocation/cell-coordinator.js';
 import { modelKey, type ModelDemand } from '../allocation/role-allocator.js';
@@ -13,59 +13,59 @@
 import type { CellMessage, DemandEntry, EngineDescription, EngineLoad } from './cell-messages.js';
 import type { CompletionDaemonSettings } from './completion-daemon-settings.js';
 
-/** What a cell asks its runner to do. */
+/** Effects that a cell requests. */
 export type CellEffect =
   | (CoordinatorEffect & { readonly cell: string })
   | LeaseEffect
   | { readonly kind: 'sendCell'; readonly daemonId: string; readonly message: CellMessage };
 
-interface DemandFrom {
+interface ReceivedDemand {
   readonly entries: readonly DemandEntry[];
   readonly receivedAt: number;
 }
 
-/** A digest in so many describes every engine; the others only those that changed. */
-const DESCRIPTION_INTERVALS = 15;
-/** Waiting prompt tokens are rounded to this, so that equal numbers repeat in a digest. Tokens. */
-const WAITING_ROUNDING = 16;
-/** Up to so many subscribers get digests from the coordinator itself; more are served by relays. */
-const DIRECT_SUBSCRIBERS = 8;
-/** Ages of reports are rounded to this, for the same reason. Milliseconds. */
+/** One digest in this many describes every engine; the others describe only those that changed. */
+const DIGESTS_PER_FULL_DESCRIPTION = 15;
+/** Waiting prompt tokens are rounded to this multiple: equal numbers are encoded once in a digest. Tokens. */
+const WAITING_ROUNDING_TOKENS = 16;
+/** Up to this number of subscribers, the coordinator sends digests directly; beyond it, through relays. */
+const MAXIMUM_DIRECT_SUBSCRIBERS = 8;
+/** Ages of reports are rounded to this multiple, for the same reason. Milliseconds. */
 const AGE_ROUNDING_MS = 50;
-/** Size of a digest without its engines. Bytes. */
+/** Estimated size of a digest without its engines. Bytes. */
 const DIGEST_BYTES = 110;
-/** What each engine adds, with its share of the descriptions. Bytes. */
+/** Estimated size that each engine adds to a digest, including its share of the descriptions. Bytes. */
 const DIGEST_BYTES_PER_ENGINE = 60;
-/** A demand report counts for so many intervals of reports: two in a row may be lost. */
+/** A demand report expires after this many report intervals, so that two in a row may be lost. */
 const DEMAND_EXPIRY_INTERVALS = 3;
-/** Adapters that a model is asked to have loaded, at most. */
+/** Largest number of adapters requested for a model. */
 const MAXIMUM_ADAPTERS_PER_ENGINE = 64;
 
-/** What a tick needs to know of the rest of the daemon. */
+/** The state of the rest of the daemon that a tick reads. */
 interface CellContext {
   readonly selfId: string;
-  /** Who should coordinate the cell. */
+  /** The daemon that should coordinate the cell. */
   readonly coordinatorId: string | undefined;
   /** The daemons that route to the cell. */
   readonly subscriberIds: () => readonly string[];
   readonly services: () => readonly VersionedRow[];
-  /** What this daemon itself sees asked of the cell. */
+  /** The demand on the cell that this daemon sees itself. */
   readonly localDemand: () => readonly DemandEntry[];
-  /** False while the daemon stops: it then takes no lease. */
+  /** False while the daemon is draining: it then acquires no lease. */
   readonly eligible: boolean;
 }
 
-/** The cell machine. Times are monotonic milliseconds. */
+/** The state machine of one cell. Times are monotonic milliseconds. */
 export class CellRuntime {
   readonly lease: CellLease;
   readonly coordinator: CellCoordinator;
-  private readonly demandFrom = new Map<string, DemandFrom>();
-  private readonly describedAs = new Map<string, EngineReport>();
+  private readonly demandByDaemon = new Map<string, ReceivedDemand>();
+  private readonly lastDescribed = new Map<string, EngineReport>();
   private readonly capabilities = new Map<string, EngineCapability>();
   private nextDigestAt = 0;
   private nextDemandAt = 0;
   private digestCount = 0;
-  private knownSubscribers = '';
+  private lastSubscribers = '';
 
   constructor(
     readonly cell: string,
@@ -80,27 +80,27 @@
     );
   }
 
-  /** Takes the cell's engines from the machine list. */
+  /** Sets the cell's engines, from the machine list. */
   setEngines(engines: readonly CellEngine[], now: number): void {
     this.coordinator.setEngines(engines, now);
   }
 
-  /** Takes a demand report of another daemon. */
+  /** Receives the demand report of a daemon. */
   receiveDemand(daemonId: string, entries: readonly DemandEntry[], now: number): void {
-    this.demandFrom.set(daemonId, { entries, receivedAt: now });
+    this.demandByDaemon.set(daemonId, { entries, receivedAt: now });
   }
 
   /** Advances timers. */
   tick(now: number, context: CellContext): void {
-    const coordinates = context.coordinatorId === context.selfId;
-    this.lease.tick(now, coordinates && context.eligible);
-    const releasing = !coordinates || !context.eligible;
+    const isCoordinator = context.coordinatorId === context.selfId;
+    this.lease.tick(now, isCoordinator && context.eligible);
+    const releasing = !isCoordinator || !context.eligible;
     if (releasing && this.coordinator.mayRelease(now)) this.lease.release(now);
     const lease = releasing ? undefined : this.lease.current(now);
     if (now >= this.nextDemandAt) this.reportDemand(now, context);
-    if (!coordinates && !lease) return;
-    this.coordinator.tick(now, lease, () => this.totalDemand(now, context.services()));
-    if (coordinates && now >= this.nextDigestAt) this.sendDigest(now, context);
+    if (!isCoordinator && !lease) return;
+    this.coordinator.tick(now, lease, () => this.getTotalDemand(now, context.services()));
+    if (isCoordinator && now >= this.nextDigestAt) this.sendDigest(now, context);
   }
 
   private reportDemand(now: number, context: CellContext): void {
@@ -108,22 +108,25 @@
     const entries = context.localDemand();
     if (context.coordinatorId === context.selfId || this.lease.current(now))
       this.receiveDemand(context.selfId, entries, now);
-    const nothing = entries.every((entry) => entry[2] === 0 && entry[3] === 0);
-    if (context.coordinatorId === undefined || context.coordinatorId === context.selfId || nothing) return;
+    const hasNoDemand = entries.every((entry) => entry[2] === 0 && entry[3] === 0);
+    if (context.coordinatorId === undefined || context.coordinatorId === context.selfId || hasNoDemand)
+      return;
     const message: CellMessage = { kind: 'demandReport', cell: this.cell, demands: entries };
     this.emit({ kind: 'sendCell', daemonId: context.coordinatorId, message });
   }
 
-  /** Demand of every model version that a service names, summed over the daemons heard lately. */
-  private totalDemand(now: number, services: readonly VersionedRow[]): ModelDemand[] {
+  /**
+   * The demand for every model version that a service names, summed over all reports that have not expired.
+   */
+  private getTotalDemand(now: number, services: readonly VersionedRow[]): ModelDemand[] {
     const totals = new Map<string, { prefill: number; decode: number }>();
-    const expiry = this.settings.cells.demandIntervalMs * DEMAND_EXPIRY_INTERVALS;
-    for (const [daemonId, from] of this.demandFrom) {
-      if (now - from.receivedAt > expiry) {
-        this.demandFrom.delete(daemonId);
+    const expiryMs = this.settings.cells.demandIntervalMs * DEMAND_EXPIRY_INTERVALS;
+    for (const [daemonId, received] of this.demandByDaemon) {
+      if (now - received.receivedAt > expiryMs) {
+        this.demandByDaemon.delete(daemonId);
         continue;
       }
-      for (const [model, version, prefill, decode] of from.entries) {
+      for (const [model, version, prefill, decode] of received.entries) {
         const total = totals.get(modelKey(model, version)) ?? { prefill: 0, decode: 0 };
         totals.set(modelKey(model, version), {
           prefill: total.prefill + prefill,
@@ -131,19 +134,21 @@
         });
       }
     }
-    return demandsOfServices(services, totals);
+    return getServiceDemands(services, totals);
   }
 
-  /** More subscribers and engines make digests rarer, so that a coordinator's traffic stays bounded. */
-  private digestInterval(subscribers: number): number {
-    const sent = subscribers <= DIRECT_SUBSCRIBERS ? subscribers : Math.ceil(Math.sqrt(subscribers));
+  /** Grows with the number of subscribers and engines, to bound the coordinator's traffic. */
+  private getDigestIntervalMs(subscribers: number): number {
+    const sent = subscribers <= MAXIMUM_DIRECT_SUBSCRIBERS ? subscribers : Math.ceil(Math.sqrt(subscribers));
     const bytes = sent * (DIGEST_BYTES + DIGEST_BYTES_PER_ENGINE * this.coordinator.reports().length);
     const { digestIntervalMs, digestBudgetBytes } = this.settings.cells;
     return Math.max(digestIntervalMs, (bytes / digestBudgetBytes) * 1000);
   }
 
-  /** Rounds a report for travel; engines of one kind share one capability, which then travels once. */
-  private compact(report: EngineReport): EngineReport {
+  /**
+   * Rounds a report for sending. Engines of one kind share one capability object, which is then encoded once.
+   */
+  private roundReport(report: EngineReport): EngineReport {
     const rounded = Object.fromEntries(
       Object.entries(report.capability).map(([name, value]) => [name, Math.round(value)]),
     ) as unknown as EngineCapability;
@@ -161,23 +166,23 @@
 
   private sendDigest(now: number, context: CellContext): void {
     const subscriberIds = context.subscriberIds();
-    this.nextDigestAt = now + this.digestInterval(subscriberIds.length);
+    this.nextDigestAt = now + this.getDigestIntervalMs(subscriberIds.length);
     this.digestCount += 1;
     const subscribers = subscriberIds.join(' ');
-    const everything =
-      this.digestCount % DESCRIPTION_INTERVALS === 1 || subscribers !== this.knownSubscribers;
-    this.knownSubscribers = subscribers;
+    const describesAll =
+      this.digestCount % DIGESTS_PER_FULL_DESCRIPTION === 1 || subscribers !== this.lastSubscribers;
+    this.lastSubscribers = subscribers;
     const loads: EngineLoad[] = [];
     const descriptions: EngineDescription[] = [];
     for (const { id, address, zone, report, receivedAt } of this.coordinator.reports()) {
-      loads.push(loadOf(id, report, now - receivedAt));
-      const described = this.describedAs.get(id);
-      if (!everything && described && sameAssignment(described.assignment, report.assignment)) continue;
-      this.describedAs.set(id, report);
-      descriptions.push({ id, address, zone, report: this.compact(report) });
+      loads.push(makeLoad(id, report, now - receivedAt));
+      const described = this.lastDescribed.get(id);
+      if (!describesAll && described && sameAssignment(described.assignment, report.assignment)) continue;
+      this.lastDescribed.set(id, report);
+      descriptions.push({ id, address, zone, report: this.roundReport(report) });
     }
     const others = subscriberIds.filter((id) => id !== context.selfId);
-    for (const [first, ...relayTo] of relayGroups(others, this.digestCount)) {
+    for (const [first, ...relayTo] of makeRelayGroups(others, this.digestCount)) {
       const message: CellMessage = {
         kind: 'cellDigest',
         cell: this.cell,
@@ -193,26 +198,26 @@
 }
 
 /**
- * Divides the subscribers of a large cell into groups whose first member passes the digest on to the others.
- * The groups turn with each digest, so that a lost relay hides at most some of them from a daemon.
+ * Divides the subscribers of a large cell into groups whose first member relays the digest to the others. The
+ * groups rotate with each digest, so that a failed relay costs a daemon only some of the digests.
  */
-function relayGroups(ids: readonly string[], turn: number): string[][] {
-  if (ids.length <= DIRECT_SUBSCRIBERS) return ids.map((id) => [id]);
-  const start = turn % ids.length;
-  const turned = [...ids.slice(start), ...ids.slice(0, start)];
+function makeRelayGroups(ids: readonly string[], rotation: number): string[][] {
+  if (ids.length <= MAXIMUM_DIRECT_SUBSCRIBERS) return ids.map((id) => [id]);
+  const start = rotation % ids.length;
+  const rotated = [...ids.slice(start), ...ids.slice(0, start)];
   const size = Math.ceil(Math.sqrt(ids.length));
   const groups: string[][] = [];
-  for (let index = 0; index < turned.length; index += size) groups.push(turned.slice(index, index + size));
+  for (let index = 0; index < rotated.length; index += size) groups.push(rotated.slice(index, index + size));
   return groups;
 }
 
-/** Coarse numbers repeat, and what repeats travels once. */
-function loadOf(id: string, report: EngineReport, ageMs: number): EngineLoad {
-  const waiting = Math.round(report.waitingPrefillTokens / WAITING_ROUNDING) * WAITING_ROUNDING;
+/** Rounds the numbers: repeated values are encoded once. */
+function makeLoad(id: string, report: EngineReport, ageMs: number): EngineLoad {
+  const waiting = Math.round(report.waitingPrefillTokens / WAITING_ROUNDING_TOKENS) * WAITING_ROUNDING_TOKENS;
   return [id, report.phase, report.streams, waiting, Math.round(ageMs / AGE_ROUNDING_MS) * AGE_ROUNDING_MS];
 }
 
-function demandsOfServices(
+function getServiceDemands(
   services: readonly VersionedRow[],
   totals: ReadonlyMap<string, { prefill: number; decode: number }>,
 ): ModelDemand[] {
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -1,8 +1,8 @@
 /**
- * The state machine of a daemon that forwards requests by routes: routes each event to the machine or the
- * part that it is for. Owns the routes in force, whether the daemon drains, and its rank among those that
- * follow the store. Which machines there are and how they are wired is in forwarding-machines.ts. It reads no
- * clock and opens no socket.
+ * The state machine of a daemon that forwards requests by routes: dispatches each event to the machine or the
+ * part that handles it. Owns the routes in force, whether the daemon is draining, and its rank among the
+ * daemons that follow the store. The machines are created and wired in forwarding-machines.ts. It reads no
+ * clock and opens no sockets.
  */
 import type { FleetEffect } from '../fleet/fleet-replica.js';
 import { RouteTable } from '../forwarding/routes/route-table.js';
@@ -20,24 +20,24 @@
 import type { PeerMessage } from './peer-messages.js';
 
 /**
- * Daemons assumed, at least, to share the retry budget and the connections of back ends while some may
- * not be known.
+ * Least number of daemons assumed to share the retry budget and the connections of back ends while some
+ * daemons may be unknown.
  */
-const UNKNOWN_FLEET_SIZE = 32;
+const MINIMUM_ASSUMED_DAEMONS = 32;
 /**
- * Interval between ticks. Milliseconds. What waits for a tick (a deadline, a stalled attempt, a digest) bears
- * so much delay; each tick costs a process some 0.05 ms.
+ * Interval between ticks. Milliseconds. Whatever a tick triggers (a deadline, a stalled attempt, a digest) is
+ * delayed by up to this time; each tick costs a process about 0.05 ms.
  */
 export const TICK_MS = 40;
 /**
- * Interval between looks at every back end: probes, followed caches, stages. Milliseconds. Every third
+ * Interval between scans of all back ends, for probes, followed caches and stages. Milliseconds. Every third
  * tick, since there may be hundreds of back ends.
  */
 const BACKEND_SCAN_MS = 120;
-/** A process that saw so much time pass between two ticks was paused. Milliseconds. Six ticks. */
-const OWN_PAUSE_MS = 250;
-/** Daemons are ranked as readers of the store by this key. */
-const READER_KEY = 'store-reader';
+/** A process that measures more than this time between two ticks was paused. Milliseconds. Six ticks. */
+const PROCESS_PAUSE_MS = 250;
+/** Rendezvous key by which daemons are ranked as readers of the store. */
+const STORE_READER_KEY = 'store-reader';
 
 /** The state machine of one forwarding daemon. Times are monotonic milliseconds. */
 export class ForwardingDaemon {
@@ -48,12 +48,12 @@
   private routes: RouteTable | undefined;
   private draining = false;
   private membersChanged = true;
-  /** This daemon's place among those that follow the store. */
-  private rank = 0;
-  /** The time of the event that is handled now. */
-  private handledAt: number;
-  private tickedAt: number;
-  private scannedAt = -Infinity;
+  /** This daemon's rank among the daemons that follow the store. */
+  private readerRank = 0;
+  /** The time of the event that is being handled. */
+  private eventAt: number;
+  private lastTickAt: number;
+  private lastScanAt = -Infinity;
 
   constructor(
     private readonly identity: DaemonIdentity,
@@ -62,8 +62,8 @@
     random: RandomSource,
     now: number,
   ) {
-    this.tickedAt = now;
-    this.handledAt = now;
+    this.lastTickAt = now;
+    this.eventAt = now;
     const logChange = (event: ChangeEvent, fields: Readonly<Record<string, unknown>>): void =>
       this.logChange(event, fields);
     this.machines = createForwardingMachines({
@@ -76,8 +76,8 @@
       emit: (effect) => void this.outbox.push(effect),
       routes: () => this.routes,
       daemons: () => this.countSharingDaemons(),
-      isFirstReader: () => this.rank === 0,
-      getEventTime: () => this.handledAt,
+      isFirstReader: () => this.readerRank === 0,
+      getEventTime: () => this.eventAt,
       logChange,
       onMembership: (effect) => this.onMembership(effect),
       onFleet: (effect) => this.onFleet(effect),
@@ -93,21 +93,21 @@
     );
   }
 
-  /** Handles one event and returns what is to be done, in order. */
+  /** Handles one event and returns the effects to perform, in order. */
   handle(event: ForwardingEvent, now: number): ForwardingEffect[] {
-    this.handledAt = now;
+    this.eventAt = now;
     this.dispatch(event, now);
     const effects = this.outbox;
     this.outbox = [];
     return effects;
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether callers should send requests to this daemon. */
   ready(): boolean {
     return !this.draining && this.routes !== undefined && this.machines.replica.knowsBackends();
   }
 
-  /** Requests in hand. */
+  /** Number of requests that are active or waiting. */
   countOpenRequests(): number {
     return this.machines.manager.getActiveCount();
   }
@@ -117,22 +117,22 @@
     return this.routes?.configuration.version ?? -1;
   }
 
-  /** How long ago the store last confirmed the configuration. Milliseconds. */
+  /** Time since the store last confirmed the configuration. Milliseconds. */
   configurationAgeMs(now: number): number {
     return this.machines.replica.ageMs('configuration', now);
   }
 
-  /** Daemons believed to run, this one included. */
+  /** Number of daemons believed to be running, including this one. */
   members(): number {
     return this.machines.membership.active().length;
   }
 
-  /** Requests of all daemons at a back end, as far as this one knows. */
+  /** Number of requests of all daemons at a back end, as far as this daemon knows. */
   getInFlight(backendId: string): number {
     return this.machines.directory.get(backendId)?.inFlight() ?? 0;
   }
 
-  /** What an operator sees of each part. */
+  /** The figures of each part, by its name, for operators. */
   getPartFigures(now: number): Readonly<Record<string, PartFigures>> {
     return Object.fromEntries(this.machines.parts.map((part) => [part.name, part.getFigures?.(now) ?? {}]));
   }
@@ -173,9 +173,9 @@
   }
 
   private tick(now: number): void {
-    const sinceTickMs = now - this.tickedAt;
-    this.tickedAt = now;
-    if (sinceTickMs > OWN_PAUSE_MS) {
+    const sinceTickMs = now - this.lastTickAt;
+    this.lastTickAt = now;
+    if (sinceTickMs > PROCESS_PAUSE_MS) {
       this.logChange('process.paused', {
         forMs: Math.round(sinceTickMs),
         requests: this.countOpenRequests(),
@@ -183,13 +183,13 @@
       this.onProcessResumed(now);
     }
     this.machines.membership.tick(now);
-    this.rankReader();
+    this.setReaderRank();
     this.machines.replica.tick(now);
     this.machines.exchange.tick(now);
     this.machines.manager.tick(now);
     for (const part of this.machines.parts) part.tick?.(now);
-    if (now - this.scannedAt < BACKEND_SCAN_MS) return;
-    this.scannedAt = now;
+    if (now - this.lastScanAt < BACKEND_SCAN_MS) return;
+    this.lastScanAt = now;
     this.reports.tick(now);
     for (const part of this.machines.parts) part.scan?.(this.draining, now);
   }
@@ -200,7 +200,8 @@
   }
 
   /**
-   * As after a pause, and beside that nothing that is measured by the clock of this process counts any more.
+   * Besides the handling of a process pause, invalidates everything that is measured by the monotonic clock,
+   * which did not count the suspension.
    */
   private onMachineSuspended(forMs: number, now: number): void {
     this.logChange('process.suspended', { forMs: Math.round(forMs), requests: this.countOpenRequests() });
@@ -226,7 +227,7 @@
         this.machines.exchange.receive(fromId, fromAddress, message, now);
         break;
       default:
-        // For a part, or of daemons that serve completions.
+        // The other kinds are handled by parts, or used by daemons that serve completions only.
         break;
     }
   }
@@ -239,31 +240,36 @@
   }
 
   /**
-   * Finds this daemon's place among those that follow the store. Before it knows any peer it is the first.
+   * Computes this daemon's rank among those that follow the store. Before it knows any peer, it is the first.
    */
-  private rankReader(): void {
+  private setReaderRank(): void {
     if (!this.membersChanged) return;
     this.membersChanged = false;
     this.machines.directory.peers.setDaemons(this.machines.membership.active().length);
-    this.rank = getRendezvousPlace(READER_KEY, this.machines.membership.activeIds(), this.identity.id);
-    this.machines.replica.setRank(this.rank);
+    this.readerRank = getRendezvousPlace(
+      STORE_READER_KEY,
+      this.machines.membership.activeIds(),
+      this.identity.id,
+    );
+    this.machines.replica.setRank(this.readerRank);
   }
 
   /**
-   * Daemons that share what back ends bear. One that is stopping counts until it is forgotten: it serves for
-   * seconds, and shares that grow meanwhile add up to more than the whole (nine daemons stopped in turn
-   * repeated 2.7 times what their budget allows).
+   * Number of daemons among which the retry budget and the connections of back ends are divided. A stopping
+   * daemon counts until it is dropped from the members: it keeps serving for seconds, and if the shares of
+   * the others grew meanwhile, the sum would exceed the limit (nine daemons stopped in turn sent 2.7 times
+   * the retries that their budget allows).
    */
   private countSharingDaemons(): number {
     const sharing = this.machines.membership.countSharing();
     const knowsAll = this.machines.membership.joined() && this.machines.membership.knowsSeeds();
-    return knowsAll ? sharing : Math.max(sharing, UNKNOWN_FLEET_SIZE);
+    return knowsAll ? sharing : Math.max(sharing, MINIMUM_ASSUMED_DAEMONS);
   }
 
   private onMembership(effect: MembershipEffect): void {
     if (effect.kind === 'sendMembership') {
       const { address } = effect;
-      this.outbox.push({ kind: 'sendPeer', address, message: this.addFromParts(effect.message) });
+      this.outbox.push({ kind: 'sendPeer', address, message: this.addPartFields(effect.message) });
       return;
     }
     this.membersChanged = true;
@@ -275,9 +281,9 @@
     this.logChange('member.changed', { member: member.id, state: member.state, previous });
   }
 
-  private addFromParts(message: MembershipMessage): MembershipMessage {
+  private addPartFields(message: MembershipMessage): MembershipMessage {
     return this.machines.parts.reduce(
-      (sum, part) => part.addToMembership?.(sum, this.handledAt) ?? sum,
+      (sum, part) => part.addToMembership?.(sum, this.eventAt) ?? sum,
       message,
     );
   }
@@ -293,17 +299,16 @@
       case 'configurationChanged':
         this.routes = new RouteTable(effect.configuration);
         this.tenants.apply(effect.configuration.tenants);
-        for (const part of this.machines.parts)
-          part.applyConfiguration?.(effect.configuration, this.handledAt);
+        for (const part of this.machines.parts) part.applyConfiguration?.(effect.configuration, this.eventAt);
         this.outbox.push({ kind: 'configurationInForce', configuration: effect.configuration });
         break;
       case 'backendChanged':
         this.machines.directory.put(effect.record);
-        for (const part of this.machines.parts) part.applyBackend?.(effect.record, this.handledAt);
+        for (const part of this.machines.parts) part.applyBackend?.(effect.record, this.eventAt);
         break;
       case 'backendRemoved':
         this.machines.directory.remove(effect.id);
-        for (const part of this.machines.parts) part.removeBackend?.(effect.id, this.handledAt);
+        for (const part of this.machines.parts) part.removeBackend?.(effect.id, this.eventAt);
         this.outbox.push({ kind: 'backendGone', backendId: effect.id });
         break;
     }
--- a/src/parts/daemon-parts.ts
+++ b/src/parts/daemon-parts.ts
@@ -1,5 +1,5 @@
-/// The parts of a forwarding daemon. A new one is one more line here; one that the settings do not ask for is
-/// left out.
+/// Creates the parts of a forwarding daemon. A new part needs one more line here; parts that the settings do
+/// not enable are left out. Owns no state.
 import {BackendSignalPart} from "./backend-signal-part.js"
 import type {DaemonPart, PartContext} from "./daemon-part.js"
 import {DutyPart} from "./duty-part.js"
@@ -11,19 +11,19 @@
 import {RegionPart} from "./region-part.js"
 import {StagePart} from "./stage-part.js"
 
-/// Every part of one daemon, in the order in which they hear of things.
-export function createParts(surroundings: PartContext, now: number): readonly DaemonPart[] {
-  const {duties, quotas} = surroundings.settings
-  const {regions} = surroundings
+/// Creates every part of one daemon, in the order in which they are called.
+export function createParts(context: PartContext, now: number): readonly DaemonPart[] {
+  const {duties, quotas} = context.settings
+  const {regions} = context
   return [
-    new HealthPart(surroundings),
-    new BackendSignalPart(surroundings),
-    new KvPart(surroundings, now),
-    new PacePart(surroundings),
-    new StagePart(surroundings),
-    new QuarantinePart(surroundings, now),
-    ...(regions ? [new RegionPart(surroundings, regions)] : []),
-    ...(duties ? [new DutyPart(surroundings, duties, now)] : []),
-    ...(quotas ? [new QuotaPart(surroundings, quotas)] : [])
+    new HealthPart(context),
+    new BackendSignalPart(context),
+    new KvPart(context, now),
+    new PacePart(context),
+    new StagePart(context),
+    new QuarantinePart(context, now),
+    ...(regions ? [new RegionPart(context, regions)] : []),
+    ...(duties ? [new DutyPart(context, duties, now)] : []),
+    ...(quotas ? [new QuotaPart(context, quotas)] : [])
   ]
 }
--- a/src/parts/duty-part.ts
+++ b/src/parts/duty-part.ts
@@ -1,23 +1,23 @@
-/// The duties before the platform: they count what began to run, agree on the time of day, and act while this
-/// daemon holds their lease.
+/// The duties towards the platform: counts the requests that started, agrees with peers on the wall-clock
+/// time, and performs the duties while this daemon holds their lease.
 import {makeDutyChange} from "../daemon/change-log.js"
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import {DUTY_CELL, DutyManager, type DutyEffect, type DutySettings} from "../duties/duty-manager.js"
 import type {MembershipMessage} from "../membership/membership-messages.js"
 import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
-/// The duties as a part.
+/// The part that performs the duties.
 export class DutyPart extends DaemonPart {
   override readonly name = "duties"
   private readonly manager: DutyManager
 
   constructor(
-    private readonly surroundings: PartContext,
+    private readonly context: PartContext,
     settings: DutySettings,
     now: number
   ) {
     super()
-    const {identity, members, directory, routes} = surroundings
+    const {identity, members, directory, routes} = context
     this.manager = new DutyManager(
       identity.id,
       settings,
@@ -26,7 +26,7 @@
         services: () => routes()?.configuration.services ?? [],
         backendsOf: service => directory.ofService(service)
       },
-      effect => this.onDuty(effect),
+      effect => this.onDutyEffect(effect),
       now
     )
   }
@@ -35,7 +35,7 @@
     this.manager.clock.setOwn(wallMs, now)
   }
 
-  /// Probes and their answers carry the time of day: by them daemons agree on it.
+  /// Adds the wall-clock time to probes and their answers, by which daemons agree on it.
   override addToMembership(message: MembershipMessage, now: number): MembershipMessage {
     if (message.kind !== "ping" && message.kind !== "ack") return message
     const wallMs = this.manager.clock.getOwn(now)
@@ -66,7 +66,7 @@
         break
       case "dutyResult":
         if (event.result.kind !== "accepted")
-          this.surroundings.logChange("duty.failed", {duty: event.call.kind, ...event.result})
+          this.context.logChange("duty.failed", {duty: event.call.kind, ...event.result})
         this.manager.receiveDutyResult(event.call, event.result, now)
         break
       default:
@@ -74,12 +74,12 @@
     }
   }
 
-  override scan(leaving: boolean, now: number): void {
-    this.manager.tick(leaving, now)
+  override scan(draining: boolean, now: number): void {
+    this.manager.tick(draining, now)
   }
 
-  private onDuty(effect: DutyEffect): void {
-    const {emit, logChange} = this.surroundings
+  private onDutyEffect(effect: DutyEffect): void {
+    const {emit, logChange} = this.context
     switch (effect.kind) {
       case "callDuty":
         if (effect.call.kind === "orderServers") logChange("servers.ordered", {...effect.call})
--- a/src/parts/quota-part.ts
+++ b/src/parts/quota-part.ts
@@ -1,4 +1,4 @@
-/// Holds tenants to their quotas, over the whole fleet.
+/// Enforces tenants' quotas across the whole fleet.
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import type {RouteConfiguration, Tenant} from "../forwarding/routes/route.js"
 import type {QuotaAnswer, QuotaRequest} from "../forwarding/admit/tenant-quota.js"
@@ -6,18 +6,20 @@
 import type {QuotaLimit, QuotaSettings} from "../quotas/quota-settings.js"
 import {DaemonPart, type PartFigures, type PartContext} from "./daemon-part.js"
 
-/// Quotas as a part.
+/// The part that enforces quotas.
 export class QuotaPart extends DaemonPart {
   override readonly name = "quotas"
   private readonly manager: QuotaManager
 
   constructor(
-    private readonly surroundings: PartContext,
+    private readonly context: PartContext,
     settings: QuotaSettings
   ) {
     super()
-    const {identity, random, fleet} = surroundings
-    this.manager = new QuotaManager(identity.id, settings, fleet, random, effect => this.onQuota(effect))
+    const {identity, random, fleet} = context
+    this.manager = new QuotaManager(identity.id, settings, fleet, random, effect =>
+      this.onQuotaEffect(effect)
+    )
   }
 
   override applyConfiguration({tenants}: RouteConfiguration, now: number): void {
@@ -67,8 +69,8 @@
     return this.manager.getFigures()
   }
 
-  private onQuota(effect: QuotaEffect): void {
-    if (effect.kind === "sendPeer") this.surroundings.emit(effect)
-    else this.surroundings.decideQuota(effect.requestId, effect.decision)
+  private onQuotaEffect(effect: QuotaEffect): void {
+    if (effect.kind === "sendPeer") this.context.emit(effect)
+    else this.context.decideQuota(effect.requestId, effect.decision)
   }
 }
--- a/src/parts/region-part.ts
+++ b/src/parts/region-part.ts
@@ -1,13 +1,13 @@
-/// Learns the round trips to other regions from the probes between daemons, finds which of them are cut off,
-/// and tells how much work leaves the own region.
+/// Measures the round trips to other regions by the probes between daemons, detects regions that are cut off,
+/// and reports the share of attempts that leave the daemon's own region.
 import type {DaemonIdentity, MembershipMessage} from "../membership/membership-messages.js"
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import {findCutOffRegions} from "../forwarding/backends/region-contact.js"
 import {DISTANCE_CLASSES} from "../places/places.js"
 import {DaemonPart, type PartFigures, type PartContext, type RegionContext} from "./daemon-part.js"
 
-/// Probes remembered at most; one is answered or timed out within a few seconds, and few are sent in that
-/// time.
+/// Largest number of probes in flight that are recorded. A probe is answered or times out within a few
+/// seconds, and few are sent in that time.
 const MAXIMUM_PROBES = 64
 
 interface SentProbe {
@@ -15,20 +15,20 @@
   readonly sentAt: number
 }
 
-/// Regions as a part.
+/// The part that tracks regions.
 export class RegionPart extends DaemonPart {
   override readonly name = "regions"
   private cutOff: ReadonlySet<string> = new Set()
   private readonly probes = new Map<number, SentProbe>()
 
   constructor(
-    private readonly surroundings: PartContext,
+    private readonly context: PartContext,
     private readonly regions: RegionContext
   ) {
     super()
   }
 
-  /// Notes when a probe is sent; nothing is added to it.
+  /// Records when a probe is sent; the message is unchanged.
   override addToMembership(message: MembershipMessage, now: number): MembershipMessage {
     if (message.kind === "ping") {
       this.probes.set(message.sequence, {target: message.target, sentAt: now})
@@ -42,19 +42,19 @@
     if (message.kind !== "ack") return
     const probe = this.probes.get(message.sequence)
     this.probes.delete(message.sequence)
-    // An answer through a third daemon went another way.
+    // An answer relayed by a third daemon took a different route.
     if (probe?.target !== fromId) return
-    const member = this.surroundings.members().find(({id}) => id === fromId)
+    const member = this.context.members().find(({id}) => id === fromId)
     if (member) this.addSample(member, now - probe.sentAt)
   }
 
-  /// Silence while this process stood still is nobody's.
+  /// Discards probes from before a process pause: the pause would count as round-trip time.
   override onProcessResumed(): void {
     this.probes.clear()
   }
 
-  override scan(_leaving: boolean, now: number): void {
-    const {directory, logChange} = this.surroundings
+  override scan(_draining: boolean, now: number): void {
+    const {directory, logChange} = this.context
     const {distance} = this.regions
     const cutOff = findCutOffRegions(directory.all(), distance, now)
     for (const region of cutOff) if (!this.cutOff.has(region)) logChange("region.lost", {region})
@@ -71,14 +71,14 @@
     for (const kind of DISTANCE_CLASSES) figures[`attempts_${kind}`] = attempts[kind]
     figures.share_elsewhere = all > 0 ? attempts.otherRegion / all : 0
     figures.regions_cut_off = this.cutOff.size
-    for (const region of places.getOtherRegions(this.surroundings.identity.zone))
+    for (const region of places.getOtherRegions(this.context.identity.zone))
       figures[`round_trip_ms_${region}`] = roundTrips.getMs(region, "otherRegion")
     return figures
   }
 
   private addSample({zone}: DaemonIdentity, ms: number): void {
     const {places, roundTrips} = this.regions
-    const distance = places.getDistance(this.surroundings.identity.zone, zone)
+    const distance = places.getDistance(this.context.identity.zone, zone)
     roundTrips.addSample(places.getRegion(zone), distance, ms)
   }
 }
--- a/src/parts/request-hooks.ts
+++ b/src/parts/request-hooks.ts
@@ -1,9 +1,9 @@
-/// What the parts of a daemon have to say on requests, asked of one after another: the first part with an
-/// answer decides.
+/// Hooks by which the forwarding of requests calls the parts of a daemon. Queries are passed to one part
+/// after another until one answers; notifications are passed to all. Owns no state.
 import type {ForwardContext} from "../forwarding/forward-manager.js"
 import type {DaemonPart} from "./daemon-part.js"
 
-/// What the forwarding of requests asks of the parts, and tells them.
+/// The hooks of the forwarding of requests that parts implement.
 type RequestHooks = Pick<
   ForwardContext,
   | "onRequestBegan"
@@ -17,26 +17,26 @@
   | "chargeQuota"
 >
 
-/// The hooks of parts that may be created later than these.
+/// Creates the hooks. The parts may be created later: `getParts` is called at each use.
 export function createRequestHooks(getParts: () => readonly DaemonPart[]): RequestHooks {
-  const findFirst = <Answer>(ask: (part: DaemonPart) => Answer | undefined): Answer | undefined => {
+  const findFirst = <Answer>(getAnswer: (part: DaemonPart) => Answer | undefined): Answer | undefined => {
     for (const part of getParts()) {
-      const answer = ask(part)
+      const answer = getAnswer(part)
       if (answer !== undefined) return answer
     }
     return undefined
   }
-  const tellAll = (tell: (part: DaemonPart) => void): void => getParts().forEach(tell)
+  const runAll = (run: (part: DaemonPart) => void): void => getParts().forEach(run)
   return {
-    onRequestBegan: (tenant, at) => tellAll(part => part.onRequestBegan?.(tenant, at)),
+    onRequestBegan: (tenant, at) => runAll(part => part.onRequestBegan?.(tenant, at)),
     getQuarantineMs: (key, now) => findFirst(part => part.getQuarantineMs?.(key, now)),
     getIsolatedCaller: (key, now) => findFirst(part => part.getIsolatedCaller?.(key, now)),
     onAttemptBroken: (key, backend, startedAt, now) =>
-      tellAll(part => part.onAttemptBroken?.(key, backend, startedAt, now)),
-    onAttemptAnswered: (key, now) => tellAll(part => part.onAttemptAnswered?.(key, now)),
-    onSignals: (view, report, now) => tellAll(part => part.onSignals?.(view, report, now)),
+      runAll(part => part.onAttemptBroken?.(key, backend, startedAt, now)),
+    onAttemptAnswered: (key, now) => runAll(part => part.onAttemptAnswered?.(key, now)),
+    onSignals: (view, report, now) => runAll(part => part.onSignals?.(view, report, now)),
     takeQuota: (request, now) => findFirst(part => part.takeQuota?.(request, now)),
-    removeQuotaRequest: requestId => tellAll(part => part.removeQuotaRequest?.(requestId)),
-    chargeQuota: (tenant, cost, now) => tellAll(part => part.chargeQuota?.(tenant, cost, now))
+    removeQuotaRequest: requestId => runAll(part => part.removeQuotaRequest?.(requestId)),
+    chargeQuota: (tenant, cost, now) => runAll(part => part.chargeQuota?.(tenant, cost, now))
   }
 }
--- a/src/parts/stage-part.ts
+++ b/src/parts/stage-part.ts
@@ -1,4 +1,4 @@
-/// Changes the stages of engines while this daemon holds the lease for it.
+/// Changes the stages of engines while this daemon holds the lease of their service.
 import type {StageEffect} from "../allocation/stage-coordinator.js"
 import {makeStageChange} from "../daemon/change-log.js"
 import {StageManager} from "../daemon/stage-manager.js"
@@ -6,19 +6,19 @@
 import type {RouteConfiguration} from "../forwarding/routes/route.js"
 import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
-/// The stage manager as a part.
+/// The part that runs the stage manager.
 export class StagePart extends DaemonPart {
   override readonly name = "stages"
   private readonly manager: StageManager
 
-  constructor(private readonly surroundings: PartContext) {
+  constructor(private readonly context: PartContext) {
     super()
-    const {identity, settings, members, directory, regions} = surroundings
+    const {identity, settings, members, directory, regions} = context
     this.manager = new StageManager(
       identity.id,
       settings.stages,
       {members, directory, regionOf: zone => regions?.places.getRegion(zone) ?? identity.region},
-      effect => this.onStage(effect)
+      effect => this.onStageEffect(effect)
     )
   }
 
@@ -40,7 +40,7 @@
         break
       case "orderResult": {
         const {backend} = event.order
-        this.surroundings.logChange("order.answered", {backend: backend.id, ...event.result})
+        this.context.logChange("order.answered", {backend: backend.id, ...event.result})
         this.manager.receiveOrderResult(backend.service, backend.id, event.result)
         break
       }
@@ -49,12 +49,12 @@
     }
   }
 
-  override scan(leaving: boolean, now: number): void {
-    this.manager.tick(now, !leaving)
+  override scan(draining: boolean, now: number): void {
+    this.manager.tick(now, !draining)
   }
 
-  private onStage(effect: StageEffect): void {
-    const {emit} = this.surroundings
+  private onStageEffect(effect: StageEffect): void {
+    const {emit} = this.context
     if (effect.kind === "leaseTable" || effect.kind === "askEngine") emit(effect)
     else emit(makeStageChange(effect))
     if (effect.kind === "orderEngine") emit(effect)
