--- a/src/quarantine/end-record.ts
+++ b/src/quarantine/end-record.ts
@@ -14,7 +14,7 @@
 import {getCallerOfKey, getContentOfKey} from "./request-key.js"
 
 /// A back end that ended while it ran a request. Monotonic milliseconds.
-export interface RunEnd {
+export interface BackendCrash {
   readonly key: string
   /// The incarnation that ended; see `getIncarnation`.
   readonly incarnation: string
@@ -38,7 +38,7 @@
 type Subject = string
 
 /// The record of one daemon. Times are monotonic milliseconds.
-export class EndRecord {
+export class CrashHistory {
   private readonly suspects = new Map<string, Ends>()
   private readonly subjectsByIncarnation = new Map<string, Set<string>>()
   private readonly endsByCaller = new Map<string, Ends>()
@@ -53,7 +53,7 @@
   }
 
   /// Adds an end. Returns whether it was not known and counts.
-  addEnd({key, incarnation, at}: RunEnd, now: number): boolean {
+  addCrash({key, incarnation, at}: BackendCrash, now: number): boolean {
     if (now - at > this.settings.memoryMs) return false
     this.addEndOf(getContentOfKey(key), incarnation, at)
     if (!this.addEndOf(key, incarnation, at)) return false
@@ -74,7 +74,7 @@
   }
 
   /// Ends that are known of a request, or of what it asks for.
-  countEnds(key: string): number {
+  countCrashes(key: string): number {
     return Math.max(this.count(key), this.count(getContentOfKey(key)))
   }
 
@@ -83,31 +83,31 @@
     const ownMs = this.getSubjectMs(key, this.getLimit(key, now), now)
     if (ownMs !== undefined || this.wasAnsweredLately(key, now)) return ownMs
     const content = getContentOfKey(key)
-    const {maximumEnds, maximumEndsOfAnswered} = this.settings
+    const {maximumCrashes: maximumEnds, maximumCrashesIfAnswered: maximumEndsOfAnswered} = this.settings
     const limit = this.wasAnsweredLately(content, now) ? maximumEndsOfAnswered : maximumEnds
     return this.getSubjectMs(content, limit, now)
   }
 
   /// Whether the request may run at one back end only: back ends end under its caller's requests, whichever
   /// they are, more often than these are answered, and this one was not answered lately.
-  isConfined(key: string, now: number): boolean {
+  isIsolated(key: string, now: number): boolean {
     return !this.wasAnsweredLately(key, now) && this.hasManyEnds(getCallerOfKey(key), now)
   }
 
   /// Whether an end of the request is worth comparing and keeping.
   isNotable(key: string, now: number): boolean {
-    return this.countEnds(key) >= NOTABLE_ENDS || this.hasManyEnds(getCallerOfKey(key), now)
+    return this.countCrashes(key) >= NOTABLE_ENDS || this.hasManyEnds(getCallerOfKey(key), now)
   }
 
   /// Ends of every request of which they are notable.
-  getNotableEnds(now: number): RunEnd[] {
+  getNotableCrashes(now: number): BackendCrash[] {
     return this.getKeys()
       .filter(key => this.isNotable(key, now))
-      .flatMap(key => this.getEndsOf(key))
+      .flatMap(key => this.getCrashes(key))
   }
 
   /// Ends of one request.
-  getEndsOf(key: string): RunEnd[] {
+  getCrashes(key: string): BackendCrash[] {
     return [...(this.suspects.get(key) ?? [])].map(([incarnation, at]) => ({key, incarnation, at}))
   }
 
@@ -155,7 +155,7 @@
   }
 
   private getLimit(key: string, now: number): number {
-    const {maximumEnds, maximumEndsOfAnswered} = this.settings
+    const {maximumCrashes: maximumEnds, maximumCrashesIfAnswered: maximumEndsOfAnswered} = this.settings
     if (this.wasAnsweredLately(key, now)) return maximumEndsOfAnswered
     return this.hasManyEnds(getCallerOfKey(key), now) ? 1 : maximumEnds
   }
@@ -163,7 +163,7 @@
   /// Whether back ends end under a caller's requests, whichever they are. Under those of a large caller many
   /// end by chance, beside many answers.
   private hasManyEnds(caller: string, now: number): boolean {
-    const {maximumEndsOfCaller, callerMemoryMs} = this.settings
+    const {maximumCrashesPerCaller: maximumEndsOfCaller, callerMemoryMs} = this.settings
     const ends = this.endsByCaller.get(caller)
     if (!ends || ends.size < maximumEndsOfCaller || now - this.startedAt < callerMemoryMs) return false
     const recent = [...ends.values()].filter(at => now - at < callerMemoryMs).length
@@ -177,7 +177,7 @@
     for (const other of this.subjectsByIncarnation.get(incarnation) ?? []) {
       if (getContentOfKey(other) === content) continue
       const otherEnds = this.count(other)
-      if (otherEnds > ends.size && otherEnds >= this.settings.maximumEnds) return true
+      if (otherEnds > ends.size && otherEnds >= this.settings.maximumCrashes) return true
     }
     return false
   }
--- a/src/quarantine/quarantine-settings.ts
+++ b/src/quarantine/quarantine-settings.ts
@@ -4,14 +4,14 @@
 export interface QuarantineSettings {
   /// Back ends that must have ended under a request of which no run was ever answered. Default 3: one or two
   /// end beside a harmless one by chance, and three is what the platform forgives.
-  readonly maximumEnds: number
+  readonly maximumCrashes: number
   /// The same of a request that was answered lately. Default 6: where several of the back ends that run a
   /// popular request end at once, its answers by the others come too late to speak for it.
-  readonly maximumEndsOfAnswered: number
+  readonly maximumCrashesIfAnswered: number
   /// Back ends that must have ended lately under whichever requests of one caller, more than were answered to
   /// it, for the others of its requests to be judged by their first end and to run at one back end only.
   /// Default 6.
-  readonly maximumEndsOfCaller: number
+  readonly maximumCrashesPerCaller: number
   /// How long such an end counts, and how old a process must be to judge callers so. Milliseconds. Default
   /// 10,000.
   readonly callerMemoryMs: number
@@ -39,9 +39,9 @@
 
 /// Default settings.
 export const DEFAULT_QUARANTINE_SETTINGS: QuarantineSettings = {
-  maximumEnds: 3,
-  maximumEndsOfAnswered: 6,
-  maximumEndsOfCaller: 6,
+  maximumCrashes: 3,
+  maximumCrashesIfAnswered: 6,
+  maximumCrashesPerCaller: 6,
   callerMemoryMs: 10_000,
   memoryMs: 1_800_000,
   memoryOfAnsweredMs: 10_000,
--- a/src/quotas/owner-ranking.ts
+++ b/src/quotas/owner-ranking.ts
@@ -77,14 +77,14 @@
   }
 
   /// This process stood still until now: others may own what it owned.
-  resumeAfterPause(now: number): void {
+  onProcessResumed(now: number): void {
     this.setReturned(now)
     this.expectedSince.clear()
     this.lost.clear()
   }
 
   /// A message of a daemon has arrived.
-  hear(id: string, now: number): void {
+  onContact(id: string, now: number): void {
     this.heardAt.set(id, now)
     this.heardAnyAt = now
     this.expectedSince.delete(id)
--- a/src/quotas/quota-manager.ts
+++ b/src/quotas/quota-manager.ts
@@ -96,8 +96,8 @@
   }
 
   /// Any message of a daemon shows that it runs.
-  hear(fromId: string, now: number): void {
-    this.ranking.hear(fromId, now)
+  onContact(fromId: string, now: number): void {
+    this.ranking.onContact(fromId, now)
   }
 
   /// Takes a message about quotas.
@@ -117,8 +117,8 @@
 
   /// This process stood still until now. Others may own its buckets by now: what it has of them counts no
   /// more.
-  resumeAfterPause(now: number): void {
-    this.ranking.resumeAfterPause(now)
+  onProcessResumed(now: number): void {
+    this.ranking.onProcessResumed(now)
     this.owned.clear()
   }
 
--- a/test/break-watch.test.ts
+++ b/test/break-watch.test.ts
@@ -1,6 +1,6 @@
 /** What shows that a back end ended under a run, and what does not. */
 import { expect } from 'chai';
-import { BreakWatch, type BackendCheck, type CheckBackend } from '../src/quarantine/break-watch.js';
+import { CrashDetector, type BackendCheck, type CheckBackend } from '../src/quarantine/break-watch.js';
 
 const BACKEND = { id: 'b1', incarnation: 'b1', address: '10.0.0.1:80' };
 
@@ -8,13 +8,13 @@
 class Watch {
   readonly checks: CheckBackend[] = [];
   hasOlderRun = false;
-  readonly watch = new BreakWatch(
+  readonly watch = new CrashDetector(
     () => this.hasOlderRun,
     (check) => this.checks.push(check),
   );
 
   breakOff(key: string, startedAt: number, at: number): string[] {
-    return this.watch.addBreak(BACKEND, { key, startedAt, at }).map((end) => end.key);
+    return this.watch.addBrokenAttempt(BACKEND, { key, startedAt, at }).map((end) => end.key);
   }
 
   answer(check: BackendCheck, now: number): string[] {
