--- a/simulation/quota-fleet.ts
+++ b/simulation/quota-fleet.ts
@@ -172,7 +172,7 @@
       () => {
         const { members } = node;
         const joined = members.length > 1 || this.nodes.length === 1;
-        return { members, known: this.nodes.length, joined };
+        return { members, knownCount: this.nodes.length, joined };
       },
       this.random,
       (effect) => this.perform(node, effect),
--- a/src/quarantine/break-watch.ts
+++ b/src/quarantine/break-watch.ts
@@ -87,7 +87,7 @@
   }
 
   /// Takes the outcome of a check. Returns the ends that it proves.
-  receive({incarnation}: BackendIncarnation, check: BackendCheck, now: number): BackendCrash[] {
+  receiveCheck({incarnation}: BackendIncarnation, check: BackendCheck, now: number): BackendCrash[] {
     const watched = this.watched.get(incarnation)
     if (!watched || watched.ended) return []
     watched.checking = false
@@ -106,7 +106,7 @@
 
   /// The record of a back end went without its leave, or was written by a later start. Returns the ends that
   /// this proves.
-  receiveGone(incarnation: string): BackendCrash[] {
+  onBackendGone(incarnation: string): BackendCrash[] {
     const watched = this.watched.get(incarnation)
     return watched && !watched.ended ? this.end(watched) : []
   }
--- a/src/quarantine/end-record.ts
+++ b/src/quarantine/end-record.ts
@@ -49,12 +49,12 @@
     /// When this process started: it does not know what was answered before.
     private readonly startedAt: number
   ) {
-    this.answers = new RecentAnswers(settings.answerMemoryMs, settings.maximumAnswered)
+    this.answers = new RecentAnswers(settings.answerMemoryMs, settings.maximumAnswers)
   }
 
   /// Adds an end. Returns whether it was not known and counts.
   addCrash({key, incarnation, at}: BackendCrash, now: number): boolean {
-    if (now - at > this.settings.memoryMs) return false
+    if (now - at > this.settings.crashMemoryMs) return false
     this.addEndOf(getContentOfKey(key), incarnation, at)
     if (!this.addEndOf(key, incarnation, at)) return false
     this.addEndOfCaller(getCallerOfKey(key), incarnation, at)
@@ -70,7 +70,7 @@
 
   /// When the request was last answered; -Infinity when that is not known.
   getAnsweredAt(key: string): number {
-    return this.answers.getAt(key)
+    return this.answers.getAnsweredAt(key)
   }
 
   /// Ends that are known of a request, or of what it asks for.
@@ -120,7 +120,7 @@
 
   /// Forgets ends that count no more.
   removeOld(now: number): void {
-    const {memoryMs, callerMemoryMs} = this.settings
+    const {crashMemoryMs: memoryMs, callerMemoryMs} = this.settings
     for (const [key, ends] of this.suspects)
       for (const [incarnation, at] of ends) if (now - at >= memoryMs) this.removeEnd(key, ends, incarnation)
     for (const [caller, ends] of this.endsByCaller) {
@@ -138,14 +138,14 @@
   }
 
   private wasAnsweredLately(subject: Subject, now: number): boolean {
-    return now - this.answers.getAt(subject) < this.settings.answerMemoryMs
+    return now - this.answers.getAnsweredAt(subject) < this.settings.answerMemoryMs
   }
 
   /// How long the ends of a subject reach the limit. Milliseconds.
   private getSubjectMs(subject: Subject, limit: number, now: number): number | undefined {
     const ends = this.suspects.get(subject)
     if (!ends) return undefined
-    const {memoryMs, memoryOfAnsweredMs} = this.settings
+    const {crashMemoryMs: memoryMs, crashMemoryIfAnsweredMs: memoryOfAnsweredMs} = this.settings
     const countsFor = this.wasAnsweredLately(subject, now) ? memoryOfAnsweredMs : memoryMs
     const counting = [...ends]
       .filter(([incarnation, at]) => now - at < countsFor && !this.isExplained(subject, ends, incarnation))
@@ -167,7 +167,7 @@
     const ends = this.endsByCaller.get(caller)
     if (!ends || ends.size < maximumEndsOfCaller || now - this.startedAt < callerMemoryMs) return false
     const recent = [...ends.values()].filter(at => now - at < callerMemoryMs).length
-    return recent >= maximumEndsOfCaller && recent > this.answers.countOf(caller)
+    return recent >= maximumEndsOfCaller && recent > this.answers.countAnswers(caller)
   }
 
   /// Whether the back end ended under another request, beside this one: one that has more ends, and as many
@@ -184,7 +184,7 @@
 
   /// Returns whether the end was not known and counts.
   private addEndOf(subject: Subject, incarnation: string, at: number): boolean {
-    if (at <= this.answers.getAt(subject) + TOLD_LATE_MS) return false
+    if (at <= this.answers.getAnsweredAt(subject) + TOLD_LATE_MS) return false
     const ends = this.suspects.get(subject) ?? this.addSuspect(subject)
     const knownAt = ends?.get(incarnation)
     // Daemons notice one end at different moments; the latest counts, whichever was heard first.
--- a/src/quarantine/quarantine-manager.ts
+++ b/src/quarantine/quarantine-manager.ts
@@ -71,7 +71,7 @@
       context.hasOlderAttempt(backend, before)
     this.record = new CrashHistory(settings, now)
     this.watch = new CrashDetector(hasOlderRun, emit)
-    this.archive = new QuarantineArchive(context.selfId, settings.memoryMs, emit, now)
+    this.archive = new QuarantineArchive(context.selfId, settings.crashMemoryMs, emit, now)
   }
 
   /// How long the request is still to be refused; undefined when it may run. Milliseconds.
@@ -99,14 +99,14 @@
 
   /// Takes the outcome of a check.
   receiveCheck(backend: BackendIncarnation, check: BackendCheck, now: number): void {
-    const ends = this.watch.receive(backend, check, now)
+    const ends = this.watch.receiveCheck(backend, check, now)
     if (ends.length > 0) this.emit({kind: "backendEnded", backend, runs: ends.length})
     this.applyOwnEnds(ends, now)
   }
 
   /// The record of a back end went without its leave, or was written by a later start.
   removeBackend(incarnation: string, now: number): void {
-    this.applyOwnEnds(this.watch.receiveGone(incarnation), now)
+    this.applyOwnEnds(this.watch.onBackendGone(incarnation), now)
   }
 
   /// Takes a peer's message.
@@ -216,7 +216,7 @@
   }
 
   private tell(facts: QuarantineFacts): void {
-    const addresses = this.isRelayed() ? this.pickPeers(this.settings.relayedPeers) : this.getPeers()
+    const addresses = this.isRelayed() ? this.pickPeers(this.settings.relayFanout) : this.getPeers()
     const message: QuarantineMessage = {kind: "quarantineNews", ...cut(facts)}
     for (const address of addresses) this.emit({kind: "sendPeer", address, message})
   }
@@ -258,7 +258,7 @@
   }
 
   private isRelayed(): boolean {
-    return this.context.members().length - 1 > this.settings.directPeers
+    return this.context.members().length - 1 > this.settings.maximumDirectPeers
   }
 
   private getPeers(): string[] {
--- a/src/quarantine/quarantine-settings.ts
+++ b/src/quarantine/quarantine-settings.ts
@@ -16,25 +16,25 @@
   /// 10,000.
   readonly callerMemoryMs: number
   /// How long an end counts. Milliseconds. Default 30 minutes: then the request may end one back end more.
-  readonly memoryMs: number
+  readonly crashMemoryMs: number
   /// The same for a request that was answered lately. Milliseconds. Default 10,000.
-  readonly memoryOfAnsweredMs: number
+  readonly crashMemoryIfAnsweredMs: number
   /// How long an answer speaks for a request. Milliseconds. Default 30,000.
   readonly answerMemoryMs: number
   /// Requests under which back ends have ended and what they ask for, together at most; those with one end
   /// give way. Default 4096, some 2 MB.
   readonly maximumSuspects: number
   /// Answered requests and contents remembered at most. Default 8192, some 1 MB.
-  readonly maximumAnswered: number
+  readonly maximumAnswers: number
   /// Interval between comparisons with one other daemon. Milliseconds. Default 400: a daemon that was cut off
   /// or has just started hears of every request in quarantine some seven times within the 3 s in which
   /// contact must be found again.
   readonly compareIntervalMs: number
   /// In a fleet with more peers than this news go from daemon to daemon, and not from one to all. Default 12.
-  readonly directPeers: number
+  readonly maximumDirectPeers: number
   /// Peers that each daemon passes news on to there. Default 4: the comparisons reach the few that hear
   /// nothing.
-  readonly relayedPeers: number
+  readonly relayFanout: number
 }
 
 /// Default settings.
@@ -43,12 +43,12 @@
   maximumCrashesIfAnswered: 6,
   maximumCrashesPerCaller: 6,
   callerMemoryMs: 10_000,
-  memoryMs: 1_800_000,
-  memoryOfAnsweredMs: 10_000,
+  crashMemoryMs: 1_800_000,
+  crashMemoryIfAnsweredMs: 10_000,
   answerMemoryMs: 30_000,
   maximumSuspects: 4096,
-  maximumAnswered: 8192,
+  maximumAnswers: 8192,
   compareIntervalMs: 400,
-  directPeers: 12,
-  relayedPeers: 4
+  maximumDirectPeers: 12,
+  relayFanout: 4
 }
--- a/test/break-watch.test.ts
+++ b/test/break-watch.test.ts
@@ -18,7 +18,7 @@
   }
 
   answer(check: BackendCheck, now: number): string[] {
-    return this.watch.receive(BACKEND, check, now).map((end) => end.key);
+    return this.watch.receiveCheck(BACKEND, check, now).map((end) => end.key);
   }
 }
 
@@ -77,11 +77,11 @@
     const site = new Watch();
     site.breakOff('a', 0, 100);
     site.answer('unclear', 130);
-    expect(site.watch.receiveGone('b1').map(({ key }) => key)).to.deep.equal(['a']);
+    expect(site.watch.onBackendGone('b1').map(({ key }) => key)).to.deep.equal(['a']);
     const other = new Watch();
     other.breakOff('a', 0, 100);
     other.answer('unclear', 130);
     other.watch.tick(5200);
-    expect(other.watch.receiveGone('b1')).to.deep.equal([]);
+    expect(other.watch.onBackendGone('b1')).to.deep.equal([]);
   });
 });
--- a/test/daemon-parts.test.ts
+++ b/test/daemon-parts.test.ts
@@ -32,7 +32,7 @@
     kvIndex: new KvIndex(),
     emit: () => undefined,
     members: () => [],
-    fleet: () => ({ members: [], known: 1, joined: true }),
+    fleet: () => ({ members: [], knownCount: 1, joined: true }),
     decideQuota: () => undefined,
     isFirst: () => true,
     routes: () => undefined,
--- a/test/end-record.test.ts
+++ b/test/end-record.test.ts
@@ -79,7 +79,7 @@
     const key = makeRequestKey('x', '10.0.0.1');
     addEnds(record, key, 2, NOW);
     record.addCrash({ key, incarnation: 'old', at: NOW - 60_000 }, NOW);
-    const { memoryMs } = DEFAULT_QUARANTINE_SETTINGS;
+    const { crashMemoryMs: memoryMs } = DEFAULT_QUARANTINE_SETTINGS;
     expect(record.getQuarantineMs(key, NOW)).to.equal(memoryMs - 60_000);
     expect(record.getQuarantineMs(key, NOW + memoryMs - 60_000)).to.equal(undefined);
     record.removeOld(NOW + memoryMs);
--- a/test/quota-restarts.test.ts
+++ b/test/quota-restarts.test.ts
@@ -82,7 +82,7 @@
 
   it('refill nothing when a tenant is removed and comes back', () => {
     const place = { address: 'a:1', zone: 'z', region: 'r', incarnation: 1, state: 'alive' as const };
-    const view = { members: [{ id: 'd.1', ...place }], known: 1, joined: true };
+    const view = { members: [{ id: 'd.1', ...place }], knownCount: 1, joined: true };
     const manager = new QuotaManager(
       'd.1',
       SETTINGS,
@@ -112,7 +112,8 @@
   it('never grant a request that alone would break the promise', () => {
     const limit = { ratePerSecond: 1000, burst: 1000 };
     const bucket = new OwnedBucket(limit, 38_000, 0, 0);
-    const decide = (tokens: number) => bucket.receive('d.1', { needs: [tokens], spent: 0 }, 600_000).granted;
+    const decide = (tokens: number) =>
+      bucket.receiveAsk('d.1', { needs: [tokens], spent: 0 }, 600_000).granted;
     expect(decide(300_000)).to.deep.equal([]);
     expect(decide(30_000)).to.deep.equal([0]);
   });
--- a/test/region-part.test.ts
+++ b/test/region-part.test.ts
@@ -47,7 +47,7 @@
     regions,
     emit: () => undefined,
     members: () => [member, { ...member, id: THIRD }],
-    fleet: () => ({ members: [member], known: 1, joined: true }),
+    fleet: () => ({ members: [member], knownCount: 1, joined: true }),
     decideQuota: () => undefined,
     isFirst: () => true,
     routes: () => undefined,
