--- a/src/quarantine/break-watch.ts
+++ b/src/quarantine/break-watch.ts
@@ -1,155 +1,160 @@
-/// Finds out whether a back end ended when runs at it broke off. A broken connection alone says nothing:
-/// connections are reset, and back ends break off single answers. It has ended when it cannot be reached any
-/// more while no older run of this daemon goes on there, or when its record says so: it is gone, or was
-/// written by a later start.
+/// Detects whether a back end crashed when attempts at it broke. A broken connection alone proves nothing:
+/// connections are reset, and back ends abort single answers. A back end has crashed when it can no longer
+/// be reached and no older attempt of this daemon is in flight there, or when its record shows it: the
+/// record is gone, or was written by a later start.
+///
+/// Owns the broken attempts that are still unexplained, and the schedule of the checks of their back ends.
+/// Relies on its caller to run the checks and to report records that are gone.
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {BackendCrash} from "./end-record.js"
 
-/// A back end as the watch knows it: one incarnation.
+/// One start of a back end.
 export interface BackendIncarnation {
   readonly id: string
   readonly incarnation: string
   readonly address: string
 }
 
-/// A run that broke off. Monotonic milliseconds.
+/// An attempt whose connection broke. Monotonic milliseconds.
 interface BrokenAttempt {
   readonly key: string
   readonly startedAt: number
   readonly at: number
 }
 
-/// What a check of a back end found.
+/// The outcome of a check of a back end.
 export type BackendCheck =
-  /// Somebody listens at its address.
+  /// A process listens at the address.
   | "answered"
-  /// Nobody does.
+  /// No process listens there.
   | "ended"
-  /// A connection was closed at once, or did not come up.
+  /// A connection was closed at once, or was not established.
   | "unclear"
 
-/// The watch asks to have a back end checked.
+/// Asks for a check of a back end.
 export interface CheckBackend {
   readonly kind: "checkBackend"
   readonly backend: BackendIncarnation
 }
 
-/// A back end may refuse connections for a moment, when it has too many: it is checked again after this time.
-/// Milliseconds.
-const CHECK_AGAIN_MS = 100
-/// Unclear checks in a row that are taken for an end, if no older run goes on. With the pause above some 0.2
-/// s.
-const UNCLEAR_CHECKS = 3
-/// A broken run waits so long for its back end's record to go or to be written by a later start.
-/// Milliseconds; a record goes after three heartbeats of 1.2 s.
-const WAIT_FOR_RECORD_MS = 5000
-/// A back end that answered is checked again for runs that break off later, but not sooner than this: it may
-/// spoil many of its answers. Milliseconds.
-const ANSWERED_PAUSE_MS = 200
-
-interface Watched {
+/// Delay before a back end is checked again: one with too many connections may refuse new ones for a
+/// moment. Milliseconds.
+const RECHECK_DELAY_MS = 100
+/// Consecutive unclear checks that count as a crash if no older attempt is in flight. With the delay above
+/// they take some 0.2 s.
+const MAXIMUM_UNCLEAR_CHECKS = 3
+/// How long a broken attempt waits for the record of its back end to disappear, or to be written by a
+/// later start. Milliseconds; a record disappears after three heartbeats of 1.2 s.
+const RECORD_TIMEOUT_MS = 5000
+/// Minimum delay before a back end that answered is checked again for attempts that break later: it may
+/// abort many of its answers. Milliseconds.
+const ANSWERED_RECHECK_DELAY_MS = 200
+
+/// State of one incarnation at which attempts broke.
+interface DetectorState {
   readonly backend: BackendIncarnation
-  runs: BrokenAttempt[]
+  attempts: BrokenAttempt[]
   checking: boolean
-  /// Something has happened since the last check that it may not have shown.
+  /// Something has happened since the last check that the check may not have shown.
   isCheckDue: boolean
-  unclear: number
+  unclearChecks: number
   nextCheckAt: number
-  ended: boolean
-  /// The first break since the back end was last found to listen.
-  firstBreakAt: number | undefined
-  lastBreakAt: number
+  crashed: boolean
+  /// When the first attempt broke since the back end was last found to listen.
+  firstBrokenAt: number | undefined
+  lastBrokenAt: number
 }
 
-/// The watch of one daemon. Times are monotonic milliseconds.
+/// The crash detector of one daemon. Times are monotonic milliseconds.
 export class CrashDetector {
-  private readonly watched = new Map<string, Watched>()
+  private readonly states = new Map<string, DetectorState>()
 
   constructor(
-    /// Whether a run that began before a moment still goes on at a back end.
+    /// Whether an attempt that started before the given time is in flight at a back end.
     private readonly hasOlderAttempt: (backend: BackendIncarnation, before: number) => boolean,
     private readonly emit: EffectSink<CheckBackend>
   ) {}
 
-  /// A run broke off. Returns its end if the back end is known to have ended. One that began after the first
-  /// had broken off was sent to a back end that may have been gone already: something before it, such as a
-  /// proxy, takes connections and closes them.
-  addBrokenAttempt(backend: BackendIncarnation, run: BrokenAttempt): BackendCrash[] {
-    const watched = this.watched.get(backend.incarnation) ?? this.addWatched(backend, run.at)
-    watched.firstBreakAt ??= run.at
-    if (run.startedAt > watched.firstBreakAt) return []
-    watched.lastBreakAt = run.at
-    if (watched.ended) return [toEnd(run, backend)]
-    watched.runs.push(run)
-    watched.isCheckDue = true
-    this.checkIfDue(watched, run.at)
+  /// Adds a broken attempt. Returns its crash if the back end is known to have crashed. An attempt that
+  /// started after the first one had broken is ignored: the back end may have been gone already, and a
+  /// proxy in front of it may accept connections and close them.
+  addBrokenAttempt(backend: BackendIncarnation, attempt: BrokenAttempt): BackendCrash[] {
+    const state = this.states.get(backend.incarnation) ?? this.addState(backend, attempt.at)
+    state.firstBrokenAt ??= attempt.at
+    if (attempt.startedAt > state.firstBrokenAt) return []
+    state.lastBrokenAt = attempt.at
+    if (state.crashed) return [makeCrash(attempt, backend)]
+    state.attempts.push(attempt)
+    state.isCheckDue = true
+    this.checkIfDue(state, attempt.at)
     return []
   }
 
-  /// Takes the outcome of a check. Returns the ends that it proves.
+  /// Receives the outcome of a check. Returns the crashes that it proves.
   receiveCheck({incarnation}: BackendIncarnation, check: BackendCheck, now: number): BackendCrash[] {
-    const watched = this.watched.get(incarnation)
-    if (!watched || watched.ended) return []
-    watched.checking = false
-    watched.nextCheckAt = now + (check === "answered" ? ANSWERED_PAUSE_MS : CHECK_AGAIN_MS)
-    watched.unclear = check === "unclear" ? watched.unclear + 1 : 0
+    const state = this.states.get(incarnation)
+    if (!state || state.crashed) return []
+    state.checking = false
+    state.nextCheckAt = now + (check === "answered" ? ANSWERED_RECHECK_DELAY_MS : RECHECK_DELAY_MS)
+    state.unclearChecks = check === "unclear" ? state.unclearChecks + 1 : 0
     if (check === "answered") {
-      // It has outlived them all.
-      watched.runs = []
-      watched.firstBreakAt = undefined
-    } else watched.isCheckDue = true
-    const seemsEnded = check === "ended" || watched.unclear >= UNCLEAR_CHECKS
-    if (!seemsEnded) return []
-    // One that refuses new connections and serves on is checked again while any of the older runs goes on.
-    return this.hasOlderAttempt(watched.backend, watched.firstBreakAt ?? now) ? [] : this.end(watched)
+      // The back end has outlived all of these attempts.
+      state.attempts = []
+      state.firstBrokenAt = undefined
+    } else state.isCheckDue = true
+    const seemsCrashed = check === "ended" || state.unclearChecks >= MAXIMUM_UNCLEAR_CHECKS
+    if (!seemsCrashed) return []
+    // A back end that refuses new connections but still serves is checked again while any older attempt is in
+    // flight.
+    return this.hasOlderAttempt(state.backend, state.firstBrokenAt ?? now) ? [] : this.setCrashed(state)
   }
 
-  /// The record of a back end went without its leave, or was written by a later start. Returns the ends that
-  /// this proves.
+  /// The record of a back end disappeared although the back end had not announced that it leaves, or was
+  /// written by a later start. Returns the crashes that this proves.
   onBackendGone(incarnation: string): BackendCrash[] {
-    const watched = this.watched.get(incarnation)
-    return watched && !watched.ended ? this.end(watched) : []
+    const state = this.states.get(incarnation)
+    return state && !state.crashed ? this.setCrashed(state) : []
   }
 
-  /// Checks again, and forgets what nothing was found out about.
+  /// Starts checks that are due, and drops attempts that stayed unexplained.
   tick(now: number): void {
-    for (const [incarnation, watched] of this.watched) {
-      if (now - watched.lastBreakAt > WAIT_FOR_RECORD_MS) this.watched.delete(incarnation)
-      else this.checkIfDue(watched, now)
+    for (const [incarnation, state] of this.states) {
+      if (now - state.lastBrokenAt > RECORD_TIMEOUT_MS) this.states.delete(incarnation)
+      else this.checkIfDue(state, now)
     }
   }
 
-  private addWatched(backend: BackendIncarnation, now: number): Watched {
-    const watched: Watched = {
+  private addState(backend: BackendIncarnation, now: number): DetectorState {
+    const state: DetectorState = {
       backend,
-      runs: [],
+      attempts: [],
       checking: false,
       isCheckDue: false,
-      unclear: 0,
+      unclearChecks: 0,
       nextCheckAt: -Infinity,
-      ended: false,
-      firstBreakAt: undefined,
-      lastBreakAt: now
+      crashed: false,
+      firstBrokenAt: undefined,
+      lastBrokenAt: now
     }
-    this.watched.set(backend.incarnation, watched)
-    return watched
+    this.states.set(backend.incarnation, state)
+    return state
   }
 
-  private checkIfDue(watched: Watched, now: number): void {
-    if (watched.ended || watched.checking || !watched.isCheckDue || now < watched.nextCheckAt) return
-    watched.checking = true
-    watched.isCheckDue = false
-    this.emit({kind: "checkBackend", backend: watched.backend})
+  private checkIfDue(state: DetectorState, now: number): void {
+    if (state.crashed || state.checking || !state.isCheckDue || now < state.nextCheckAt) return
+    state.checking = true
+    state.isCheckDue = false
+    this.emit({kind: "checkBackend", backend: state.backend})
   }
 
-  private end(watched: Watched): BackendCrash[] {
-    watched.ended = true
-    const ends = watched.runs.map(run => toEnd(run, watched.backend))
-    watched.runs = []
-    return ends
+  private setCrashed(state: DetectorState): BackendCrash[] {
+    state.crashed = true
+    const crashes = state.attempts.map(attempt => makeCrash(attempt, state.backend))
+    state.attempts = []
+    return crashes
   }
 }
 
-function toEnd({key, at}: BrokenAttempt, {incarnation}: BackendIncarnation): BackendCrash {
+function makeCrash({key, at}: BrokenAttempt, {incarnation}: BackendIncarnation): BackendCrash {
   return {key, incarnation, at}
 }
--- a/src/quarantine/end-record.ts
+++ b/src/quarantine/end-record.ts
@@ -1,71 +1,72 @@
-/// Under which requests back ends have ended, as far as this daemon knows, and which of them are in
-/// quarantine.
+/// The crashes of back ends that this daemon knows, by the requests that they executed, and the requests
+/// that are in quarantine because of them. Owns crashes and recent answers; relies on its caller for what
+/// this daemon detects and what peers report.
 ///
-/// An end is a fact that never changes: a request, an incarnation of a back end, a time. Daemons exchange
-/// ends and not verdicts, so each comes to the same count whatever it has heard twice or in another order. A
-/// request that ends back ends never gets an answer; one that is only beside gets many. So an answer strikes
-/// out every end before it, and one of the last seconds raises the limit.
+/// A crash is an immutable fact: a request, an incarnation of a back end, and a time. Daemons exchange
+/// crashes and not verdicts, so that each arrives at the same count, whatever it received twice or in
+/// another order. A request that crashes back ends never gets an answer; one that merely ran beside it
+/// gets many. So an answer discards all crashes before it, and a recent one raises the limit.
 ///
-/// Ends and answers count twice: for the request of one caller, and for what is asked, whoever asks. The
-/// first holds where what ends a back end for one caller is answered to others; the second where a caller
-/// comes back from another address.
+/// Crashes and answers are counted twice: for the request of one caller, and for its content, whoever the
+/// caller is. The first is needed where content that crashes back ends for one caller is answered to
+/// others; the second where a caller returns from another address.
 import type {QuarantineSettings} from "./quarantine-settings.js"
 import {RecentAnswers} from "./recent-answers.js"
 import {getCallerOfKey, getContentOfKey} from "./request-key.js"
 
-/// A back end that ended while it ran a request. Monotonic milliseconds.
+/// A back end that crashed while it executed a request. Monotonic milliseconds.
 export interface BackendCrash {
   readonly key: string
-  /// The incarnation that ended; see `getIncarnation`.
+  /// The incarnation that crashed; see `getIncarnation`.
   readonly incarnation: string
   readonly at: number
 }
 
-/// Ends kept of one request, or of one caller: more say nothing new.
-const MAXIMUM_ENDS_KEPT = 8
-/// An end of a request is worth more than one message from the second on. A single one beside a request is
-/// common.
-const NOTABLE_ENDS = 2
+/// Maximum number of crashes kept for a request or a caller: more would change no verdict.
+const MAXIMUM_CRASHES_KEPT = 8
+/// Number of crashes from which on those of a request are compared with peers and archived. A single one
+/// is common beside harmless requests and not worth a message.
+const NOTABLE_CRASHES = 2
 
-/// Another daemon takes an end for later than it was by the time of a message. An answer strikes out ends
-/// that seem to have come so little after it. Milliseconds; some times the way between two regions.
-const TOLD_LATE_MS = 100
+/// A peer dates a crash later than it was, by the delay of a message. An answer also discards crashes that
+/// seem to have followed it within this time. Milliseconds; a multiple of the latency between two regions.
+const PEER_DELAY_MS = 100
 
-/// When each incarnation ended.
-type Ends = Map<string, number>
+/// When each incarnation crashed.
+type CrashTimes = Map<string, number>
 
-/// What ends and answers are counted for: a request's key, or its content alone.
+/// What crashes and answers are counted for: the key of a request, or its content alone.
 type Subject = string
 
-/// The record of one daemon. Times are monotonic milliseconds.
+/// The crash history of one daemon. Times are monotonic milliseconds.
 export class CrashHistory {
-  private readonly suspects = new Map<string, Ends>()
+  private readonly suspects = new Map<string, CrashTimes>()
   private readonly subjectsByIncarnation = new Map<string, Set<string>>()
-  private readonly endsByCaller = new Map<string, Ends>()
+  private readonly crashesByCaller = new Map<string, CrashTimes>()
   private readonly answers: RecentAnswers
 
   constructor(
     private readonly settings: QuarantineSettings,
-    /// When this process started: it does not know what was answered before.
+    /// When this process started: earlier answers are not known to it.
     private readonly startedAt: number
   ) {
     this.answers = new RecentAnswers(settings.answerMemoryMs, settings.maximumAnswers)
   }
 
-  /// Adds an end. Returns whether it was not known and counts.
+  /// Adds a crash. Returns whether it is new and counts.
   addCrash({key, incarnation, at}: BackendCrash, now: number): boolean {
     if (now - at > this.settings.crashMemoryMs) return false
-    this.addEndOf(getContentOfKey(key), incarnation, at)
-    if (!this.addEndOf(key, incarnation, at)) return false
-    this.addEndOfCaller(getCallerOfKey(key), incarnation, at)
+    this.addCrashOfSubject(getContentOfKey(key), incarnation, at)
+    if (!this.addCrashOfSubject(key, incarnation, at)) return false
+    this.addCrashOfCaller(getCallerOfKey(key), incarnation, at)
     return true
   }
 
-  /// The request was answered: no end before that was its doing. Returns whether any had been counted.
+  /// Adds an answer to the request: it caused no crash before that. Returns whether this discarded any.
   addAnswer(key: string, at: number, now: number): boolean {
     this.answers.add(key, at, now)
-    const ofContent = this.removeEndsUntil(getContentOfKey(key), at)
-    return this.removeEndsUntil(key, at) || ofContent
+    const hasRemovedOfContent = this.removeCrashesUntil(getContentOfKey(key), at)
+    return this.removeCrashesUntil(key, at) || hasRemovedOfContent
   }
 
   /// When the request was last answered; -Infinity when that is not known.
@@ -73,59 +74,61 @@
     return this.answers.getAnsweredAt(key)
   }
 
-  /// Ends that are known of a request, or of what it asks for.
+  /// Number of known crashes of a request or of its content, whichever is larger.
   countCrashes(key: string): number {
     return Math.max(this.count(key), this.count(getContentOfKey(key)))
   }
 
-  /// How long the request stays in quarantine; undefined when it is in none. Milliseconds.
+  /// How much longer the request stays in quarantine; undefined when it is not in quarantine.
+  /// Milliseconds.
   getQuarantineMs(key: string, now: number): number | undefined {
-    const ownMs = this.getSubjectMs(key, this.getLimit(key, now), now)
-    if (ownMs !== undefined || this.wasAnsweredLately(key, now)) return ownMs
+    const requestMs = this.getSubjectMs(key, this.getLimit(key, now), now)
+    if (requestMs !== undefined || this.wasAnsweredRecently(key, now)) return requestMs
     const content = getContentOfKey(key)
-    const {maximumCrashes: maximumEnds, maximumCrashesIfAnswered: maximumEndsOfAnswered} = this.settings
-    const limit = this.wasAnsweredLately(content, now) ? maximumEndsOfAnswered : maximumEnds
+    const {maximumCrashes, maximumCrashesIfAnswered} = this.settings
+    const limit = this.wasAnsweredRecently(content, now) ? maximumCrashesIfAnswered : maximumCrashes
     return this.getSubjectMs(content, limit, now)
   }
 
-  /// Whether the request may run at one back end only: back ends end under its caller's requests, whichever
-  /// they are, more often than these are answered, and this one was not answered lately.
+  /// Whether the request may run at one back end only: more of its caller's requests, whichever they are,
+  /// crash back ends than are answered, and this one was not answered recently.
   isIsolated(key: string, now: number): boolean {
-    return !this.wasAnsweredLately(key, now) && this.hasManyEnds(getCallerOfKey(key), now)
+    return !this.wasAnsweredRecently(key, now) && this.hasManyCrashes(getCallerOfKey(key), now)
   }
 
-  /// Whether an end of the request is worth comparing and keeping.
+  /// Whether the crashes of the request are to be compared with peers and archived.
   isNotable(key: string, now: number): boolean {
-    return this.countCrashes(key) >= NOTABLE_ENDS || this.hasManyEnds(getCallerOfKey(key), now)
+    return this.countCrashes(key) >= NOTABLE_CRASHES || this.hasManyCrashes(getCallerOfKey(key), now)
   }
 
-  /// Ends of every request of which they are notable.
+  /// Crashes of all requests whose crashes are notable.
   getNotableCrashes(now: number): BackendCrash[] {
     return this.getKeys()
       .filter(key => this.isNotable(key, now))
       .flatMap(key => this.getCrashes(key))
   }
 
-  /// Ends of one request.
+  /// Crashes of one request.
   getCrashes(key: string): BackendCrash[] {
     return [...(this.suspects.get(key) ?? [])].map(([incarnation, at]) => ({key, incarnation, at}))
   }
 
-  /// Requests under which a back end has ended, and those in quarantine.
+  /// Number of requests with crashes, and of those in quarantine.
   getFigures(now: number): {suspects: number; quarantined: number} {
     const keys = this.getKeys()
     const quarantined = keys.filter(key => this.getQuarantineMs(key, now) !== undefined)
     return {suspects: keys.length, quarantined: quarantined.length}
   }
 
-  /// Forgets ends that count no more.
+  /// Removes crashes that no longer count.
   removeOld(now: number): void {
-    const {crashMemoryMs: memoryMs, callerMemoryMs} = this.settings
-    for (const [key, ends] of this.suspects)
-      for (const [incarnation, at] of ends) if (now - at >= memoryMs) this.removeEnd(key, ends, incarnation)
-    for (const [caller, ends] of this.endsByCaller) {
-      for (const [incarnation, at] of ends) if (now - at >= callerMemoryMs) ends.delete(incarnation)
-      if (ends.size === 0) this.endsByCaller.delete(caller)
+    const {crashMemoryMs, callerMemoryMs} = this.settings
+    for (const [key, crashes] of this.suspects)
+      for (const [incarnation, at] of crashes)
+        if (now - at >= crashMemoryMs) this.removeCrash(key, crashes, incarnation)
+    for (const [caller, crashes] of this.crashesByCaller) {
+      for (const [incarnation, at] of crashes) if (now - at >= callerMemoryMs) crashes.delete(incarnation)
+      if (crashes.size === 0) this.crashesByCaller.delete(caller)
     }
   }
 
@@ -137,101 +140,103 @@
     return [...this.suspects.keys()].filter(subject => getContentOfKey(subject) !== subject)
   }
 
-  private wasAnsweredLately(subject: Subject, now: number): boolean {
+  private wasAnsweredRecently(subject: Subject, now: number): boolean {
     return now - this.answers.getAnsweredAt(subject) < this.settings.answerMemoryMs
   }
 
-  /// How long the ends of a subject reach the limit. Milliseconds.
+  /// For how much longer the crashes of a subject reach the limit. Milliseconds.
   private getSubjectMs(subject: Subject, limit: number, now: number): number | undefined {
-    const ends = this.suspects.get(subject)
-    if (!ends) return undefined
-    const {crashMemoryMs: memoryMs, crashMemoryIfAnsweredMs: memoryOfAnsweredMs} = this.settings
-    const countsFor = this.wasAnsweredLately(subject, now) ? memoryOfAnsweredMs : memoryMs
-    const counting = [...ends]
-      .filter(([incarnation, at]) => now - at < countsFor && !this.isExplained(subject, ends, incarnation))
+    const crashes = this.suspects.get(subject)
+    if (!crashes) return undefined
+    const {crashMemoryMs, crashMemoryIfAnsweredMs} = this.settings
+    const memoryMs = this.wasAnsweredRecently(subject, now) ? crashMemoryIfAnsweredMs : crashMemoryMs
+    const counted = [...crashes]
+      .filter(([incarnation, at]) => now - at < memoryMs && !this.isExplained(subject, crashes, incarnation))
       .map(([, at]) => at)
       .sort((left, right) => right - left)
-    return counting.length < limit ? undefined : counting[limit - 1] + countsFor - now
+    return counted.length < limit ? undefined : counted[limit - 1] + memoryMs - now
   }
 
   private getLimit(key: string, now: number): number {
-    const {maximumCrashes: maximumEnds, maximumCrashesIfAnswered: maximumEndsOfAnswered} = this.settings
-    if (this.wasAnsweredLately(key, now)) return maximumEndsOfAnswered
-    return this.hasManyEnds(getCallerOfKey(key), now) ? 1 : maximumEnds
+    const {maximumCrashes, maximumCrashesIfAnswered} = this.settings
+    if (this.wasAnsweredRecently(key, now)) return maximumCrashesIfAnswered
+    return this.hasManyCrashes(getCallerOfKey(key), now) ? 1 : maximumCrashes
   }
 
-  /// Whether back ends end under a caller's requests, whichever they are. Under those of a large caller many
-  /// end by chance, beside many answers.
-  private hasManyEnds(caller: string, now: number): boolean {
-    const {maximumCrashesPerCaller: maximumEndsOfCaller, callerMemoryMs} = this.settings
-    const ends = this.endsByCaller.get(caller)
-    if (!ends || ends.size < maximumEndsOfCaller || now - this.startedAt < callerMemoryMs) return false
-    const recent = [...ends.values()].filter(at => now - at < callerMemoryMs).length
-    return recent >= maximumEndsOfCaller && recent > this.answers.countAnswers(caller)
+  /// Whether back ends crash under a caller's requests, whichever they are, more often than these are
+  /// answered: under the requests of a large caller many crash by chance, beside many answers.
+  private hasManyCrashes(caller: string, now: number): boolean {
+    const {maximumCrashesPerCaller, callerMemoryMs} = this.settings
+    const crashes = this.crashesByCaller.get(caller)
+    if (!crashes || crashes.size < maximumCrashesPerCaller || now - this.startedAt < callerMemoryMs)
+      return false
+    const recent = [...crashes.values()].filter(at => now - at < callerMemoryMs).length
+    return recent >= maximumCrashesPerCaller && recent > this.answers.countAnswers(caller)
   }
 
-  /// Whether the back end ended under another request, beside this one: one that has more ends, and as many
-  /// as put it in quarantine.
-  private isExplained(subject: Subject, ends: Ends, incarnation: string): boolean {
+  /// Whether another request explains the crash: one that ran at the same back end and has more crashes,
+  /// and enough of them for quarantine.
+  private isExplained(subject: Subject, crashes: CrashTimes, incarnation: string): boolean {
     const content = getContentOfKey(subject)
     for (const other of this.subjectsByIncarnation.get(incarnation) ?? []) {
       if (getContentOfKey(other) === content) continue
-      const otherEnds = this.count(other)
-      if (otherEnds > ends.size && otherEnds >= this.settings.maximumCrashes) return true
+      const otherCrashes = this.count(other)
+      if (otherCrashes > crashes.size && otherCrashes >= this.settings.maximumCrashes) return true
     }
     return false
   }
 
-  /// Returns whether the end was not known and counts.
-  private addEndOf(subject: Subject, incarnation: string, at: number): boolean {
-    if (at <= this.answers.getAnsweredAt(subject) + TOLD_LATE_MS) return false
-    const ends = this.suspects.get(subject) ?? this.addSuspect(subject)
-    const knownAt = ends?.get(incarnation)
-    // Daemons notice one end at different moments; the latest counts, whichever was heard first.
-    if (knownAt !== undefined) ends?.set(incarnation, Math.max(knownAt, at))
-    if (!ends || knownAt !== undefined || ends.size >= MAXIMUM_ENDS_KEPT) return false
-    ends.set(incarnation, at)
+  /// Returns whether the crash is new and counts.
+  private addCrashOfSubject(subject: Subject, incarnation: string, at: number): boolean {
+    if (at <= this.answers.getAnsweredAt(subject) + PEER_DELAY_MS) return false
+    const crashes = this.suspects.get(subject) ?? this.addSuspect(subject)
+    const knownAt = crashes?.get(incarnation)
+    // Daemons detect one crash at different times; the latest counts, in whichever order they are received.
+    if (knownAt !== undefined) crashes?.set(incarnation, Math.max(knownAt, at))
+    if (!crashes || knownAt !== undefined || crashes.size >= MAXIMUM_CRASHES_KEPT) return false
+    crashes.set(incarnation, at)
     const subjects = this.subjectsByIncarnation.get(incarnation) ?? new Set()
     this.subjectsByIncarnation.set(incarnation, subjects.add(subject))
     return true
   }
 
-  /// Returns whether there were any.
-  private removeEndsUntil(subject: Subject, at: number): boolean {
-    const ends = this.suspects.get(subject)
-    if (!ends) return false
-    const known = ends.size
-    for (const [incarnation, endedAt] of ends)
-      if (endedAt <= at + TOLD_LATE_MS) this.removeEnd(subject, ends, incarnation)
-    return ends.size < known
+  /// Returns whether any were removed.
+  private removeCrashesUntil(subject: Subject, at: number): boolean {
+    const crashes = this.suspects.get(subject)
+    if (!crashes) return false
+    const countBefore = crashes.size
+    for (const [incarnation, crashedAt] of crashes)
+      if (crashedAt <= at + PEER_DELAY_MS) this.removeCrash(subject, crashes, incarnation)
+    return crashes.size < countBefore
   }
 
-  private addEndOfCaller(caller: string, incarnation: string, at: number): void {
-    const ends = this.endsByCaller.get(caller) ?? new Map<string, number>()
-    this.endsByCaller.set(caller, ends.set(incarnation, at))
-    const [oldest] = ends.keys()
-    if (ends.size > MAXIMUM_ENDS_KEPT) ends.delete(oldest)
+  private addCrashOfCaller(caller: string, incarnation: string, at: number): void {
+    const crashes = this.crashesByCaller.get(caller) ?? new Map<string, number>()
+    this.crashesByCaller.set(caller, crashes.set(incarnation, at))
+    const [oldest] = crashes.keys()
+    if (crashes.size > MAXIMUM_CRASHES_KEPT) crashes.delete(oldest)
   }
 
-  private addSuspect(subject: Subject): Ends | undefined {
-    if (this.suspects.size >= this.settings.maximumSuspects && !this.makeRoom()) return undefined
-    const ends: Ends = new Map()
-    this.suspects.set(subject, ends)
-    return ends
+  private addSuspect(subject: Subject): CrashTimes | undefined {
+    if (this.suspects.size >= this.settings.maximumSuspects && !this.removeOneSuspect()) return undefined
+    const crashes: CrashTimes = new Map()
+    this.suspects.set(subject, crashes)
+    return crashes
   }
 
-  /// Many requests with one end each displace each other, and none that has more; many of one caller with
-  /// more displace each other, and none of another's.
-  private makeRoom(): boolean {
+  /// Removes one suspect to make room for another. A flood of requests with one crash each evicts only
+  /// such requests; a flood of one caller's requests with more crashes evicts only requests of that
+  /// caller.
+  private removeOneSuspect(): boolean {
     const key = this.findOldestSingle() ?? this.findOldestOfBusiestCaller()
-    const ends = key === undefined ? undefined : this.suspects.get(key)
-    if (key === undefined || !ends) return false
-    for (const incarnation of [...ends.keys()]) this.removeEnd(key, ends, incarnation)
+    const crashes = key === undefined ? undefined : this.suspects.get(key)
+    if (key === undefined || !crashes) return false
+    for (const incarnation of [...crashes.keys()]) this.removeCrash(key, crashes, incarnation)
     return true
   }
 
   private findOldestSingle(): string | undefined {
-    for (const [key, {size}] of this.suspects) if (size < NOTABLE_ENDS) return key
+    for (const [key, {size}] of this.suspects) if (size < NOTABLE_CRASHES) return key
     return undefined
   }
 
@@ -245,11 +250,11 @@
     return [...this.suspects.keys()].find(key => getCallerOfKey(key) === busiest)
   }
 
-  private removeEnd(subject: Subject, ends: Ends, incarnation: string): void {
-    ends.delete(incarnation)
+  private removeCrash(subject: Subject, crashes: CrashTimes, incarnation: string): void {
+    crashes.delete(incarnation)
     const subjects = this.subjectsByIncarnation.get(incarnation)
     subjects?.delete(subject)
     if (subjects?.size === 0) this.subjectsByIncarnation.delete(incarnation)
-    if (ends.size === 0) this.suspects.delete(subject)
+    if (crashes.size === 0) this.suspects.delete(subject)
   }
 }
--- a/src/quarantine/incarnation.ts
+++ b/src/quarantine/incarnation.ts
@@ -1,8 +1,8 @@
-/// Names one start of a back end. One that is started again may keep its id; then only the time of its start
-/// tells the two apart.
+/// Names one start of a back end. A back end that is restarted may keep its id; then only the time of its
+/// start distinguishes the two. Owns the form of these names, which daemons exchange.
 import type {BackendRecord} from "../forwarding/routes/route.js"
 
-/// The name of the incarnation that a record stands for.
+/// The name of the incarnation that a record describes.
 export function getIncarnation({id, bornMs}: Pick<BackendRecord, "id" | "bornMs">): string {
   return bornMs === undefined ? id : `${id}@${bornMs}`
 }
--- a/src/quarantine/quarantine-archive.ts
+++ b/src/quarantine/quarantine-archive.ts
@@ -1,53 +1,56 @@
-/// Keeps the ends of suspects in the store, so that they outlast a restart of every daemon at once. One row
-/// an end: rows are only added and removed, never changed, so daemons that write the same one do not
-/// conflict.
+/// Keeps the notable crashes in the table store, so that they survive a restart of all daemons at once.
+/// Each crash is one row; rows are only added and removed, never changed, so daemons that write the same
+/// crash do not conflict. Owns the queue of writes and the form of the rows; relies on its caller to
+/// execute the calls.
 import type {EffectSink} from "../shared/effect-sink.js"
 import {hashText} from "../shared/rendezvous-hash.js"
 import type {TableRequest, TableResult, TableRow} from "../contracts/table-service.js"
 import type {BackendCrash} from "./end-record.js"
 
-/// A call to the store.
+/// Asks for a call to the table store.
 export interface QuarantineTable {
   readonly kind: "quarantineTable"
   readonly request: TableRequest
 }
 
 const TABLE = "quarantine"
-/// Revision of a row that does not exist, as the store counts.
+/// Revision that the store assigns to a row that does not exist.
 const ABSENT_REVISION = 0
-/// Pause after a call that failed. Milliseconds; half of what a new daemon may take to know everything is
-/// left for the read.
-const BACKOFF_MS = 300
-/// Writes and removals that wait at most; the oldest are dropped, since the daemons know those ends too.
-const MAXIMUM_WAITING = 512
-/// Interval in which one daemon of the fleet removes old rows. Milliseconds.
+/// Delay after a call that failed. Milliseconds; it leaves the read half of the time in which a new daemon
+/// must know all crashes.
+const RETRY_DELAY_MS = 300
+/// Maximum number of queued writes and removals; the oldest are dropped, since daemons hold those crashes
+/// in memory too.
+const MAXIMUM_QUEUED = 512
+/// Interval at which one daemon of the fleet removes old rows. Milliseconds.
 const CLEAN_INTERVAL_MS = 600_000
 
-interface Waiting {
+interface RowChange {
   readonly key: string
   /// Undefined to remove the row.
-  readonly value: ArchivedEnd | undefined
+  readonly value: ArchivedCrash | undefined
 }
 
-/// An end as the store holds it, by the time of day: ages of minutes matter, not seconds.
-interface ArchivedEnd {
+/// A crash as stored. Its time is wall-clock time, which is precise enough: ages of minutes matter, not of
+/// seconds.
+interface ArchivedCrash {
   readonly key: string
   readonly incarnation: string
   readonly wallMs: number
 }
 
-/// The archive of one daemon. Times are monotonic milliseconds, those in rows milliseconds of the time of
-/// day.
+/// The archive of one daemon. Times are monotonic milliseconds, but those in rows are wall-clock
+/// milliseconds.
 export class QuarantineArchive {
-  private readonly waiting = new Map<string, Waiting>()
-  /// Rows that this daemon has written: it is the one that removes them.
+  private readonly queue = new Map<string, RowChange>()
+  /// Rows that this daemon has written: only it removes them when an answer discards their crashes.
   private readonly written = new Set<string>()
   private reading = true
   private readAfter: string | undefined
   private cleaning = false
   private cleanedAt: number
-  private inFlight: Waiting | "read" | undefined
-  private nextAt: number
+  private inFlight: RowChange | "read" | undefined
+  private nextCallAt: number
   private writes = 0
 
   constructor(
@@ -56,38 +59,38 @@
     private readonly emit: EffectSink<QuarantineTable>,
     now: number
   ) {
-    this.nextAt = now
+    this.nextCallAt = now
     this.cleanedAt = now
   }
 
-  /// Writes an end, unless it stands there.
+  /// Writes a crash, unless this daemon has written it already.
   add({key, incarnation, at}: BackendCrash, wallMs: number, now: number): void {
     const row = getRowKey(key, incarnation)
     if (this.written.has(row)) return
     this.written.add(row)
     const [oldest] = this.written
-    if (this.written.size > MAXIMUM_WAITING) this.written.delete(oldest)
+    if (this.written.size > MAXIMUM_QUEUED) this.written.delete(oldest)
     this.enqueue({key: row, value: {key, incarnation, wallMs: Math.round(wallMs - (now - at))}})
   }
 
-  /// Removes an end, if this daemon has written it.
+  /// Removes a crash, if this daemon has written it.
   remove({key, incarnation}: BackendCrash): void {
     const row = getRowKey(key, incarnation)
     if (this.written.delete(row)) this.enqueue({key: row, value: undefined})
   }
 
-  /// Makes the next call. `isCleaner` says whether this daemon removes what is old.
+  /// Starts the next call. `isCleaner` says whether this daemon removes old rows.
   tick(isCleaner: boolean, now: number): void {
     if (isCleaner && !this.reading && now - this.cleanedAt > CLEAN_INTERVAL_MS) this.startCleaning(now)
-    if (this.inFlight !== undefined || now < this.nextAt) return
+    if (this.inFlight !== undefined || now < this.nextCallAt) return
     if (this.reading) this.read()
     else {
-      const next = this.waiting.values().next().value
+      const next = this.queue.values().next().value
       if (next) this.write(next)
     }
   }
 
-  /// Takes the answer to a call. Returns ends that were read.
+  /// Receives the result of a call. Returns the crashes that were read.
   receive(result: TableResult, wallMs: number, now: number): BackendCrash[] {
     const call = this.inFlight
     this.inFlight = undefined
@@ -96,14 +99,14 @@
         return this.applyRows(result.rows, result.more, wallMs, now)
       case "committed":
       case "conflict":
-        // A conflict says that the row stands there already.
-        if (call && call !== "read" && this.waiting.get(call.key) === call) this.waiting.delete(call.key)
+        // A conflict means that the row exists already.
+        if (call && call !== "read" && this.queue.get(call.key) === call) this.queue.delete(call.key)
         break
       case "rateLimited":
-        this.nextAt = now + Math.max(BACKOFF_MS, result.retryAfterMs)
+        this.nextCallAt = now + Math.max(RETRY_DELAY_MS, result.retryAfterMs)
         break
       default:
-        this.nextAt = now + BACKOFF_MS
+        this.nextCallAt = now + RETRY_DELAY_MS
     }
     return []
   }
@@ -111,15 +114,15 @@
   private applyRows(rows: readonly TableRow[], more: boolean, wallMs: number, now: number): BackendCrash[] {
     this.readAfter = more ? rows.at(-1)?.key : undefined
     this.reading = this.readAfter !== undefined
-    const ends: BackendCrash[] = []
+    const crashes: BackendCrash[] = []
     for (const row of rows) {
-      const value = readEnd(row)
+      const value = parseCrash(row)
       const ageMs = Math.max(0, wallMs - (value?.wallMs ?? -Infinity))
-      if (value && ageMs < this.memoryMs) ends.push({...value, at: now - ageMs})
+      if (value && ageMs < this.memoryMs) crashes.push({...value, at: now - ageMs})
       else if (this.cleaning) this.enqueue({key: row.key, value: undefined})
     }
     if (!this.reading) this.cleaning = false
-    return ends
+    return crashes
   }
 
   private startCleaning(now: number): void {
@@ -128,11 +131,11 @@
     this.reading = true
   }
 
-  private enqueue(change: Waiting): void {
-    this.waiting.delete(change.key)
-    this.waiting.set(change.key, change)
-    const [oldest] = this.waiting.keys()
-    if (this.waiting.size > MAXIMUM_WAITING) this.waiting.delete(oldest)
+  private enqueue(change: RowChange): void {
+    this.queue.delete(change.key)
+    this.queue.set(change.key, change)
+    const [oldest] = this.queue.keys()
+    if (this.queue.size > MAXIMUM_QUEUED) this.queue.delete(oldest)
   }
 
   private read(): void {
@@ -140,7 +143,7 @@
     this.emit({kind: "quarantineTable", request: {kind: "list", table: TABLE, after: this.readAfter}})
   }
 
-  private write(change: Waiting): void {
+  private write(change: RowChange): void {
     this.inFlight = change
     this.writes += 1
     const {key, value} = change
@@ -155,9 +158,9 @@
   return `${key}/${hashText(incarnation).toString(36)}`
 }
 
-/// Undefined for a row of another writer.
-function readEnd({value}: TableRow): ArchivedEnd | undefined {
-  const {key, incarnation, wallMs} = (value ?? {}) as Partial<Record<keyof ArchivedEnd, unknown>>
-  const isEnd = typeof key === "string" && typeof incarnation === "string" && Number.isFinite(wallMs)
-  return isEnd ? {key, incarnation, wallMs: wallMs as number} : undefined
+/// Undefined for a row that is no crash, such as one of another writer.
+function parseCrash({value}: TableRow): ArchivedCrash | undefined {
+  const {key, incarnation, wallMs} = (value ?? {}) as Partial<Record<keyof ArchivedCrash, unknown>>
+  const isCrash = typeof key === "string" && typeof incarnation === "string" && Number.isFinite(wallMs)
+  return isCrash ? {key, incarnation, wallMs: wallMs as number} : undefined
 }
--- a/src/quarantine/quarantine-messages.ts
+++ b/src/quarantine/quarantine-messages.ts
@@ -1,33 +1,32 @@
-/// What daemons tell each other about requests under which back ends have ended.
+/// The messages that daemons exchange about requests that back ends crashed under.
 import * as z from "zod"
 
 const text = z.string().max(512)
 const count = z.number().finite()
 
-/// Facts in one message at most; a longer list is told in several; bounds the size of a message.
+/// Maximum number of facts of each kind in one message, which bounds its size; only the newest are sent.
 export const MAXIMUM_FACTS = 512
 
-/// The request, the incarnation of the back end that ended, and how long ago. Milliseconds.
-const endSchema = z.tuple([text, text, count])
-/// The request, and how long ago it was last answered. Milliseconds.
+/// A crash: the request, the incarnation of the back end that crashed, and the age. Milliseconds.
+const crashSchema = z.tuple([text, text, count])
+/// An answer: the request, and the age of its last answer. Milliseconds.
 const answerSchema = z.tuple([text, count])
 
 const facts = {
-  ends: z.array(endSchema).max(MAXIMUM_FACTS),
+  ends: z.array(crashSchema).max(MAXIMUM_FACTS),
   answers: z.array(answerSchema).max(MAXIMUM_FACTS)
 }
 
-/// Facts that the sender has just learned.
+/// Facts that are new to the sender.
 const newsSchema = z.object({kind: z.literal("quarantineNews"), ...facts})
 
-/// A digest of what the sender would tell of every request; a receiver with another one answers with its own
-/// facts.
+/// A digest of the sender's notable crashes; a receiver with another digest replies with its own crashes.
 const digestSchema = z.object({kind: z.literal("quarantineDigest"), digest: count})
 
-/// Everything that is to be told of every request; `reply` asks for the same.
+/// All notable crashes of the sender; `reply` asks the receiver for its own.
 const syncSchema = z.object({kind: z.literal("quarantineSync"), reply: z.boolean(), ...facts})
 
-/// The forms of all messages of the quarantine.
+/// The schemas of all messages of the quarantine.
 export const quarantineMessageSchemas = [newsSchema, digestSchema, syncSchema] as const
 
 export type QuarantineMessage =
--- a/src/quarantine/quarantine-settings.ts
+++ b/src/quarantine/quarantine-settings.ts
@@ -1,39 +1,42 @@
-/// When a request is taken to end the back ends that run it, and how long that is remembered.
+/// When a request counts as crashing the back ends that execute it, and how long the evidence is kept.
 
 /// Settings of the quarantine.
 export interface QuarantineSettings {
-  /// Back ends that must have ended under a request of which no run was ever answered. Default 3: one or two
-  /// end beside a harmless one by chance, and three is what the platform forgives.
+  /// Number of crashed back ends that puts a request in quarantine of which no attempt was ever answered.
+  /// Default 3: one or two crash by chance while they execute a harmless request, and the platform
+  /// tolerates three.
   readonly maximumCrashes: number
-  /// The same of a request that was answered lately. Default 6: where several of the back ends that run a
-  /// popular request end at once, its answers by the others come too late to speak for it.
+  /// The same for a request that was answered recently. Default 6: where several of the back ends that
+  /// execute a popular request crash at once, answers of the others arrive too late to clear it.
   readonly maximumCrashesIfAnswered: number
-  /// Back ends that must have ended lately under whichever requests of one caller, more than were answered to
-  /// it, for the others of its requests to be judged by their first end and to run at one back end only.
-  /// Default 6.
+  /// Number of back ends that must have crashed recently under any requests of one caller, and exceed the
+  /// answers to it, for its other requests to be judged by their first crash and to run at one back end
+  /// only. Default 6.
   readonly maximumCrashesPerCaller: number
-  /// How long such an end counts, and how old a process must be to judge callers so. Milliseconds. Default
-  /// 10,000.
+  /// How long a crash counts for its caller, and how old a process must be to judge callers by crashes.
+  /// Milliseconds. Default 10,000.
   readonly callerMemoryMs: number
-  /// How long an end counts. Milliseconds. Default 30 minutes: then the request may end one back end more.
+  /// How long a crash counts. Milliseconds. Default 30 minutes: then the request may crash one more back
+  /// end.
   readonly crashMemoryMs: number
-  /// The same for a request that was answered lately. Milliseconds. Default 10,000.
+  /// The same for a request that was answered recently. Milliseconds. Default 10,000.
   readonly crashMemoryIfAnsweredMs: number
-  /// How long an answer speaks for a request. Milliseconds. Default 30,000.
+  /// How long an answer counts in favor of a request. Milliseconds. Default 30,000.
   readonly answerMemoryMs: number
-  /// Requests under which back ends have ended and what they ask for, together at most; those with one end
-  /// give way. Default 4096, some 2 MB.
+  /// Maximum number of requests with crashes and of their contents, together; those with one crash are
+  /// evicted first. Default 4096, some 2 MB.
   readonly maximumSuspects: number
-  /// Answered requests and contents remembered at most. Default 8192, some 1 MB.
+  /// Maximum number of answered requests and contents in memory. Default 8192, some 1 MB.
   readonly maximumAnswers: number
-  /// Interval between comparisons with one other daemon. Milliseconds. Default 400: a daemon that was cut off
-  /// or has just started hears of every request in quarantine some seven times within the 3 s in which
-  /// contact must be found again.
+  /// Interval between comparisons with one peer. Milliseconds. Default 400: a daemon that was partitioned
+  /// or has just started receives every request in quarantine some seven times within the 3 s in which
+  /// contact must be regained.
   readonly compareIntervalMs: number
-  /// In a fleet with more peers than this news go from daemon to daemon, and not from one to all. Default 12.
+  /// In a fleet with more peers than this, new facts are relayed from daemon to daemon instead of sent to
+  /// all peers. Default 12.
   readonly maximumDirectPeers: number
-  /// Peers that each daemon passes news on to there. Default 4: the comparisons reach the few that hear
-  /// nothing.
+  /// Number of peers to which each daemon relays a new fact there. Default 4: the comparisons reach the
+  /// few peers that do not receive it.
   readonly relayFanout: number
 }
 
--- a/src/quarantine/recent-answers.ts
+++ b/src/quarantine/recent-answers.ts
@@ -1,5 +1,5 @@
-/// Which requests were answered lately, and how often each caller was, in bounded memory: two generations,
-/// the older of which is dropped as a whole.
+/// Requests that were answered recently, and the number of answers of each caller, in bounded memory: two
+/// generations, the older of which is dropped as a whole.
 import {getCallerOfKey, getContentOfKey} from "./request-key.js"
 
 interface Generation {
@@ -8,22 +8,22 @@
   readonly countByCaller: Map<string, number>
 }
 
-/// The answers of the last moments. Times are monotonic milliseconds.
+/// Recent answers, by request, content and caller. Times are monotonic milliseconds.
 export class RecentAnswers {
-  private young = createGeneration()
-  private old = createGeneration()
-  private turnedAt = -Infinity
+  private current = createGeneration()
+  private previous = createGeneration()
+  private rotatedAt = -Infinity
 
-  /// Each generation lasts `memoryMs` and holds half of `maximum` requests and contents.
+  /// Each generation lasts `memoryMs` milliseconds and holds half of `maximum` requests and contents.
   constructor(
     private readonly memoryMs: number,
     private readonly maximum: number
   ) {}
 
-  /// The request was answered.
+  /// Adds an answer to a request.
   add(key: string, at: number, now: number): void {
-    this.turn(now)
-    const {answeredAt, countByCaller} = this.young
+    this.rotateIfDue(now)
+    const {answeredAt, countByCaller} = this.current
     const caller = getCallerOfKey(key)
     for (const subject of [key, getContentOfKey(key)])
       answeredAt.set(subject, Math.max(at, this.getAnsweredAt(subject)))
@@ -32,20 +32,20 @@
 
   /// When a request, or a content, was last answered; -Infinity when that is not known.
   getAnsweredAt(subject: string): number {
-    return this.young.answeredAt.get(subject) ?? this.old.answeredAt.get(subject) ?? -Infinity
+    return this.current.answeredAt.get(subject) ?? this.previous.answeredAt.get(subject) ?? -Infinity
   }
 
-  /// Answers that a caller got in one to two generations.
+  /// Answers to a caller within the last one to two generations.
   countAnswers(caller: string): number {
-    return (this.young.countByCaller.get(caller) ?? 0) + (this.old.countByCaller.get(caller) ?? 0)
+    return (this.current.countByCaller.get(caller) ?? 0) + (this.previous.countByCaller.get(caller) ?? 0)
   }
 
-  private turn(now: number): void {
-    const isFull = this.young.answeredAt.size >= this.maximum / 2
-    if (!isFull && now - this.turnedAt <= this.memoryMs) return
-    this.old = this.young
-    this.young = createGeneration()
-    this.turnedAt = now
+  private rotateIfDue(now: number): void {
+    const isFull = this.current.answeredAt.size >= this.maximum / 2
+    if (!isFull && now - this.rotatedAt <= this.memoryMs) return
+    this.previous = this.current
+    this.current = createGeneration()
+    this.rotatedAt = now
   }
 }
 
