--- a/src/quotas/quota-holder.ts
+++ b/src/quotas/quota-holder.ts
@@ -1,5 +1,7 @@
-/// What one daemon knows and has of one tenant's quota: requests that wait for the owner's word, what it may
-/// spend without, and until when nothing is to be had.
+/// The client side of one tenant's quota at one daemon: requests that wait for the owner's answer, tokens
+/// that may be spent without it, and the time until which requests are refused without asking. Owns the
+/// asks to the owner and the tokens that are still to be reported to it; relies on its caller to pick the
+/// owner and to send the asks.
 import type {QuotaDecision} from "../forwarding/admit/tenant-quota.js"
 import {NO_OWNER_RETRY_AFTER_MS, spreadQuotaRetryAfter} from "../forwarding/admit/retry-after.js"
 import {MAXIMUM_NEEDS, type QuotaAnswer, type QuotaAsk} from "./quota-messages.js"
@@ -7,31 +9,31 @@
 import {getAllowance, type QuotaLimit, type QuotaSettings} from "./quota-settings.js"
 import {TokenBucket} from "./token-bucket.js"
 
-/// A request that waits.
+/// A request that needs tokens.
 export interface QuotaNeed {
   readonly requestId: string
   readonly tokens: number
-  /// 0 the most urgent; undefined where all count alike.
+  /// 0 the most urgent; undefined where all are equal.
   readonly priority?: number | undefined
-  /// It is decided without the owner from then on. Monotonic milliseconds.
+  /// From this time on it is decided without the owner. Monotonic milliseconds.
   readonly decideBy: number
 }
 
 const GRANTED: QuotaDecision = {kind: "granted"}
-/// Requests of one tenant that wait at most.
+/// Maximum number of waiting requests of one tenant.
 const MAXIMUM_WAITING = 256
-/// An ask without an answer times out after so long, and what a late answer grants is not spent.
-/// Milliseconds. So what was granted outside of a window arrives within it for no more than this time.
+/// An ask without an answer times out after this time, and what a later answer grants is not spent.
+/// Milliseconds. So tokens granted before a window can be spent within it for no longer than this time.
 const ASK_TIMEOUT_MS = 250
 
-/// An ask that carries needs is given up after so long, and the next daemon in rank is asked: callers wait
-/// 150 ms at most, and an owner that was killed costs them less. Milliseconds.
+/// An ask with needs is closed without an answer after this time, and the next daemon in rank is asked:
+/// callers wait 150 ms at most, and an owner that was killed must cost them less. Milliseconds.
 const REASK_MS = 20
-/// Late answers to asks that were given up are heeded so long: what they grant in time is spent, the rest is
-/// handed back. Milliseconds.
-const CLOSED_MS = 2000
+/// Answers to closed asks are accepted for this time: what they grant before the time-out is spent, the
+/// rest is returned. Milliseconds.
+const CLOSED_ASK_MEMORY_MS = 2000
 
-/// An ask that is under way.
+/// An ask in flight.
 interface OpenAsk {
   readonly sequence: number
   readonly ownerId: string
@@ -40,15 +42,15 @@
   readonly spent: number
 }
 
-/// One tenant at one daemon. Times are monotonic milliseconds.
+/// The quota client of one tenant. Times are monotonic milliseconds.
 export class QuotaClient {
   private readonly allowance: TokenBucket
   private waiting: QuotaNeed[] = []
   private open: OpenAsk | undefined
   private closed: OpenAsk[] = []
-  /// Daemons that were asked in vain for those that wait now.
+  /// Daemons that were asked for the waiting requests and decided nothing.
   readonly triedOwners = new Set<string>()
-  /// Requests of so many tokens or more are refused until then.
+  /// Until this time requests of at least `blockedTokens` tokens are refused.
   private blockedUntil = -Infinity
   private blockedTokens = 0
   private retryAfterMs = NO_OWNER_RETRY_AFTER_MS
@@ -57,7 +59,7 @@
   private answeredBy: string | undefined
   private unreported = 0
   private usedAt: number
-  /// Since the process began. Tokens and requests.
+  /// Tokens and requests since the process started.
   readonly totals = {granted: 0, refused: 0, refusedRequests: 0}
 
   constructor(
@@ -70,7 +72,7 @@
     this.usedAt = now
   }
 
-  /// Takes a new limit: nothing that was told under the old one counts any more.
+  /// Applies a new limit: the owner's answers under the old one are void.
   setLimit(limit: QuotaLimit): void {
     if (limit.ratePerSecond === this.limit.ratePerSecond && limit.burst === this.limit.burst) return
     this.limit = limit
@@ -78,13 +80,13 @@
     this.blockedUntil = -Infinity
   }
 
-  /// The daemons that share the allowance.
+  /// Sets the number of daemons that share the allowance.
   setDaemons(daemons: number, now: number): void {
     const {ratePerSecond, burst} = getAllowance(this.settings, this.limit, daemons)
     this.allowance.setLimits(ratePerSecond, burst, now)
   }
 
-  /// Decides at once where that is possible; else the request waits.
+  /// Decides at once where possible; otherwise the request waits and undefined is returned.
   take(need: QuotaNeed, now: number): QuotaDecision | undefined {
     this.usedAt = now
     if (!this.hasWaiting() && this.allowance.tryTake(need.tokens, now)) return this.spend(need)
@@ -94,28 +96,28 @@
     return undefined
   }
 
-  /// Ends the wait of a request. Returns whether it waited.
+  /// Removes a waiting request. Returns whether it was waiting.
   remove(requestId: string): boolean {
-    const before = this.waiting.length
+    const countBefore = this.waiting.length
     this.waiting = this.waiting.filter(need => need.requestId !== requestId)
-    return this.waiting.length < before
+    return this.waiting.length < countBefore
   }
 
   hasWaiting(): boolean {
     return this.waiting.length > 0
   }
 
-  /// Whether there is something to ask or to tell, and no ask is under way.
+  /// Whether there is something to ask for or to report, and no ask is in flight.
   isAskDue(): boolean {
     return !this.open && (this.waiting.length > 0 || this.unreported !== 0)
   }
 
-  /// Tokens were spent without asking, or given back when below 0.
+  /// Adds tokens that were spent without asking; a negative number returns tokens.
   addSpent(tokens: number): void {
     this.unreported += tokens
   }
 
-  /// The ask for all that wait.
+  /// Creates the ask for the waiting requests.
   createAsk(tenant: string, ownerId: string, sequence: number, now: number): QuotaAsk {
     const needs = this.waiting.slice(0, MAXIMUM_NEEDS)
     const spent = this.unreported
@@ -126,11 +128,11 @@
     return {kind: "quotaAsk", sequence, tenant, needs: needs.map(({tokens}) => tokens), ...priority, spent}
   }
 
-  /// Takes the owner's word. Returns what became of those that waited; undefined when nothing waits for this
-  /// answer.
+  /// Receives the owner's answer. Returns the decisions on waiting requests; undefined when no ask waits
+  /// for this answer.
   receiveAnswer(answer: QuotaAnswer, fromId: string, now: number): Map<string, QuotaDecision> | undefined {
-    const late = this.takeClosed(answer.sequence)
-    if (late) return this.receiveLate(late, answer, fromId, now)
+    const closed = this.removeClosedAsk(answer.sequence)
+    if (closed) return this.receiveLateAnswer(closed, answer, fromId, now)
     const {open} = this
     if (open?.sequence !== answer.sequence || now - open.askedAt > ASK_TIMEOUT_MS) return undefined
     this.open = undefined
@@ -155,59 +157,60 @@
     this.retryAfterMs = answer.retryAfterMs || NO_OWNER_RETRY_AFTER_MS
     this.blockedUntil = now + answer.blockedMs
     this.blockedTokens = answer.blockedTokens
-    return this.settle(needs, answer.granted, now)
+    return this.applyGrants(needs, answer.granted, now)
   }
 
-  private takeClosed(sequence: number): OpenAsk | undefined {
-    const late = this.closed.find(ask => ask.sequence === sequence)
-    if (late) this.closed = this.closed.filter(ask => ask !== late)
-    return late
+  private removeClosedAsk(sequence: number): OpenAsk | undefined {
+    const closed = this.closed.find(ask => ask.sequence === sequence)
+    if (closed) this.closed = this.closed.filter(ask => ask !== closed)
+    return closed
   }
 
-  /// An owner that is busy answers after another daemon was asked in its place. Its word counts for those that
-  /// still wait: they would be refused although they are within the limit. After the time-out what it grants is
-  /// not spent but handed back.
-  private receiveLate(
-    late: OpenAsk,
+  /// A busy owner may answer after the next daemon in rank was asked. Its answer counts for requests that
+  /// still wait: they would be refused although they are within the limit. After the time-out the tokens
+  /// that it grants are not spent but returned.
+  private receiveLateAnswer(
+    closed: OpenAsk,
     answer: QuotaAnswer,
     fromId: string,
     now: number
   ): Map<string, QuotaDecision> | undefined {
     if (answer.notOwner) return undefined
-    if (now - late.askedAt <= ASK_TIMEOUT_MS) return this.applyAnswer(late, answer, fromId, now)
-    for (const place of answer.granted) this.unreported -= late.needs[place]?.tokens ?? 0
+    if (now - closed.askedAt <= ASK_TIMEOUT_MS) return this.applyAnswer(closed, answer, fromId, now)
+    for (const index of answer.granted) this.unreported -= closed.needs[index]?.tokens ?? 0
     return undefined
   }
 
-  /// Ends an ask that nobody answers. What it told may have been debited: it is told again, unless that would
-  /// credit twice.
+  /// Closes an ask that was not answered in time. Returns whether one was closed. The tokens that it
+  /// reported as spent may have been debited already and are reported again; returned tokens are not,
+  /// since they might be credited twice.
   closeOverdueAsk(now: number): boolean {
     const {open} = this
     if (!open || now - open.askedAt < (open.needs.length > 0 ? REASK_MS : ASK_TIMEOUT_MS)) return false
-    this.closed = [...this.closed.filter(({askedAt}) => now - askedAt < CLOSED_MS), open]
+    this.closed = [...this.closed.filter(({askedAt}) => now - askedAt < CLOSED_ASK_MEMORY_MS), open]
     this.unreported += Math.max(0, open.spent)
     this.triedOwners.add(open.ownerId)
     this.open = undefined
     return true
   }
 
-  /// Decides what can wait no longer, or all that waits when there is nobody to ask.
-  /// `unfitMs` is how long it takes at least until there is an owner.
+  /// Decides the requests that can wait no longer, or all that wait when there is no daemon to ask.
+  /// `unfitMs` is the minimum time until there is an owner, in milliseconds.
   decideLocally(hasOwner: boolean, unfitMs: number, now: number): Map<string, QuotaDecision> {
     const decided = new Map<string, QuotaDecision>()
     for (const need of this.waiting)
-      if (!hasOwner || now >= need.decideBy) decided.set(need.requestId, this.decideAlone(need, unfitMs, now))
+      if (!hasOwner || now >= need.decideBy) decided.set(need.requestId, this.decideOne(need, unfitMs, now))
     if (decided.size > 0) this.waiting = this.waiting.filter(need => !decided.has(need.requestId))
     if (this.waiting.length === 0) this.triedOwners.clear()
     return decided
   }
 
-  /// Whether nothing here matters any more.
+  /// Whether there is nothing to ask for or to report, and no request has come for `idleMs` milliseconds.
   isIdle(now: number, idleMs: number): boolean {
     return now - this.usedAt > idleMs && !this.open && this.unreported === 0 && this.waiting.length === 0
   }
 
-  private settle(
+  private applyGrants(
     needs: readonly QuotaNeed[],
     granted: readonly number[],
     now: number
@@ -218,14 +221,14 @@
       const isGranted = granted.includes(index)
       if (waiting.has(need))
         decided.set(need.requestId, isGranted ? this.grant(need) : this.refuse(need, "limit", now))
-      // Its caller left while the ask was under way.
+      // The caller disconnected while the ask was in flight.
       else if (isGranted) this.unreported -= need.tokens
     })
     this.waiting = this.waiting.filter(need => !decided.has(need.requestId))
     return decided
   }
 
-  private decideAlone(need: QuotaNeed, unfitMs: number, now: number): QuotaDecision {
+  private decideOne(need: QuotaNeed, unfitMs: number, now: number): QuotaDecision {
     if (this.allowance.tryTake(need.tokens, now)) return this.spend(need)
     if (now - this.answeredAt > RESERVE_MS || need.tokens > this.reserve) {
       this.retryAfterMs = unfitMs + NO_OWNER_RETRY_AFTER_MS
--- a/src/quotas/quota-messages.ts
+++ b/src/quotas/quota-messages.ts
@@ -1,16 +1,17 @@
-/// What daemons tell each other about the buckets that limit tenants and back ends.
+/// The messages that daemons exchange about the buckets that limit tenants and back ends.
 import * as z from "zod"
 
 const text = z.string().max(512)
 const count = z.number().finite()
-/// What the bucket limits: a back end, or, where that is missing as it is from older daemons, a tenant.
+/// What the bucket limits: a back end, or a tenant where the field is missing, as it is in messages of
+/// older daemons.
 const scope = z.literal("backend").optional()
 
-/// Needs carried by one ask at most; the rest goes with the next one.
+/// Maximum number of needs in one ask; the rest is sent with the next one.
 export const MAXIMUM_NEEDS = 32
 
-/// A daemon asks the owner of a tenant's bucket. Without needs it only tells what was spent, or finds out
-/// whether the receiver runs.
+/// A daemon asks the owner of a bucket for tokens. Without needs it only reports what was spent, or probes
+/// whether the receiver is reachable.
 const quotaAskSchema = z.object({
   kind: z.literal("quotaAsk"),
   scope,
@@ -19,34 +20,35 @@
   tenant: text,
   /// Tokens of each request that waits, oldest first.
   needs: z.array(count).max(MAXIMUM_NEEDS),
-  /// Priority of the needs, 0 the most urgent; not told where all count alike.
+  /// Priority of the needs, 0 the most urgent; omitted where all are equal.
   priority: count.optional(),
-  /// Tokens spent without asking since the last ask; below 0 when more were given back.
+  /// Tokens spent without asking since the last ask; negative when more were returned.
   spent: count
 })
 
+/// The owner's answer to an ask.
 const quotaAnswerSchema = z.object({
   kind: z.literal("quotaAnswer"),
   scope,
   sequence: count,
   tenant: text,
-  /// The needs that are granted, by their place in the ask.
+  /// The needs that are granted, by their index in the ask.
   granted: z.array(count).max(MAXIMUM_NEEDS),
-  /// Asking again makes no sense for so long, for as many tokens or more. Milliseconds.
+  /// Requests of at least `blockedTokens` tokens would be refused for this time. Milliseconds.
   blockedMs: count,
   blockedTokens: count,
-  /// When callers that are refused should come back. Milliseconds.
+  /// Time after which refused callers should retry. Milliseconds.
   retryAfterMs: count,
-  /// Tokens that may be spent without an answer if the owner falls silent.
+  /// Tokens that may be spent without an answer if the owner stops answering.
   reserve: count,
-  /// Nothing is decided here: this daemon does not own the bucket, and will not for `unfitMs`. `owner` is who
-  /// does, by id and address.
+  /// The sender does not own the bucket, and will not for `unfitMs` milliseconds, so nothing is decided.
+  /// `owner` is the id and address of the daemon that does.
   notOwner: z.boolean(),
   unfitMs: count,
   owner: z.tuple([text, text]).nullable()
 })
 
-/// The owner of a bucket hands it to the one that takes its place.
+/// The owner of a bucket hands it over to the next owner, with its level in tokens.
 const quotaHandoverSchema = z.object({
   kind: z.literal("quotaHandover"),
   scope,
@@ -54,7 +56,7 @@
   level: count
 })
 
-/// The forms of all messages of quotas.
+/// The schemas of all messages of quotas.
 export const quotaMessageSchemas = [quotaAskSchema, quotaAnswerSchema, quotaHandoverSchema] as const
 
 export type QuotaAsk = z.infer<typeof quotaAskSchema>
--- a/src/quotas/quota-owner.ts
+++ b/src/quotas/quota-owner.ts
@@ -1,51 +1,53 @@
-/// The buckets that one daemon runs for the whole fleet. Exact: whatever is granted is debited before it is
-/// told.
+/// The buckets that one daemon owns for the whole fleet. Their accounting is exact: tokens are debited
+/// before the grant is sent. Owns the decision on each need; relies on its caller to ensure that it is the
+/// owner.
 import {getQuotaRetryAfterMs, LONGEST_QUOTA_RETRY_AFTER_MS} from "../forwarding/admit/retry-after.js"
 import type {QuotaAnswer, QuotaAsk} from "./quota-messages.js"
 import type {QuotaLimit} from "./quota-settings.js"
 import {TokenBucket} from "./token-bucket.js"
 
-/// What an owner decides on an ask.
+/// An owner's decision on an ask.
 type OwnerDecision = Pick<QuotaAnswer, "granted" | "blockedMs" | "blockedTokens" | "retryAfterMs" | "reserve">
 
-/// A daemon counts as one that serves a tenant for so long after it asked, and may use the reserve of the
-/// owner's last answer. Milliseconds; docs/design/quotas.md.
+/// For this time after an ask a daemon counts among those that serve the tenant, and may spend the reserve
+/// of the owner's last answer. Milliseconds; docs/design/quotas.md.
 export const RESERVE_MS = 2500
-/// Part of the level that all who serve the tenant may spend when the owner falls silent. An owner that takes
-/// its place begins empty, so that this and no more comes on top.
+/// Share of the level that all daemons that serve the tenant may spend together when the owner stops
+/// answering. The next owner starts with an empty bucket, so that no more than this share is spent in
+/// addition.
 const RESERVE_SHARE = 0.25
-/// A bucket holds at least what comes in this time: a limit without a burst would grant nothing.
+/// The minimum depth of a bucket is the inflow of this time: a limit without a burst would grant nothing.
 /// Milliseconds.
-const SHALLOWEST_MS = 250
-/// Part of the rate that may be overdrawn.
+const MINIMUM_DEPTH_MS = 250
+/// Share of the rate that may be overdrawn.
 const OVERDRAFT_SHARE = 0.25
-/// Requests of less than this part of the debt do not overdraw: they would leave nothing of it for the larger
-/// ones.
-const SMALL_SHARE = 0.02
-/// While more urgent needs come, others leave so many tokens in the bucket for them.
-const URGENT_TOKENS = 1
-/// More urgent needs are expected for so long after the last one. Milliseconds.
-const URGENT_MS = 4000
-/// Bounds of the time for which a daemon does not ask again. Milliseconds. The longest is what a full refill
-/// may be late.
-const SHORTEST_BLOCK_MS = 20
-const LONGEST_BLOCK_MS = 500
-
-/// One tenant's bucket with those who ask for it. Times are monotonic milliseconds.
+/// Requests of less than this share of the maximum debt do not overdraw: they would exhaust it for the
+/// larger ones.
+const SMALL_REQUEST_SHARE = 0.02
+/// Tokens that less urgent needs leave in the bucket while more urgent ones are expected.
+const URGENT_RESERVE_TOKENS = 1
+/// More urgent needs are expected for this time after the last one. Milliseconds.
+const URGENT_MEMORY_MS = 4000
+/// Bounds of the time for which a daemon does not ask again. Milliseconds. The maximum is the delay that a
+/// full refill may incur.
+const MINIMUM_BLOCK_MS = 20
+const MAXIMUM_BLOCK_MS = 500
+
+/// One tenant's bucket, and the daemons that ask for it. Times are monotonic milliseconds.
 export class OwnedBucket {
   private readonly bucket: TokenBucket
-  /// Begins empty like the other, so that owners that change often do not add up their debts.
+  /// Starts empty like the other, so that the debts of frequently changing owners do not add up.
   private readonly overdraft: TokenBucket
   private readonly debtTokens: number
   private readonly askedAt = new Map<string, number>()
-  /// When needs of each priority last came.
+  /// When needs of each priority last arrived.
   private readonly neededAt = new Map<number, number>()
-  /// Tokens of refused requests that have not come due yet.
+  /// Tokens of refused requests whose time to retry has not come yet.
   private backlog = 0
   private backlogAt: number
   private usedAt: number
 
-  /// `level` is what it certainly holds.
+  /// `level` is the number of tokens that the bucket certainly holds.
   constructor(
     private limit: QuotaLimit,
     debtTokens: number,
@@ -60,7 +62,7 @@
     this.usedAt = now
   }
 
-  /// Takes a new limit, or a share of it that this side of a divided fleet may use.
+  /// Applies a new limit, or the share of it that this side of a partitioned fleet may use.
   setLimit(limit: QuotaLimit, now: number): void {
     if (limit.ratePerSecond === this.limit.ratePerSecond && limit.burst === this.limit.burst) return
     this.limit = limit
@@ -68,22 +70,23 @@
     this.overdraft.setLimits(limit.ratePerSecond * OVERDRAFT_SHARE, this.debtTokens, now)
   }
 
+  /// Tokens in the bucket now; negative while it is in debt.
   getLevel(now: number): number {
     return this.bucket.getLevel(now)
   }
 
-  /// Whether nobody has asked for so long that the bucket is full in any case.
+  /// Whether the bucket is full and nobody has asked for `idleMs` milliseconds, so that it can be dropped.
   isIdle(now: number, idleMs: number): boolean {
     return now - this.usedAt > idleMs && this.bucket.getLevel(now) >= getDepth(this.limit)
   }
 
-  /// Lowers the level to what another daemon that granted from this bucket had left.
+  /// Lowers the level to that of the previous owner of this bucket. Tokens.
   applyHandover(level: number, now: number): void {
-    const own = this.bucket.getLevel(now)
-    if (level < own) this.bucket.take(own - level, now)
+    const localLevel = this.bucket.getLevel(now)
+    if (level < localLevel) this.bucket.take(localLevel - level, now)
   }
 
-  /// Grants needs in their order, as far as the bucket goes for each.
+  /// Receives an ask: grants each of its needs, in order, if the bucket covers it.
   receiveAsk(
     daemonId: string,
     {needs, spent, priority}: Pick<QuotaAsk, "needs" | "spent" | "priority">,
@@ -95,8 +98,8 @@
     if (needs.length > 0) this.askedAt.set(daemonId, now)
     const granted: number[] = []
     const refused: number[] = []
-    needs.forEach((tokens, place) => {
-      if (this.isLeft(tokens, priority, now) && this.tryGrant(tokens, now)) granted.push(place)
+    needs.forEach((tokens, index) => {
+      if (this.isUrgentReserveKept(tokens, priority, now) && this.tryGrant(tokens, now)) granted.push(index)
       else refused.push(tokens)
     })
     const blockedTokens = refused.length > 0 ? Math.min(...refused) : 0
@@ -109,25 +112,25 @@
     }
   }
 
-  /// Whether more urgent needs leave so many tokens. A full bucket has room for everybody.
-  private isLeft(tokens: number, priority: number | undefined, now: number): boolean {
+  /// Whether granting the tokens keeps the reserve for more urgent needs. A full bucket always does.
+  private isUrgentReserveKept(tokens: number, priority: number | undefined, now: number): boolean {
     if (priority === undefined) return true
     let isUrgentExpected = false
     for (const [other, at] of this.neededAt)
-      if (other < priority && now - at < URGENT_MS) isUrgentExpected = true
-    const wanted = Math.min(getDepth(this.limit), tokens + URGENT_TOKENS)
-    return !isUrgentExpected || this.bucket.getLevel(now) >= wanted
+      if (other < priority && now - at < URGENT_MEMORY_MS) isUrgentExpected = true
+    const requiredLevel = Math.min(getDepth(this.limit), tokens + URGENT_RESERVE_TOKENS)
+    return !isUrgentExpected || this.bucket.getLevel(now) >= requiredLevel
   }
 
-  /// A request that the bucket holds in full passes one that it does not. Larger ones overdraw it, for a part
-  /// of the rate, so that they do not starve; one that is larger than that waits until the bucket is full,
-  /// and one that even then would overdraw it by more is not granted at all: alone it could break the
-  /// promise.
+  /// A request that the level covers is granted ahead of one that it does not cover. Larger requests
+  /// overdraw the bucket, at a share of the rate, so that they do not starve. A request that exceeds the
+  /// overdraft waits until the bucket is full. One that even then would overdraw it by more than the
+  /// maximum debt is never granted: it alone could break the guarantee.
   private tryGrant(tokens: number, now: number): boolean {
     const level = this.bucket.getLevel(now)
     const depth = getDepth(this.limit)
     const isCovered = tokens <= level || (level >= depth && tokens <= depth + this.debtTokens)
-    const mayOverdraw = level > 0 && tokens > this.debtTokens * SMALL_SHARE
+    const mayOverdraw = level > 0 && tokens > this.debtTokens * SMALL_REQUEST_SHARE
     if (!isCovered && !(mayOverdraw && this.overdraft.tryTake(tokens - level, now))) return false
     this.bucket.take(tokens, now)
     return true
@@ -136,15 +139,16 @@
   private getBlockedMs(tokens: number, now: number): number {
     const level = this.bucket.getLevel(now)
     const missing = Math.max(0, Math.min(getDepth(this.limit), tokens) - level)
-    return clamp((missing / this.limit.ratePerSecond) * 1000, SHORTEST_BLOCK_MS, LONGEST_BLOCK_MS)
+    return clamp((missing / this.limit.ratePerSecond) * 1000, MINIMUM_BLOCK_MS, MAXIMUM_BLOCK_MS)
   }
 
-  /// Callers come back in the order in which the bucket could pay for them.
+  /// Adds refused tokens to the backlog. Returns the time after which their callers should retry: callers
+  /// retry in the order in which the bucket can cover them. Milliseconds.
   private addBacklog(tokens: number, now: number): number {
     const {ratePerSecond} = this.limit
     const paid = ((now - this.backlogAt) / 1000) * ratePerSecond
-    const longest = (LONGEST_QUOTA_RETRY_AFTER_MS / 1000) * ratePerSecond
-    this.backlog = Math.min(longest, Math.max(0, this.backlog - paid) + tokens)
+    const maximum = (LONGEST_QUOTA_RETRY_AFTER_MS / 1000) * ratePerSecond
+    this.backlog = Math.min(maximum, Math.max(0, this.backlog - paid) + tokens)
     this.backlogAt = now
     const waitMs = this.bucket.getDebtMs(now) + (this.backlog / ratePerSecond) * 1000
     return getQuotaRetryAfterMs(waitMs)
@@ -158,13 +162,13 @@
 }
 
 function getDepth({ratePerSecond, burst}: QuotaLimit): number {
-  return Math.max(burst, (ratePerSecond * SHALLOWEST_MS) / 1000)
+  return Math.max(burst, (ratePerSecond * MINIMUM_DEPTH_MS) / 1000)
 }
 
 function sum(numbers: readonly number[]): number {
   return numbers.reduce((total, value) => total + value, 0)
 }
 
-function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value))
+function clamp(value: number, minimum: number, maximum: number): number {
+  return Math.min(maximum, Math.max(minimum, value))
 }
--- a/src/quotas/quota-settings.ts
+++ b/src/quotas/quota-settings.ts
@@ -1,6 +1,7 @@
-/// Settings of quotas, and how the slack of the rule is divided.
+/// Settings of quotas, and how the slack of the guarantee is divided among the parts that may exceed a
+/// limit.
 
-/// What a tenant may ask of all daemons together.
+/// The limit of a tenant at all daemons together.
 export interface QuotaLimit {
   /// Tokens a second.
   readonly ratePerSecond: number
@@ -8,42 +9,45 @@
   readonly burst: number
 }
 
-/// What the operator promises of quotas: in any window of `windowMs` a tenant's tokens stay under
-/// (rate x window + burst) x (1 + overage) + slack.
+/// The guarantee: in any window of `windowMs` a tenant's tokens stay under (rate x window + burst) x (1 +
+/// overage) + slack.
 export interface QuotaSettings {
+  /// Milliseconds.
   readonly windowMs: number
+  /// Fraction above the limit.
   readonly overage: number
   /// Tokens.
   readonly slackTokens: number
 }
 
-/// Part of the slack that one bucket's debt may use: a request is granted though it is larger than the level
-/// by so much, so that admission hardly depends on size.
+/// Share of the slack that the debt of one bucket may use: a request is granted although it exceeds the
+/// level by up to this, so that admission hardly depends on the size of a request.
 const DEBT_SHARE = 0.2
-/// Part of the slack that all daemons together may spend in one window without asking anybody, half of it at
-/// once. What remains is for owners that change (docs/design/quotas.md).
+/// Share of the slack that all daemons together may spend in one window without asking an owner, half of
+/// it at once. The remainder of the slack covers changes of owners (docs/design/quotas.md).
 const ALLOWANCE_SHARE = 0.15
-/// Parts of the slack by which a bucket is deeper than the burst, at most and at least: what is refused below
-/// the bound is lost for the callers.
-const MOST_DEPTH_SHARE = 0.5
-const LEAST_DEPTH_SHARE = 0.1
-/// From the slack is kept what comes in while there may be two owners. Seconds.
+/// Maximum and minimum share of the slack by which a bucket is deeper than the burst: a request that is
+/// refused although the guarantee would hold is a loss for its caller.
+const MAXIMUM_EXTRA_DEPTH_SHARE = 0.5
+const MINIMUM_EXTRA_DEPTH_SHARE = 0.1
+/// The inflow of this time is withheld from the slack: two owners may exist for this long. Seconds.
 const TWO_OWNERS_S = 0.6
 
-/// The debt of one bucket. Tokens.
+/// The maximum debt of one bucket. Tokens.
 export function getDebtTokens({slackTokens}: QuotaSettings): number {
   return slackTokens * DEBT_SHARE
 }
 
-/// The bucket of the whole fleet.
+/// Rate and depth of a tenant's bucket for the whole fleet. Tokens.
 export function getBucketLimit({slackTokens}: QuotaSettings, {ratePerSecond, burst}: QuotaLimit): QuotaLimit {
-  const spare = slackTokens * (MOST_DEPTH_SHARE + LEAST_DEPTH_SHARE) - ratePerSecond * TWO_OWNERS_S
-  const most = slackTokens * MOST_DEPTH_SHARE
-  const extra = Math.min(most, Math.max(slackTokens * LEAST_DEPTH_SHARE, spare))
+  const spare =
+    slackTokens * (MAXIMUM_EXTRA_DEPTH_SHARE + MINIMUM_EXTRA_DEPTH_SHARE) - ratePerSecond * TWO_OWNERS_S
+  const maximum = slackTokens * MAXIMUM_EXTRA_DEPTH_SHARE
+  const extra = Math.min(maximum, Math.max(slackTokens * MINIMUM_EXTRA_DEPTH_SHARE, spare))
   return {ratePerSecond, burst: burst + extra}
 }
 
-/// What one of `daemons` may spend for each tenant without asking.
+/// The allowance: what each of `daemons` daemons may spend for a tenant without asking its owner. Tokens.
 export function getAllowance(
   {slackTokens, windowMs}: QuotaSettings,
   limit: QuotaLimit,
--- a/src/quotas/token-bucket.ts
+++ b/src/quotas/token-bucket.ts
@@ -1,8 +1,8 @@
 /// A token bucket that may go into debt.
 
-/// Times are monotonic milliseconds.
+/// The bucket. Amounts are tokens, times are monotonic milliseconds.
 export class TokenBucket {
-  /// A bucket begins empty: whoever creates one cannot know what was spent before.
+  /// A bucket starts empty: its creator cannot know what was spent before.
   private level = 0
 
   constructor(
@@ -11,7 +11,7 @@
     private refilledAt: number
   ) {}
 
-  /// Tokens in the bucket now; below 0 while it is in debt.
+  /// Tokens in the bucket now; negative while it is in debt.
   getLevel(now: number): number {
     const passedMs = Math.max(0, now - this.refilledAt)
     this.refilledAt = Math.max(this.refilledAt, now)
@@ -19,7 +19,8 @@
     return this.level
   }
 
-  /// Changes rate and depth from now on. A smaller bucket is cut at once, a larger one is not filled.
+  /// Changes rate and depth from now on. A smaller depth lowers the level at once, a larger one adds no
+  /// tokens.
   setLimits(ratePerSecond: number, depth: number, now: number): void {
     this.getLevel(now)
     this.ratePerSecond = ratePerSecond
@@ -27,7 +28,7 @@
     this.level = Math.min(this.level, depth)
   }
 
-  /// Takes tokens whatever the level; below 0 gives back.
+  /// Takes tokens regardless of the level; a negative number returns them.
   take(tokens: number, now: number): void {
     this.level = Math.min(this.depth, this.getLevel(now) - tokens)
   }
@@ -39,7 +40,7 @@
     return true
   }
 
-  /// How long until the level is above 0. Milliseconds.
+  /// Time until the debt is paid. Milliseconds.
   getDebtMs(now: number): number {
     const level = this.getLevel(now)
     return level > 0 ? 0 : (-level / this.ratePerSecond) * 1000
