--- a/src/quarantine/end-record.ts
+++ b/src/quarantine/end-record.ts
@@ -90,8 +90,8 @@
     return this.getSubjectMs(content, limit, now)
   }
 
-  /// Whether the request may run at one back end only: more of its caller's requests, whichever they are,
-  /// crash back ends than are answered, and this one was not answered recently.
+  /// Whether the request may run at one back end only: back ends crash under its caller's requests more
+  /// often than these are answered, and this request was not answered recently.
   isIsolated(key: string, now: number): boolean {
     return !this.wasAnsweredRecently(key, now) && this.hasManyCrashes(getCallerOfKey(key), now)
   }
--- a/src/quarantine/quarantine-manager.ts
+++ b/src/quarantine/quarantine-manager.ts
@@ -116,7 +116,7 @@
   receive(fromAddress: string, message: QuarantineMessage, now: number): void {
     switch (message.kind) {
       case "quarantineNews":
-        this.receiveNews(message, now)
+        this.receiveNewFacts(message, now)
         break
       case "quarantineDigest":
         if (message.digest !== this.getDigest(now)) this.sendSync(fromAddress, true, [], now)
@@ -200,13 +200,13 @@
     return {ends: newCrashes, answers: newAnswers}
   }
 
-  private receiveNews(news: QuarantineFacts, now: number): void {
-    const fresh = this.applyFacts(news, now)
-    for (const [, incarnation, ageMs] of fresh.ends)
+  private receiveNewFacts(facts: QuarantineFacts, now: number): void {
+    const added = this.applyFacts(facts, now)
+    for (const [, incarnation, ageMs] of added.ends)
       if (ageMs < FRESH_CRASH_MS) this.emit({kind: "peerFoundEnd", incarnation})
-    const answers = this.getAnswersFor(news, now)
+    const answers = this.getAnswersFor(facts, now)
     if (answers.length > 0) this.sendToPeers({ends: [], answers})
-    if (this.isRelayed() && fresh.ends.length + fresh.answers.length > 0) this.sendToPeers(fresh)
+    if (this.isRelayed() && added.ends.length + added.answers.length > 0) this.sendToPeers(added)
   }
 
   /// Recent answers to the requests in a peer's facts, which clear them: only the daemon that delivered an
--- a/src/quarantine/quarantine-messages.ts
+++ b/src/quarantine/quarantine-messages.ts
@@ -29,6 +29,8 @@
 /// The schemas of all messages of the quarantine.
 export const quarantineMessageSchemas = [newsSchema, digestSchema, syncSchema] as const
 
+/// Any message of the quarantine.
 export type QuarantineMessage =
   z.infer<typeof newsSchema> | z.infer<typeof digestSchema> | z.infer<typeof syncSchema>
+/// Crashes (`ends`) and answers in a message; their ages are milliseconds at the time of sending.
 export type QuarantineFacts = Pick<z.infer<typeof newsSchema>, "ends" | "answers">
--- a/src/quotas/quota-messages.ts
+++ b/src/quotas/quota-messages.ts
@@ -59,7 +59,11 @@
 /// The schemas of all messages of quotas.
 export const quotaMessageSchemas = [quotaAskSchema, quotaAnswerSchema, quotaHandoverSchema] as const
 
+/// A daemon's ask to the owner of a bucket.
 export type QuotaAsk = z.infer<typeof quotaAskSchema>
+/// The owner's answer to an ask, which carries the same sequence.
 export type QuotaAnswer = z.infer<typeof quotaAnswerSchema>
+/// A bucket for its next owner.
 export type QuotaHandover = z.infer<typeof quotaHandoverSchema>
+/// Any message of quotas.
 export type QuotaMessage = QuotaAsk | QuotaAnswer | QuotaHandover
--- a/src/quotas/quota-owner.ts
+++ b/src/quotas/quota-owner.ts
@@ -28,8 +28,8 @@
 const URGENT_RESERVE_TOKENS = 1
 /// More urgent needs are expected for this time after the last one. Milliseconds.
 const URGENT_MEMORY_MS = 4000
-/// Bounds of the time for which a daemon does not ask again. Milliseconds. The maximum is the delay that a
-/// full refill may incur.
+/// Bounds of the time for which a daemon does not ask again. Milliseconds. The maximum bounds the
+/// delay after which a full refill is noticed.
 const MINIMUM_BLOCK_MS = 20
 const MAXIMUM_BLOCK_MS = 500
 
--- a/src/quotas/quota-settings.ts
+++ b/src/quotas/quota-settings.ts
@@ -9,8 +9,8 @@
   readonly burst: number
 }
 
-/// The guarantee: in any window of `windowMs` a tenant's tokens stay under (rate x window + burst) x (1 +
-/// overage) + slack.
+/// The guarantee: in any window of `windowMs` a tenant's tokens stay under
+/// (rate x window + burst) x (1 + overage) + slack.
 export interface QuotaSettings {
   /// Milliseconds.
   readonly windowMs: number
