--- a/src/forwarding/choose/prompt-picker.ts
+++ b/src/forwarding/choose/prompt-picker.ts
@@ -8,7 +8,7 @@
 import type {BackendPickerSettings} from "./backend-picker-settings.js"
 import {getCallBytes, type BackendChoice, type BackendQuery, type ChoiceReason} from "./backend-choice.js"
 import type {BackendView} from "../backends/backend-view.js"
-import {sharedKey, sharedTokens, type PromptOutline} from "../forward-request.js"
+import {getSharedKey, getSharedTokens, type PromptOutline} from "../forward-request.js"
 import type {KvIndex} from "../kv-cache/kv-index.js"
 import {PromptTransfers, type CacheHolder} from "./prompt-transfers.js"
 import type {EngineTraits} from "../routes/route.js"
@@ -120,7 +120,7 @@
     cacheHolders: readonly CacheHolder[]
   ): PromptWork {
     const {minimumCopyTokens, minimumAffinityTokens, readAgainFactor, copyFactor} = this.settings
-    const shared = sharedTokens(prompt)
+    const shared = getSharedTokens(prompt)
     const keptTokens = this.kvIndex.getKeptTokens(backend.record.id, prompt)
     const cacheHolder = transfers ? transfers.pickCacheHolder(cacheHolders, backend) : cacheHolders[0]
     const missing = (cacheHolder?.tokens ?? 0) - keptTokens
@@ -191,7 +191,7 @@
   /// The engine that keeps the shared parts: the same for every daemon of a region, also while it is avoided
   /// for a moment. A region without such engines shares the homes of all.
   private findHome(prompt: PromptOutline, service: string, able: readonly BackendView[]): string | undefined {
-    if (sharedTokens(prompt) < this.settings.minimumAffinityTokens) return undefined
+    if (getSharedTokens(prompt) < this.settings.minimumAffinityTokens) return undefined
     const {stage} = able[0].record
     const views = this.directory
       .ofService(service)
@@ -200,7 +200,7 @@
       ? views.filter(view => this.distance.getDistance(view) !== "otherRegion")
       : []
     const ids = (own.length > 0 ? own : views).map(view => view.record.id)
-    return pickByRendezvous(sharedKey(prompt), ids)
+    return pickByRendezvous(getSharedKey(prompt), ids)
   }
 
   /// Time that a token of a prompt takes, in tokens of a prefill engine.
--- a/src/forwarding/pace/attempt-pace.ts
+++ b/src/forwarding/pace/attempt-pace.ts
@@ -25,7 +25,7 @@
 
 /// The stream, or the answer of a plain back end, is whole.
 export function addWholeSample(attempt: LiveAttempt, now: number): void {
-  const {choice, startedAt, firstEventAt, events, load} = attempt
+  const {choice, startedAt, firstEventAt, events, inFlightBefore: load} = attempt
   const {record, pace} = choice.backend
   if (record.stage === undefined) {
     pace.addSample(getPaceGroup(record, "answer"), getExcess(load, record.slots), now - startedAt)
@@ -36,7 +36,10 @@
 }
 
 /// The attempt is aborted without an answer.
-export function addUnansweredSample({choice, startedAt, answering, load}: LiveAttempt, now: number): void {
+export function addUnansweredSample(
+  {choice, startedAt, streaming: answering, inFlightBefore: load}: LiveAttempt,
+  now: number
+): void {
   const {record, pace} = choice.backend
   if (answering || choice.overdue || choice.copyFrom) return
   const ms = now - startedAt
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -163,7 +163,7 @@
       at('zone-b', 'near', 'decode'),
       at('zone-a', 'p', 'prefill'),
     );
-    for (const id of ['far', 'near']) site.kvIndex.addComputed(id, LONG, 100_000);
+    for (const id of ['far', 'near']) site.kvIndex.addComputedPrompt(id, LONG, 100_000);
     site.begin({ prompt: LONG });
     expect(site.starts()[0].copyFrom).to.equal('10.0.0.1:near');
   });
@@ -217,7 +217,7 @@
   it('a region that is cut off: nothing goes there or is copied from there, and all is as before once it is heard again', () => {
     const far = ['f1', 'f2', 'f3'].map((id) => at('zone-c', id, 'decode'));
     const site = makeSite(at('zone-a', 'p', 'prefill'), at('zone-a', 'd', 'decode'), ...far);
-    site.kvIndex.addComputed('f3', LONG, 100_000);
+    site.kvIndex.addComputedPrompt('f3', LONG, 100_000);
     const look = () =>
       site.distance.setCutOff(findCutOffRegions(site.directory.all(), site.distance, LOOKED_AT_MS));
     const copyFrom = (id: string) => {
--- a/test/unequal-engines.test.ts
+++ b/test/unequal-engines.test.ts
@@ -87,7 +87,7 @@
 
   private tell({ requestId, attemptId }: AttemptStart, event: ForwardAttemptEvent, at: number): void {
     this.now = Math.max(this.now, at);
-    this.site.manager.attemptEvent(requestId, attemptId, event, at);
+    this.site.manager.receiveAttemptEvent(requestId, attemptId, event, at);
   }
 }
 
