--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -47,7 +47,7 @@
       selfId,
       members: () => options.members(),
       isFirst: () => getRendezvousPlace(CLEANER_KEY, getMemberIds(), selfId) === 0,
-      hasOlderRun: ({ id }: BackendIncarnation, before: number) => options.hasOlderAttempt(id, before),
+      hasOlderAttempt: ({ id }: BackendIncarnation, before: number) => options.hasOlderAttempt(id, before),
     };
     const onEffect = (effect: QuarantineEffect): void => this.onQuarantineEffect(effect);
     this.manager = new QuarantineManager(DEFAULT_QUARANTINE_SETTINGS, context, random, onEffect, now);
