--- a/src/forwarding/backends/advertised-limit.ts
+++ b/src/forwarding/backends/advertised-limit.ts
@@ -24,7 +24,7 @@
   }
 
   /// Takes what another daemon knows, and since when. Returns whether the limit has changed.
-  applyTold(perSecond: number | undefined, changedAt: number): boolean {
+  applyFromPeer(perSecond: number | undefined, changedAt: number): boolean {
     return changedAt > this.changedAt && this.set(perSecond, changedAt)
   }
 
--- a/src/forwarding/backends/backend-directory.ts
+++ b/src/forwarding/backends/backend-directory.ts
@@ -1,7 +1,7 @@
 /// All back ends that this daemon knows, by id and by service. Owns their views; the records come from the
 /// fleet's replica, the loads of other daemons from their digests.
 import type {BackendRecord} from "../routes/route.js"
-import {DEFAULT_PACE_BOOK_SETTINGS, PaceBook, type PaceBookSettings} from "../pace/pace-book.js"
+import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type PaceTrackerSettings} from "../pace/pace-book.js"
 import {CHANGING_DISTRUST, PeerLoads, type BackendLoad} from "./peer-loads.js"
 import type {BackendHealthSettings} from "./backend-health.js"
 import {BackendView} from "./backend-view.js"
@@ -25,13 +25,13 @@
   readonly peers = new PeerLoads()
 
   /// How fast the back ends work.
-  readonly paces: PaceBook
+  readonly paces: PaceTracker
 
   constructor(
     private readonly settings: BackendHealthSettings,
-    paceSettings: PaceBookSettings = DEFAULT_PACE_BOOK_SETTINGS
+    paceSettings: PaceTrackerSettings = DEFAULT_PACE_TRACKER_SETTINGS
   ) {
-    this.paces = new PaceBook(paceSettings)
+    this.paces = new PaceTracker(paceSettings)
   }
 
   /// Takes the present record of a back end.
@@ -113,15 +113,15 @@
     const loads: BackendLoad[] = []
     for (const view of this.views.values()) {
       const distrust = view.changing ? CHANGING_DISTRUST : view.isEjected(now) ? EJECTED_DISTRUST : 0
-      const inFlight = view.ownInFlight()
+      const inFlight = view.localInFlight()
       const {succeeded, failed} = view.health.takeOutcomes()
       if (inFlight + distrust + succeeded + failed > 0)
         loads.push([
           view.record.id,
           inFlight,
-          Math.round(view.ownPromptTokens()),
+          Math.round(view.localPromptTokens()),
           distrust,
-          Math.round(view.ownOverdueTokens()),
+          Math.round(view.localOverdueTokens()),
           succeeded,
           failed
         ])
--- a/src/forwarding/backends/backend-health.ts
+++ b/src/forwarding/backends/backend-health.ts
@@ -165,7 +165,7 @@
   }
 
   /// This process stood still until now and could not hear an answer.
-  resumeAfterPause(now: number): void {
+  onProcessResumed(now: number): void {
     this.lastHeardAt = Math.max(this.lastHeardAt, now)
   }
 
--- a/src/forwarding/choose/backend-picker-settings.ts
+++ b/src/forwarding/choose/backend-picker-settings.ts
@@ -1,5 +1,5 @@
 /// Settings of the choice of back ends.
-import {DEFAULT_PACE_BOOK_SETTINGS, type PaceBookSettings} from "../pace/pace-book.js"
+import {DEFAULT_PACE_TRACKER_SETTINGS, type PaceTrackerSettings} from "../pace/pace-book.js"
 
 /// Settings of the choice.
 export interface BackendPickerSettings {
@@ -30,7 +30,7 @@
   /// that runs out of memory puts back what it has begun to read. Default 0.7.
   readonly lateRoomShare: number
   /// How the back ends' pace is learned.
-  readonly pace: PaceBookSettings
+  readonly pace: PaceTrackerSettings
 }
 
 /// Default settings.
@@ -46,5 +46,5 @@
   decodePromptTokens: 300,
   onTimeShare: 0.6,
   lateRoomShare: 0.7,
-  pace: DEFAULT_PACE_BOOK_SETTINGS
+  pace: DEFAULT_PACE_TRACKER_SETTINGS
 }
--- a/src/forwarding/forward-manager.ts
+++ b/src/forwarding/forward-manager.ts
@@ -141,7 +141,7 @@
   /// until now is nobody's.
   resumeAfterPause(now: number): void {
     this.resumedAt = now
-    this.picker.resumeAfterPause(now)
+    this.picker.onProcessResumed(now)
   }
 
   /// Advances timers.
--- a/src/forwarding/pace/pace-book.ts
+++ b/src/forwarding/pace/pace-book.ts
@@ -10,7 +10,7 @@
 } from "./prompt-pace.js"
 
 /// Settings of the learning.
-export interface PaceBookSettings {
+export interface PaceTrackerSettings {
   /// How the groups' lines are learned.
   readonly line: PromptPaceSettings
   /// Shrinkage: an engine counts as average as though it had given so many average samples. Default 5: single
@@ -40,7 +40,7 @@
 }
 
 /// Default settings.
-export const DEFAULT_PACE_BOOK_SETTINGS: PaceBookSettings = {
+export const DEFAULT_PACE_TRACKER_SETTINGS: PaceTrackerSettings = {
   line: DEFAULT_PROMPT_PACE_SETTINGS,
   priorSamples: 5,
   halfLifeMs: 4000,
@@ -85,7 +85,7 @@
   private lastGroup: string | undefined
 
   constructor(
-    private readonly settings: PaceBookSettings,
+    private readonly settings: PaceTrackerSettings,
     private readonly getLine: (group: string) => PromptPace
   ) {}
 
@@ -198,7 +198,7 @@
 
 /// The speeds of all back ends that a daemon knows, and the lines of their groups. Times are monotonic
 /// milliseconds.
-export class PaceBook {
+export class PaceTracker {
   private readonly lines = new Map<string, PromptPace>()
   private readonly engines = new Map<string, EnginePace>()
   private fadedAt: number | undefined
@@ -208,7 +208,7 @@
     return line
   }
 
-  constructor(private readonly settings: PaceBookSettings) {}
+  constructor(private readonly settings: PaceTrackerSettings) {}
 
   /// The speed of this incarnation of a back end.
   get(id: string): EnginePace {
--- a/src/forwarding/permits/permit-manager.ts
+++ b/src/forwarding/permits/permit-manager.ts
@@ -152,7 +152,7 @@
   }
 
   /// This process stood still until now: what it was granted before is out of date.
-  resumeAfterPause(now: number): void {
+  onProcessResumed(now: number): void {
     for (const view of this.states.keys()) view.permits = 0
     this.buckets.resumeAfterPause(now)
   }
--- a/src/forwarding/retry/attempt-sender.ts
+++ b/src/forwarding/retry/attempt-sender.ts
@@ -123,7 +123,7 @@
     return {
       service,
       prompt: request.prompt,
-      confinedCaller: quarantineGate.getConfinedCaller(session, now),
+      isolatedCaller: quarantineGate.getConfinedCaller(session, now),
       prefilled: session.kvSource !== undefined,
       prefilledAt: session.kvSource?.address,
       bodyBytes: request.bodyBytes,
@@ -131,7 +131,7 @@
       engine: limits.getEngine(service),
       targetLeftMs: request.arrivedAt + route.targetLatencyMs - now,
       excluded,
-      maximumOwnInFlight: limits.getMaximumInFlight(service)
+      maximumLocalInFlight: limits.getMaximumInFlight(service)
     }
   }
 
--- a/src/parts/backend-signal-part.ts
+++ b/src/parts/backend-signal-part.ts
@@ -75,7 +75,7 @@
   }
 
   override ownPauseEnded(now: number): void {
-    this.surroundings.permits.resumeAfterPause(now)
+    this.surroundings.permits.onProcessResumed(now)
   }
 
   override clockStoodStill(forMs: number): void {
--- a/test/pace-book.test.ts
+++ b/test/pace-book.test.ts
@@ -2,9 +2,9 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import {
-  DEFAULT_PACE_BOOK_SETTINGS,
-  PaceBook,
-  type PaceBookSettings,
+  DEFAULT_PACE_TRACKER_SETTINGS,
+  PaceTracker,
+  type PaceTrackerSettings,
 } from '../src/forwarding/pace/pace-book.js';
 import { SeededRandom, type RandomSource } from '../src/shared/random.js';
 
@@ -19,7 +19,7 @@
   private now = 0;
 
   constructor(
-    readonly book: PaceBook,
+    readonly book: PaceTracker,
     private readonly random: RandomSource,
   ) {}
 
@@ -53,9 +53,9 @@
 
 function makeEngines(
   speeds: readonly number[],
-  settings: PaceBookSettings = DEFAULT_PACE_BOOK_SETTINGS,
+  settings: PaceTrackerSettings = DEFAULT_PACE_TRACKER_SETTINGS,
 ): Engines {
-  const engines = new Engines(new PaceBook(settings), new SeededRandom(SEED));
+  const engines = new Engines(new PaceTracker(settings), new SeededRandom(SEED));
   speeds.forEach((speed, index) => engines.speeds.set(`engine-${index}`, speed));
   return engines;
 }
@@ -148,7 +148,10 @@
   });
 
   it('makes the same of samples that other daemons took', () => {
-    const [teller, hearer] = [makeEngines(TWO_THIRDS_AVERAGE), new PaceBook(DEFAULT_PACE_BOOK_SETTINGS)];
+    const [teller, hearer] = [
+      makeEngines(TWO_THIRDS_AVERAGE),
+      new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS),
+    ];
     for (const id of teller.speeds.keys()) hearer.get(id);
     for (let step = 0; step < 40; step += 1) {
       teller.answer(1, 400);
@@ -163,7 +166,7 @@
   });
 
   it('is finite, positive and bounded whatever was measured or told', () => {
-    const { maximumRatio } = DEFAULT_PACE_BOOK_SETTINGS;
+    const { maximumRatio } = DEFAULT_PACE_TRACKER_SETTINGS;
     const figure = fc.oneof(
       fc.double(),
       fc.integer({ min: -10, max: 100_000 }),
@@ -172,7 +175,7 @@
     const step = fc.tuple(fc.constantFrom('sample', 'unanswered', 'told', 'tick'), figure, figure);
     fc.assert(
       fc.property(fc.array(step, { maxLength: 80 }), (steps) => {
-        const book = new PaceBook(DEFAULT_PACE_BOOK_SETTINGS);
+        const book = new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS);
         const pace = book.get('engine');
         for (const [kind, left, right] of steps) {
           if (kind === 'sample') pace.addSample(GROUP, left, right);
