--- a/src/forwarding/backends/advertised-limit.ts
+++ b/src/forwarding/backends/advertised-limit.ts
@@ -29,7 +29,7 @@
   }
 
   /// The clock has not counted so many milliseconds: what is known is older by them.
-  addAge(ms: number): void {
+  onMachineSuspended(ms: number): void {
     this.changedAt -= ms
   }
 
--- a/src/forwarding/backends/backend-directory.ts
+++ b/src/forwarding/backends/backend-directory.ts
@@ -2,7 +2,7 @@
 /// fleet's replica, the loads of other daemons from their digests.
 import type {BackendRecord} from "../routes/route.js"
 import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type PaceTrackerSettings} from "../pace/pace-book.js"
-import {CHANGING_DISTRUST, PeerLoads, type BackendLoad} from "./peer-loads.js"
+import {STAGE_CHANGE_VOTES, PeerLoads, type BackendLoad} from "./peer-loads.js"
 import type {BackendHealthSettings} from "./backend-health.js"
 import {BackendView} from "./backend-view.js"
 import {SignalState} from "./signal-state.js"
@@ -38,7 +38,7 @@
   put(record: BackendRecord): void {
     const known = this.views.get(record.id)
     if (known) {
-      if (known.record.address !== record.address) known.pace.forget()
+      if (known.record.address !== record.address) known.pace.reset()
       if (known.record.bornMs !== record.bornMs) known.signals = this.getSignals(record)
       known.record = record
       return
@@ -60,9 +60,9 @@
   remove(id: string): BackendView | undefined {
     const view = this.views.get(id)
     if (!view) return undefined
-    view.gone = true
+    view.removed = true
     this.views.delete(id)
-    if (!view.signals.hasSaidAnything()) this.signals.delete(getIncarnation(view.record))
+    if (!view.signals.hasSignals()) this.signals.delete(getIncarnation(view.record))
     this.paces.remove(id)
     const others = (this.byService.get(view.record.service) ?? []).filter(other => other !== view)
     this.byService.set(view.record.service, others)
@@ -112,7 +112,7 @@
   takeLoads(now: number): BackendLoad[] {
     const loads: BackendLoad[] = []
     for (const view of this.views.values()) {
-      const distrust = view.changing ? CHANGING_DISTRUST : view.isEjected(now) ? EJECTED_DISTRUST : 0
+      const distrust = view.isChangingStage ? STAGE_CHANGE_VOTES : view.isEjected(now) ? EJECTED_DISTRUST : 0
       const inFlight = view.localInFlight()
       const {succeeded, failed} = view.health.takeOutcomes()
       if (inFlight + distrust + succeeded + failed > 0)
--- a/src/forwarding/backends/backend-view.ts
+++ b/src/forwarding/backends/backend-view.ts
@@ -20,9 +20,9 @@
 /// The state of one back end. Times are monotonic milliseconds.
 export class BackendView {
   /// The incarnation has ended or its address belongs to another one.
-  gone = false
+  removed = false
   /// This daemon is changing the engine's stage.
-  changing = false
+  isChangingStage = false
   /// Whether it works, as far as this daemon knows.
   readonly health: BackendHealth
   /// Requests that this daemon may send there while it names a limit.
@@ -84,12 +84,12 @@
 
   /// Whether nothing should be sent there while another back end can take it.
   isEjected(now: number): boolean {
-    return this.changing || this.health.isEjected(now)
+    return this.isChangingStage || this.health.isEjected(now)
   }
 
   /// Whether new work may go there at all.
   takesWork(): boolean {
-    return !this.gone && this.record.state === "ready" && !this.signals.isLeaving
+    return !this.removed && this.record.state === "ready" && !this.signals.isLeaving
   }
 
   /// Whether it wants nothing from this daemon now.
--- a/src/forwarding/choose/prompt-picker.ts
+++ b/src/forwarding/choose/prompt-picker.ts
@@ -119,18 +119,19 @@
     backend: BackendView,
     cacheHolders: readonly CacheHolder[]
   ): PromptWork {
-    const {minimumCopyTokens, minimumAffinityTokens, readAgainFactor, copyFactor} = this.settings
+    const {minimumCopyTokens, minimumAffinityTokens, recomputeFactor, copyFactor} = this.settings
     const shared = sharedTokens(prompt)
     const keptTokens = this.kvIndex.getKeptTokens(backend.record.id, prompt)
     const cacheHolder = transfers ? transfers.pickCacheHolder(cacheHolders, backend) : cacheHolders[0]
     const missing = (cacheHolder?.tokens ?? 0) - keptTokens
     const copiedTokens = missing >= minimumCopyTokens ? missing : 0
     const promptTokens = prompt.promptTokens - keptTokens - copiedTokens
-    const coldTokens = Math.max(0, shared - keptTokens - copiedTokens)
+    const uncachedTokens = Math.max(0, shared - keptTokens - copiedTokens)
     const atHome = backend.record.id === home
-    const readElsewhere = atHome || shared < minimumAffinityTokens ? 0 : coldTokens * (readAgainFactor - 1)
+    const recomputeCost =
+      atHome || shared < minimumAffinityTokens ? 0 : uncachedTokens * (recomputeFactor - 1)
     const copyCost = transfers ? 0 : copiedTokens * copyFactor
-    const cost = promptTokens + readElsewhere + copyCost
+    const cost = promptTokens + recomputeCost + copyCost
     const copyFrom = copiedTokens > 0 ? cacheHolder?.backend : undefined
     const transfer = transfers?.getTransfer(backend, copyFrom, copiedTokens)
     const distanceTokens = transfer ? transfer.costMs * this.getTokensPerMs(backend) : 0
@@ -167,9 +168,9 @@
   ): boolean {
     if (!engine) return true
     const requests = view.inFlight() + 1
-    const {lateRoomShare} = this.settings
-    const memory = requests * prompt.promptTokens <= engine.kvCapacityTokens * lateRoomShare
-    return memory && requests <= engine.slots * lateRoomShare
+    const {overdueCapacityShare} = this.settings
+    const memory = requests * prompt.promptTokens <= engine.kvCapacityTokens * overdueCapacityShare
+    return memory && requests <= engine.slots * overdueCapacityShare
   }
 
   /// The engines of the service that keep some of the prompt, of whatever stage; one that keeps most of it is
@@ -178,7 +179,7 @@
     const cacheHolders: CacheHolder[] = []
     let most = 0
     for (const backend of this.directory.ofService(service)) {
-      if (backend.gone || backend.health.hasLostContact() || this.distance.isCutOff(backend)) continue
+      if (backend.removed || backend.health.hasLostContact() || this.distance.isCutOff(backend)) continue
       const tokens = this.kvIndex.getKeptTokens(backend.record.id, prompt)
       if (tokens > most) {
         most = tokens
--- a/src/forwarding/pace/pace-book.ts
+++ b/src/forwarding/pace/pace-book.ts
@@ -4,7 +4,7 @@
 /// another one and starts as an average one.
 import {
   DEFAULT_PROMPT_PACE_SETTINGS,
-  isSensibleSample,
+  isValidSample,
   PromptPace,
   type PromptPaceSettings
 } from "./prompt-pace.js"
@@ -21,12 +21,12 @@
   /// that factors stay near 1 there but for engines that are many times slower.
   readonly halfLifeMs: number
   /// What the samples before still count after one more. Default 0.96.
-  readonly memory: number
+  readonly sampleDecay: number
   /// A sample that is so many times slower or faster than the engine is thought to be is a surprise. Default
   /// 2.5.
-  readonly surpriseRatio: number
+  readonly outlierRatio: number
   /// What the samples before still count after a second surprise in the same direction. Default 0.5.
-  readonly surpriseMemory: number
+  readonly outlierDecay: number
   /// No sample counts as more times slower or faster than this. Default 8.
   readonly maximumRatio: number
   /// Samples of one engine move its group's line as though at most so many times slower than expected.
@@ -36,7 +36,7 @@
   /// of a group may take longer than its line says. Default 2.
   readonly slowFactor: number
   /// A slow one is told as sound again below this. Default 1.5.
-  readonly soundFactor: number
+  readonly recoveredFactor: number
 }
 
 /// Default settings.
@@ -44,13 +44,13 @@
   line: DEFAULT_PROMPT_PACE_SETTINGS,
   priorSamples: 5,
   halfLifeMs: 4000,
-  memory: 0.96,
-  surpriseRatio: 2.5,
-  surpriseMemory: 0.5,
+  sampleDecay: 0.96,
+  outlierRatio: 2.5,
+  outlierDecay: 0.5,
   maximumRatio: 8,
   maximumLineRatio: 3,
   slowFactor: 2,
-  soundFactor: 1.5
+  recoveredFactor: 1.5
 }
 
 /// What a line says: prompts computed apart by the tokens in front, first events of whole requests by the
@@ -78,7 +78,7 @@
 export class EnginePace {
   private weight = 0
   private ratioSum = 0
-  private surprises = 0
+  private outliers = 0
   private unsentSum = 0
   private unsentCount = 0
   private slow = false
@@ -97,28 +97,28 @@
 
   /// The engine took `ms` over something that had `load` in front of it. Senseless figures are ignored.
   addSample(group: string, load: number, ms: number): void {
-    if (!isSensibleSample(load, ms)) return
+    if (!isValidSample(load, ms)) return
     this.lastGroup = group
     const line = this.getLine(group)
     const expectedMs = line.getExpectedMs(load)
     const known = expectedMs !== undefined && expectedMs > 0
     line.addSample(load, known ? Math.min(ms, expectedMs * this.settings.maximumLineRatio) : ms)
-    if (known) this.addOwn(ms / expectedMs)
+    if (known) this.addLocal(ms / expectedMs)
   }
 
   /// The engine had not answered after `ms`, when it was asked no longer: a sample where that is longer than
   /// it should take.
   addUnanswered(group: string, load: number, ms: number): void {
-    if (!isSensibleSample(load, ms)) return
+    if (!isValidSample(load, ms)) return
     const expectedMs = this.getLine(group).getExpectedMs(load)
     if (expectedMs === undefined || expectedMs <= 0) return
-    if (ms > expectedMs * this.factor()) this.addOwn(ms / expectedMs)
+    if (ms > expectedMs * this.factor()) this.addLocal(ms / expectedMs)
   }
 
   /// Samples of other daemons.
   applyEvidence(ratioSum: number, count: number): void {
-    const sensible = count > 0 && count <= MAXIMUM_COUNT && ratioSum >= 0
-    if (sensible) this.add(ratioSum / count, count)
+    const valid = count > 0 && count <= MAXIMUM_COUNT && ratioSum >= 0
+    if (valid) this.add(ratioSum / count, count)
   }
 
   /// Samples of this daemon since the last call.
@@ -130,18 +130,18 @@
   }
 
   /// What is known counts this part from now on.
-  fade(keptShare: number): void {
+  decay(keptShare: number): void {
     this.weight *= keptShare
     this.ratioSum *= keptShare
     if (this.weight >= MINIMUM_WEIGHT) return
-    this.forget()
+    this.reset()
   }
 
   /// Another engine answers there now.
-  forget(): void {
+  reset(): void {
     this.weight = 0
     this.ratioSum = 0
-    this.surprises = 0
+    this.outliers = 0
   }
 
   /// The group that it was last measured in; undefined before this daemon has.
@@ -151,10 +151,10 @@
 
   /// The change since the last call: it has turned slow beside the middle one of its group, or is sound
   /// again.
-  takeChange(middleFactor: number): "slow" | "sound" | undefined {
-    const {slowFactor, soundFactor} = this.settings
-    const factor = this.factor() / middleFactor
-    const slow = this.slow ? factor > soundFactor : factor >= slowFactor
+  takeChange(medianFactor: number): "slow" | "sound" | undefined {
+    const {slowFactor, recoveredFactor} = this.settings
+    const factor = this.factor() / medianFactor
+    const slow = this.slow ? factor > recoveredFactor : factor >= slowFactor
     if (slow === this.slow) return undefined
     this.slow = slow
     return slow ? "slow" : "sound"
@@ -165,32 +165,32 @@
     return this.slow
   }
 
-  private addOwn(ratio: number): void {
-    const bounded = this.bound(ratio)
-    this.unsentSum += bounded
+  private addLocal(ratio: number): void {
+    const clamped = this.clamp(ratio)
+    this.unsentSum += clamped
     this.unsentCount += 1
-    this.add(bounded, 1)
+    this.add(clamped, 1)
   }
 
   private add(ratio: number, count: number): void {
-    const bounded = this.bound(ratio)
-    const kept = this.countSurprise(bounded, count)
-      ? this.settings.surpriseMemory
-      : this.settings.memory ** count
+    const clamped = this.clamp(ratio)
+    const kept = this.countOutlier(clamped, count)
+      ? this.settings.outlierDecay
+      : this.settings.sampleDecay ** count
     this.weight = this.weight * kept + count
-    this.ratioSum = this.ratioSum * kept + bounded * count
+    this.ratioSum = this.ratioSum * kept + clamped * count
   }
 
   /// Whether so much speaks against what was known that it is forgotten sooner.
-  private countSurprise(ratio: number, count: number): boolean {
-    const {surpriseRatio} = this.settings
+  private countOutlier(ratio: number, count: number): boolean {
+    const {outlierRatio} = this.settings
     const beside = ratio / this.factor()
-    const direction = beside > surpriseRatio ? 1 : beside < 1 / surpriseRatio ? -1 : 0
-    this.surprises = direction * this.surprises > 0 ? this.surprises + direction * count : direction * count
-    return Math.abs(this.surprises) >= 2
+    const direction = beside > outlierRatio ? 1 : beside < 1 / outlierRatio ? -1 : 0
+    this.outliers = direction * this.outliers > 0 ? this.outliers + direction * count : direction * count
+    return Math.abs(this.outliers) >= 2
   }
 
-  private bound(ratio: number): number {
+  private clamp(ratio: number): number {
     const {maximumRatio} = this.settings
     return Math.min(maximumRatio, Math.max(1 / maximumRatio, ratio))
   }
@@ -201,7 +201,7 @@
 export class PaceTracker {
   private readonly lines = new Map<string, PromptPace>()
   private readonly engines = new Map<string, EnginePace>()
-  private fadedAt: number | undefined
+  private decayedAt: number | undefined
   private readonly getLine = (group: string): PromptPace => {
     let line = this.lines.get(group)
     if (!line) this.lines.set(group, (line = new PromptPace(this.settings.line)))
@@ -229,38 +229,38 @@
 
   /// Lets samples fade.
   tick(now: number): void {
-    const passedMs = now - (this.fadedAt ?? now)
-    this.fadedAt = now
+    const passedMs = now - (this.decayedAt ?? now)
+    this.decayedAt = now
     if (passedMs <= 0) return
     const keptShare = 0.5 ** (passedMs / this.settings.halfLifeMs)
-    for (const pace of this.engines.values()) pace.fade(keptShare)
+    for (const pace of this.engines.values()) pace.decay(keptShare)
   }
 
   /// Engines that have turned slow or sound since the last call.
   takeChanges(): PaceChange[] {
     const changes: PaceChange[] = []
-    const middles = this.getMiddles()
+    const medians = this.getMedians()
     for (const [id, pace] of this.engines) {
-      const change = pace.takeChange(middles.get(pace.group()) ?? 1)
+      const change = pace.takeChange(medians.get(pace.group()) ?? 1)
       if (change) changes.push({id, slow: change === "slow", factor: pace.factor()})
     }
     return changes
   }
 
   /// The middle factor of each group; the lower one of two.
-  private getMiddles(): ReadonlyMap<string | undefined, number> {
+  private getMedians(): ReadonlyMap<string | undefined, number> {
     const byGroup = new Map<string | undefined, number[]>()
     for (const pace of this.engines.values()) {
       const factors = byGroup.get(pace.group()) ?? []
       factors.push(pace.factor())
       byGroup.set(pace.group(), factors)
     }
-    const middles = new Map<string | undefined, number>()
+    const medians = new Map<string | undefined, number>()
     for (const [group, factors] of byGroup) {
       factors.sort((left, right) => left - right)
-      middles.set(group, factors[(factors.length - 1) >> 1])
+      medians.set(group, factors[(factors.length - 1) >> 1])
     }
-    return middles
+    return medians
   }
 
   /// This daemon's samples since the last call, for its peers.
--- a/src/forwarding/permits/backend-limits.ts
+++ b/src/forwarding/permits/backend-limits.ts
@@ -31,7 +31,7 @@
 
   /// The back ends that name a limit now.
   getLimited(): BackendView[] {
-    return [...this.views].filter(view => !view.gone && view.limit.get() !== undefined)
+    return [...this.views].filter(view => !view.removed && view.limit.get() !== undefined)
   }
 
   /// The record of a back end is there, or has come back after a lapse.
@@ -69,13 +69,13 @@
   }
 
   /// The clock has not counted so many milliseconds.
-  addAge(ms: number): void {
-    for (const {limit} of this.views) limit.addAge(ms)
+  onMachineSuspended(ms: number): void {
+    for (const {limit} of this.views) limit.onMachineSuspended(ms)
   }
 
   /// Forgets back ends that are gone.
   tick(): void {
-    for (const view of this.views) if (view.gone) this.views.delete(view)
+    for (const view of this.views) if (view.removed) this.views.delete(view)
   }
 
   private setChanged(view: BackendView, now: number): void {
--- a/src/forwarding/permits/permit-manager.ts
+++ b/src/forwarding/permits/permit-manager.ts
@@ -141,7 +141,7 @@
   }
 
   /// Any message of a daemon shows that it runs.
-  hear(fromId: string, now: number): void {
+  onContact(fromId: string, now: number): void {
     this.buckets.hear(fromId, now)
   }
 
--- a/src/forwarding/retry/attempt-outcomes.ts
+++ b/src/forwarding/retry/attempt-outcomes.ts
@@ -127,7 +127,7 @@
     now: number
   ): void {
     const {backend} = attempt.choice
-    if (wrongIncarnation) backend.gone = true
+    if (wrongIncarnation) backend.removed = true
     else backend.health.addRejection(now)
     removeAttempt(session, attempt)
     session.arrivals += 1
