--- a/src/forwarding/backends/backend-directory.ts
+++ b/src/forwarding/backends/backend-directory.ts
@@ -1,5 +1,5 @@
-/// All back ends that this daemon knows, by id and by service. Owns their views; the records come from the
-/// fleet's replica, the loads of other daemons from their digests.
+/// All back ends that this daemon knows, by id and by service. Owns their views; relies on the fleet's
+/// replica for the records and on the digests of the peers for the load of other daemons.
 import type {BackendRecord} from "../routes/route.js"
 import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type PaceTrackerSettings} from "../pace/pace-book.js"
 import {STAGE_CHANGE_VOTES, PeerLoads, type BackendLoad} from "./peer-loads.js"
@@ -8,23 +8,23 @@
 import {SignalState} from "./signal-state.js"
 import {getIncarnation} from "../../quarantine/incarnation.js"
 
-/// Distrust of a daemon that ejects a back end, in the digest of its load (peer-loads.ts).
-const EJECTED_DISTRUST = 1
+/// Ejection votes in the digest (peer-loads.ts) of a daemon that ejects a back end.
+const EJECTION_VOTES = 1
 
-/// What so many incarnations say of themselves is kept at most, the newest: several times those of a large
-/// fleet.
+/// Signal states kept at most, one per incarnation; the oldest are dropped first. Several times the number of
+/// back ends in a large fleet.
 const MAXIMUM_SIGNAL_STATES = 4096
 
 /// The directory of one daemon. Times are monotonic milliseconds.
 export class BackendDirectory {
   private readonly views = new Map<string, BackendView>()
   private readonly byService = new Map<string, BackendView[]>()
-  /// By incarnation, also of those whose records are gone.
+  /// By incarnation, including those whose records were removed.
   private readonly signals = new Map<string, SignalState>()
-  /// What the other daemons put on the back ends.
+  /// Load that the other daemons put on the back ends.
   readonly peers = new PeerLoads()
 
-  /// How fast the back ends work.
+  /// Speed of the back ends relative to their groups.
   readonly paces: PaceTracker
 
   constructor(
@@ -34,7 +34,7 @@
     this.paces = new PaceTracker(paceSettings)
   }
 
-  /// Takes the present record of a back end.
+  /// Adds a back end, or replaces its record.
   put(record: BackendRecord): void {
     const known = this.views.get(record.id)
     if (known) {
@@ -56,7 +56,7 @@
     this.byService.set(record.service, views)
   }
 
-  /// Forgets a back end whose record is gone. Attempts that run there end by themselves.
+  /// Removes a back end whose record was removed. Attempts that are in flight there are left to finish.
   remove(id: string): BackendView | undefined {
     const view = this.views.get(id)
     if (!view) return undefined
@@ -80,7 +80,7 @@
     return signals
   }
 
-  /// Whether an incarnation has said that it leaves, in its record or by itself.
+  /// Whether an incarnation is leaving, by its record or by a signal in one of its answers.
   isLeaving(record: BackendRecord): boolean {
     return record.state !== "ready" || this.signals.get(getIncarnation(record))?.isLeaving === true
   }
@@ -100,27 +100,31 @@
     return this.views.values()
   }
 
-  /// Takes the loads of the whole fleet, with what became of its attempts.
+  /// Applies a digest with the loads of the whole fleet and the outcomes of its attempts.
   applyFleetLoads(source: string, loads: readonly BackendLoad[], now: number): void {
     this.peers.applyDigest(source, loads, now)
     for (const [id, , , , , succeeded = 0, failed = 0] of loads)
       if (succeeded + failed > 0) this.views.get(id)?.health.applyFleetOutcomes(succeeded, failed, now)
   }
 
-  /// This daemon's own load, for its peers: back ends with work or trouble only, and attempts that have ended
-  /// since the last call.
+  /// This daemon's load, for its peers: only back ends with requests in flight, ejection votes or attempts
+  /// that ended since the last call. Resets the counts of outcomes.
   takeLoads(now: number): BackendLoad[] {
     const loads: BackendLoad[] = []
     for (const view of this.views.values()) {
-      const distrust = view.isChangingStage ? STAGE_CHANGE_VOTES : view.isEjected(now) ? EJECTED_DISTRUST : 0
+      const ejectionVotes = view.isChangingStage
+        ? STAGE_CHANGE_VOTES
+        : view.isEjected(now)
+          ? EJECTION_VOTES
+          : 0
       const inFlight = view.localInFlight()
       const {succeeded, failed} = view.health.takeOutcomes()
-      if (inFlight + distrust + succeeded + failed > 0)
+      if (inFlight + ejectionVotes + succeeded + failed > 0)
         loads.push([
           view.record.id,
           inFlight,
           Math.round(view.localPromptTokens()),
-          distrust,
+          ejectionVotes,
           Math.round(view.localOverdueTokens()),
           succeeded,
           failed
--- a/src/forwarding/backends/backend-signals.ts
+++ b/src/forwarding/backends/backend-signals.ts
@@ -1,23 +1,24 @@
-/// What a back end says of itself in the head of an answer, whatever it answers.
+/// Signals about a back end's own state that it sends in the headers of any answer.
 
 /// The signals of one answer.
 export interface BackendSignals {
-  /// Requests a second that the back end takes from all daemons together; undefined when it names no limit.
+  /// Requests a second that the back end accepts from all daemons together; undefined when the answer carries
+  /// no limit.
   readonly requestsPerSecond: number | "unreadable" | undefined
-  /// It leaves: it serves what it has and wants nothing new.
+  /// It is leaving: it finishes the requests it has and accepts no new ones.
   readonly isLeaving: boolean
-  /// It has turned the request away, and wants nothing from this daemon for so long. Milliseconds; undefined
-  /// when it does not say.
+  /// It rejected the request and asks this daemon to back off for this time. Milliseconds; undefined when it
+  /// gives no time.
   readonly retryAfterMs: number | undefined
-  /// Signals whose values cannot be read, as they came. They count for nothing.
+  /// Raw text of the signals whose values cannot be parsed; these are ignored.
   readonly unreadable: readonly string[]
 }
 
-/// The signals of an answer, with what tells how far they count.
+/// The signals of an answer, with what is needed to decide which of them apply.
 export interface SignalReport {
   readonly signals: BackendSignals
-  /// When the request was sent that was so answered. Monotonic milliseconds.
+  /// When the request was sent that the back end answered. Monotonic milliseconds.
   readonly sentAt: number
-  /// Whether the answer would name a limit if there were one. One that a back end gives in trouble may not.
+  /// Whether an answer without a limit means that there is none. An error answer may omit the limit.
   readonly isConclusive: boolean
 }
--- a/src/forwarding/backends/backend-view.ts
+++ b/src/forwarding/backends/backend-view.ts
@@ -1,6 +1,6 @@
-/// One incarnation of a back end as this daemon sees it. Owns its record, the attempts of this daemon there
-/// and the prompt tokens that wait for them; its health has a class of its own (backend-health.ts). Relies on
-/// the peers' digests for the load of the other daemons.
+/// One incarnation of a back end as this daemon sees it. Owns its record, this daemon's attempts there and
+/// their uncomputed prompt tokens; its health has a class of its own (backend-health.ts). Relies on the
+/// peers' digests for the load of the other daemons.
 import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type EnginePace} from "../pace/pace-book.js"
 import type {AdvertisedLimit} from "./advertised-limit.js"
 import {BackendHealth, type BackendHealthSettings} from "./backend-health.js"
@@ -12,20 +12,20 @@
   readonly sentAt: number
   /// Prompt tokens to be computed there.
   readonly promptTokens: number
-  /// It gives way to prompts that can still be in time.
+  /// It is computed after prompts that can still meet their target.
   readonly overdue: boolean
   answering: boolean
 }
 
 /// The state of one back end. Times are monotonic milliseconds.
 export class BackendView {
-  /// The incarnation has ended or its address belongs to another one.
+  /// The incarnation has ended or its address belongs to another one; nothing may be sent there.
   removed = false
-  /// This daemon is changing the engine's stage.
+  /// Whether this daemon is changing the engine's stage.
   isChangingStage = false
-  /// Whether it works, as far as this daemon knows.
+  /// Failures and lost contact, as this daemon sees them.
   readonly health: BackendHealth
-  /// Requests that this daemon may send there while it names a limit.
+  /// Requests that this daemon may send there while the back end advertises a limit.
   permits = 0
   private readonly attempts = new Map<string, SentAttempt>()
   private localPendingTokens = 0
@@ -35,9 +35,9 @@
     public record: BackendRecord,
     healthSettings: BackendHealthSettings,
     private readonly peers: PeerLoads,
-    /// How fast it works beside the others of its group.
+    /// Its speed relative to its group.
     readonly pace: EnginePace = new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS).get(record.id),
-    /// What its present incarnation says of itself.
+    /// The signals of its current incarnation.
     public signals = new SignalState()
   ) {
     this.health = new BackendHealth(healthSettings, {
@@ -46,20 +46,20 @@
     })
   }
 
-  /// How many requests a second it takes, as it says itself.
+  /// The request rate that it advertises.
   get limit(): AdvertisedLimit {
     return this.signals.limit
   }
 
-  /// Counts an attempt with so many prompt tokens to compute; an overdue one gives way to those that can be
-  /// in time.
+  /// Adds an attempt with `promptTokens` to compute and uses a permit. An overdue prompt is computed after
+  /// those that can still meet their target.
   addAttempt(attemptId: string, promptTokens: number, now: number, overdue = false): void {
     this.permits = Math.max(0, this.permits - 1)
     this.attempts.set(attemptId, {sentAt: now, promptTokens, overdue, answering: false})
     this.addPending(promptTokens, overdue)
   }
 
-  /// The attempt has begun to answer: its prompt is computed.
+  /// The back end has begun to answer the attempt: its prompt is computed.
   onAnswering(attemptId: string, now: number): void {
     this.health.onAnswering(now)
     const attempt = this.attempts.get(attemptId)
@@ -68,7 +68,7 @@
     this.addPending(-attempt.promptTokens, attempt.overdue)
   }
 
-  /// The attempt is over.
+  /// Removes an attempt that has ended.
   removeAttempt(attemptId: string): void {
     const attempt = this.attempts.get(attemptId)
     if (!attempt) return
@@ -76,69 +76,69 @@
     if (!attempt.answering) this.addPending(-attempt.promptTokens, attempt.overdue)
   }
 
-  /// Whether an attempt that was sent before a moment is still there.
+  /// Whether an attempt that was sent before `moment` is still in flight.
   hasAttemptBefore(moment: number): boolean {
     for (const {sentAt} of this.attempts.values()) if (sentAt < moment) return true
     return false
   }
 
-  /// Whether nothing should be sent there while another back end can take it.
+  /// Whether it is to be avoided while another back end can take the work.
   isEjected(now: number): boolean {
     return this.isChangingStage || this.health.isEjected(now)
   }
 
-  /// Whether new work may go there at all.
+  /// Whether it accepts new work at all.
   takesWork(): boolean {
     return !this.removed && this.record.state === "ready" && !this.signals.isLeaving
   }
 
-  /// Whether it wants nothing from this daemon now.
+  /// Whether it has asked this daemon to back off until a later time.
   isBackingOff(now: number): boolean {
     return now < this.signals.getBackOffEnd()
   }
 
-  /// Whether a request may be sent there now: it takes work, has not asked this daemon to back off, and its
-  /// limit leaves room.
+  /// Whether a request may be sent there now: it accepts work, has not asked this daemon to back off, and
+  /// advertises no limit or this daemon has a permit.
   mayReceive(now: number): boolean {
     return this.takesWork() && !this.isBackingOff(now) && (this.limit.get() === undefined || this.permits > 0)
   }
 
-  /// Whether so many other daemons eject it that this one avoids it too.
+  /// Whether enough other daemons eject it for this one to avoid it too.
   isEjectedByPeers(): boolean {
     return this.peers.isEjectedByPeers(this.record.id)
   }
 
-  /// Attempts of this daemon.
+  /// Attempts of this daemon in flight.
   localInFlight(): number {
     return this.attempts.size
   }
 
-  /// Attempts of all daemons, as far as they have told.
+  /// Attempts of all daemons in flight, by their last digests.
   inFlight(): number {
     return this.attempts.size + this.peers.getInFlight(this.record.id)
   }
 
-  /// Prompt tokens that this daemon has sent and that are still to be computed, overdue ones aside.
+  /// Prompt tokens that this daemon has sent and that still have to be computed, without overdue prompts.
   localPromptTokens(): number {
     return Math.max(0, this.localPendingTokens)
   }
 
-  /// The same of overdue prompts.
+  /// The same for overdue prompts.
   localOverdueTokens(): number {
     return Math.max(0, this.localPendingOverdueTokens)
   }
 
-  /// Prompt tokens of all daemons that are still to be computed, overdue ones aside.
+  /// Prompt tokens of all daemons that still have to be computed, without overdue prompts.
   pendingTokens(): number {
     return this.localPromptTokens() + this.peers.getPendingTokens(this.record.id)
   }
 
-  /// The same of overdue prompts.
+  /// The same for overdue prompts.
   overdueTokens(): number {
     return this.localOverdueTokens() + this.peers.getOverdueTokens(this.record.id)
   }
 
-  /// When the oldest attempt was sent that has no answer yet; Infinity when there is none.
+  /// When the oldest unanswered attempt was sent; Infinity when there is none.
   private getOldestSentAt(): number {
     let oldest = Infinity
     for (const attempt of this.attempts.values())
--- a/src/forwarding/backends/health-prober.ts
+++ b/src/forwarding/backends/health-prober.ts
@@ -1,4 +1,5 @@
-/// Asks back ends that stay silent or refuse connections whether they work again, so that no request has to.
+/// Probes back ends that are silent or refuse connections, so that no request has to find out whether they
+/// work again. Owns the times of the last probes; relies on the directory for the health of the back ends.
 import type {EffectSink} from "../../shared/effect-sink.js"
 import type {BackendDirectory} from "./backend-directory.js"
 import type {BackendRecord} from "../routes/route.js"
@@ -8,7 +9,7 @@
   readonly backend: BackendRecord
 }
 
-/// Interval between probes of one back end. Milliseconds.
+/// Time between probes of one back end. Milliseconds.
 const PROBE_INTERVAL_MS = 500
 
 /// The prober of one daemon. Times are monotonic milliseconds.
@@ -35,8 +36,8 @@
     }
   }
 
-  /// Takes the outcome of a probe.
-  onAnswer(id: string, well: boolean, now: number): void {
-    if (well) this.directory.get(id)?.health.onProbeAnswered(now)
+  /// Applies the outcome of a probe.
+  onAnswer(id: string, succeeded: boolean, now: number): void {
+    if (succeeded) this.directory.get(id)?.health.onProbeAnswered(now)
   }
 }
--- a/src/forwarding/backends/region-contact.ts
+++ b/src/forwarding/backends/region-contact.ts
@@ -1,16 +1,18 @@
-/// Which other regions this daemon has no way to, as far as its attempts and probes tell. To find each engine
-/// of such a region lost by an attempt of its own would cost a request the time-out of a connection each.
+/// Finds the other regions that this daemon cannot reach, from the outcomes of its attempts and probes.
+/// Without it, each engine of such a region would have to be found lost by an attempt of its own, and each of
+/// these would cost a request a connection time-out.
 import type {BackendDistance} from "../choose/backend-distance.js"
 import type {BackendView} from "./backend-view.js"
 
-/// Back ends lost one after the other, with none heard from since, that make a region count as cut off. One
-/// alone has more likely crashed itself.
-const LOST_TOGETHER = 2
+/// A region counts as cut off after contact to this number of its back ends was lost, with no contact to any
+/// of its back ends since. A single lost back end has more likely crashed.
+const MINIMUM_LOST = 2
 
-/// A loss says nothing of its region after this: those that were lost may be gone for good. Milliseconds.
-const BELIEVED_MS = 4000
+/// A lost contact counts for this time: after it, the back end may have been removed for good, which says
+/// nothing about its region. Milliseconds.
+const LOSS_EXPIRY_MS = 4000
 
-/// The other regions that are cut off from this daemon.
+/// The regions, other than this daemon's, that it cannot reach.
 export function findCutOffRegions(
   views: Iterable<BackendView>,
   distance: BackendDistance,
@@ -20,20 +22,23 @@
   for (const view of views) {
     const region = distance.getOtherRegion(view)
     if (region === undefined) continue
-    const there = byRegion.get(region)
-    if (there) there.push(view)
+    const regionViews = byRegion.get(region)
+    if (regionViews) regionViews.push(view)
     else byRegion.set(region, [view])
   }
-  return new Set([...byRegion].filter(([, there]) => isCutOff(there, now)).map(([region]) => region))
+  return new Set(
+    [...byRegion].filter(([, regionViews]) => isCutOff(regionViews, now)).map(([region]) => region)
+  )
 }
 
-/// Whether enough back ends were lost since any of the region was last heard from. They are probed, and the
-/// first that answers ends it.
+/// Whether contact to enough back ends was lost since the last contact to any back end of the region. The
+/// lost ones are probed, and the first successful probe ends the state.
 function isCutOff(views: readonly BackendView[], now: number): boolean {
-  let heardAt = now - BELIEVED_MS
-  for (const view of views) heardAt = Math.max(heardAt, view.health.getContactTimes().heardAt)
+  let lastContactAt = now - LOSS_EXPIRY_MS
+  for (const view of views)
+    lastContactAt = Math.max(lastContactAt, view.health.getContactTimes().lastContactAt)
   const lost = views.filter(
-    view => view.health.hasLostContact() && view.health.getContactTimes().lostAt > heardAt
+    view => view.health.hasLostContact() && view.health.getContactTimes().lostAt > lastContactAt
   )
-  return lost.length >= Math.min(LOST_TOGETHER, views.length)
+  return lost.length >= Math.min(MINIMUM_LOST, views.length)
 }
--- a/src/forwarding/backends/signal-state.ts
+++ b/src/forwarding/backends/signal-state.ts
@@ -1,27 +1,27 @@
-/// What one incarnation of a back end says of itself, as far as this daemon knows. It outlives the back end's
-/// view: a record may lapse and come back while its back end runs on.
+/// The signals that one incarnation of a back end has sent, as far as this daemon knows. They outlive the
+/// back end's view: a record may expire and be added again while its back end keeps running.
 import {AdvertisedLimit} from "./advertised-limit.js"
 
-/// The state of one incarnation.
+/// The signals of one incarnation.
 export class SignalState {
-  /// How many requests a second it takes.
+  /// The request rate that it advertises.
   readonly limit = new AdvertisedLimit()
 
-  /// It has said that it leaves; it cannot take that back.
+  /// Whether it has signalled that it is leaving; never revoked.
   isLeaving = false
   private backOffUntil = -Infinity
 
-  /// It wants nothing from this daemon until then. What it has said before stays in force.
+  /// It asks this daemon to back off until `until`. An earlier back-off that lasts longer stays in force.
   addBackOff(until: number): void {
     this.backOffUntil = Math.max(this.backOffUntil, until)
   }
 
-  /// Until when it wants nothing from this daemon. Monotonic milliseconds.
+  /// End of its latest back-off; -Infinity when it never asked for one. Monotonic milliseconds.
   getBackOffEnd(): number {
     return this.backOffUntil
   }
 
-  /// Whether it has said anything that still counts.
+  /// Whether it has sent any signal that has to be kept.
   hasSignals(): boolean {
     return this.isLeaving || this.backOffUntil > -Infinity || this.limit.getChangedAt() > -Infinity
   }
--- a/src/forwarding/backends/window-count.ts
+++ b/src/forwarding/backends/window-count.ts
@@ -1,16 +1,16 @@
-/// How often something has happened within a sliding window.
+/// Counts events within a sliding window.
 
-/// Resolution of the counts. Milliseconds.
+/// Width of a bucket, the resolution of the counts. Milliseconds.
 export const BUCKET_MS = 250
 
-/// Counts of a sliding window in buckets. Times are monotonic milliseconds and do not go back.
+/// A sliding window of buckets. Times are monotonic milliseconds and must not decrease.
 export class WindowCount {
   private readonly buckets: {readonly number: number; count: number}[] = []
   private sum = 0
 
   constructor(private readonly windowMs: number) {}
 
-  /// Counts one event.
+  /// Adds one event.
   add(now: number): void {
     const number = Math.floor(now / BUCKET_MS)
     const last = this.buckets.at(-1)
@@ -19,7 +19,7 @@
     this.sum += 1
   }
 
-  /// Events within the window that ends now, up to a bucket more.
+  /// Events within the window that ends at `now`, and those of up to one bucket before it.
   count(now: number): number {
     const first = Math.floor((now - this.windowMs) / BUCKET_MS)
     while (this.buckets.length > 0 && this.buckets[0].number < first) {
