--- a/src/forwarding/choose/backend-choice.ts
+++ b/src/forwarding/choose/backend-choice.ts
@@ -1,81 +1,86 @@
-/// A question for a back end, and the back end that was chosen.
+/// The query for the back end of an attempt and the choice that answers it. Owns no state.
 import type {BackendView} from "../backends/backend-view.js"
 import type {PromptOutline} from "../forward-request.js"
 import type {BackendRecord, EngineTraits} from "../routes/route.js"
 
-/// Why a back end was chosen: the least loaded, or with regard to the shared parts of the prompt.
+/// Why a back end was chosen: it has the least load (`least-loaded`), it is the home of the prompt's shared
+/// parts (`home`), it keeps some of them (`kept`), it copies them from another engine (`copy`), or it is the
+/// cheapest although none of these holds (`spill`).
 export type ChoiceReason = "least-loaded" | "home" | "kept" | "copy" | "spill"
 
 /// Where an attempt goes.
 export interface BackendChoice {
   readonly backend: BackendView
-  /// Prompt tokens that are expected to be computed there; shared parts count unless they are known to be
-  /// kept.
+  /// Prompt tokens that are expected to be computed there, including shared parts that are not known to be in
+  /// its KV cache.
   readonly promptTokens: number
-  /// Engine that keeps more of the prompt, to copy it from.
+  /// Engine that keeps more of the prompt and from which that is copied.
   readonly copyFrom: BackendRecord | undefined
-  /// The prompt is only computed there and generated elsewhere.
+  /// Whether the engine only computes the prompt, and another one generates the answer.
   readonly prefillOnly: boolean
-  /// Tokens that are to be computed there before the prompt is, its own included.
+  /// Tokens to be computed there until the prompt is, its own included.
   readonly queuedTokens: number
-  /// When the prompt is expected to be computed; undefined while the engines' pace is not known. Milliseconds
-  /// from now.
+  /// Expected time until the prompt is computed; undefined while the engines' pace is not known.
+  /// Milliseconds.
   readonly expectedMs: number | undefined
-  /// Its prompt is not expected within its target there; it gives way to prompts that are.
+  /// Whether the prompt is not expected to be computed within its target there. It then waits behind prompts
+  /// that are.
   readonly overdue: boolean
-  /// Its prompt is overdue, and the engines have no capacity for prompts that only wait.
+  /// Whether the prompt is overdue and no engine has capacity for overdue prompts.
   readonly saturated: boolean
-  /// Part of the expected time that the way there and copies take. Milliseconds.
+  /// Part of the expected time for the network round trip and copies. Milliseconds.
   readonly distanceMs: number
-  /// Why this back end, for the log.
+  /// Why this back end was chosen, for the log.
   readonly reason: ChoiceReason
-  /// Waiting and work there, and distance with its price. Not reckoned in a fleet of one region.
-  /// Milliseconds.
+  /// Cost of the choice: waiting time and work there, and the cost of the distance. Not computed in a fleet
+  /// of one region. Milliseconds.
   readonly costMs?: number | undefined
-  /// The least of that in the own region when the choice leaves it; undefined when no back end there would
-  /// do.
+  /// Lowest such cost within the daemon's own region; undefined when no back end there is a candidate.
+  /// Milliseconds.
   readonly ownRegionMs?: number | undefined
 }
 
-/// What an attempt needs of its back end.
+/// What an attempt requires of its back end.
 export interface BackendQuery {
   readonly service: string
   readonly prompt: PromptOutline | undefined
-  /// It may run only at the one back end that this caller's requests are confined to.
+  /// Isolated caller of the request, which may then run only at the one back end of that caller.
   readonly isolatedCaller?: string | undefined
-  /// The KV cache exists already: only a decode engine will do.
+  /// Whether the KV cache of the prompt exists already, so that only a decode engine is eligible.
   readonly prefilled: boolean
-  /// Address of the engine that holds it.
+  /// Address of the engine that holds that KV cache.
   readonly prefilledAt?: string | undefined
-  /// Bytes of its body.
+  /// Size of the request's body. Bytes.
   readonly bodyBytes?: number | undefined
-  /// The prompt may not be computed at an engine of its own: prompt and answer go to one back end, as a
-  /// further one would be too many.
+  /// Whether prompt and answer have to be computed at one back end, as the request may not reach a further
+  /// one.
   readonly wholeOnly: boolean
-  /// What the engines of the service have in common; undefined for services that are no engines.
+  /// Traits that the engines of the service share; undefined for services without engines.
   readonly engine: EngineTraits | undefined
-  /// Time left until the first event should be there. Milliseconds.
+  /// Time left until the target for the first event. Milliseconds.
   readonly targetLeftMs: number
-  /// Back ends that this request has been sent to.
+  /// Ids of back ends that this request must not be sent to again.
   readonly excluded: ReadonlySet<string>
-  /// Requests that this daemon may have on one back end: its part of the connections that a back end takes.
+  /// Requests that this daemon may have in flight at one back end: its share of the connections that a back
+  /// end accepts.
   readonly maximumLocalInFlight: number
 }
 
-/// What a call carries beside the request's body, both heads and a short answer. Bytes, about.
+/// Approximate size of a call without the request's body: headers of both directions and a short answer.
+/// Bytes.
 const CALL_BYTES = 1500
 
-/// Bytes that an attempt sends and gets back, about.
+/// Approximate number of bytes that an attempt sends and receives.
 export function getCallBytes({bodyBytes = 0}: BackendQuery): number {
   return bodyBytes + CALL_BYTES
 }
 
-/// Back ends that may have one more request of this daemon.
+/// Returns the back ends that may get one more request from this daemon.
 export function getWithCapacity(views: readonly BackendView[], query: BackendQuery): BackendView[] {
   return views.filter(view => view.localInFlight() < query.maximumLocalInFlight)
 }
 
-/// A choice that does not depend on the engines' pace.
+/// Makes a choice that does not depend on the engines' pace.
 export function makeChoice(backend: BackendView, promptTokens: number, reason: ChoiceReason): BackendChoice {
   return {
     backend,
--- a/src/forwarding/choose/backend-distance.ts
+++ b/src/forwarding/choose/backend-distance.ts
@@ -1,20 +1,21 @@
-/// What the way to a back end costs an attempt, beside what waits there. One object serves every choice of
-/// back ends.
+/// The cost of the distance between this daemon and a back end, on top of the load there. Owns the learned
+/// request times, the regions that are cut off and the counts of attempts by distance; all choices of a
+/// daemon share one object. Relies on the costs of src/places.
 import type {DistanceCost, EngineLinks, Expense} from "../../places/distance-cost.js"
 import type {DistanceClass} from "../../places/places.js"
 import type {BackendChoice} from "./backend-choice.js"
 import type {BackendView} from "../backends/backend-view.js"
 import type {EngineTraits} from "../routes/route.js"
 
-/// What the last answer counts in the learned time of a request: some twenty answers are looked back on. A
+/// Weight of the latest answer in the learned time of a request: a moving average over some twenty answers. A
 /// share.
-const WORK_SHARE = 0.05
+const WORK_SAMPLE_WEIGHT = 0.05
 
-/// Requests on their way that nobody has told yet, as a part of the load: loads of other daemons are told
-/// every 250 ms and passed on once, and a back end turns over some of its slots in that time.
-const UNTOLD_LOAD_SHARE = 0.25
+/// Requests that no digest reports yet, as a part of the load: other daemons publish their loads every 250 ms
+/// and a relay forwards them once, and a back end turns over some of its slots in that time.
+const UNREPORTED_LOAD_SHARE = 0.25
 
-/// The ways from one daemon to the back ends.
+/// Distances from one daemon to the back ends.
 export class BackendDistance {
   private readonly workMs = new Map<string, number>()
   private cutOff: ReadonlySet<string> = new Set()
@@ -25,84 +26,85 @@
     private readonly cost: DistanceCost
   ) {}
 
-  /// Whether the fleet spans several regions. If not, choices count zones only.
+  /// Whether the fleet spans several regions. If not, choices regard zones only.
   hasSeveralRegions(): boolean {
     return this.cost.places.hasSeveralRegions()
   }
 
-  /// How far the back end is from this daemon.
+  /// Distance from this daemon to the back end.
   getDistance(view: BackendView): DistanceClass {
     return this.cost.places.getDistance(this.ownZone, view.record.zone)
   }
 
-  /// The region of a back end outside the own region; undefined for one in it.
+  /// The region of a back end outside this daemon's region; undefined for one inside it.
   getOtherRegion(view: BackendView): string | undefined {
     if (this.getDistance(view) !== "otherRegion") return undefined
     return this.cost.places.getRegion(view.record.zone)
   }
 
-  /// Takes the regions to which this daemon has no way.
+  /// Sets the regions that this daemon cannot reach.
   setCutOff(regions: ReadonlySet<string>): void {
     this.cutOff = regions
   }
 
-  /// Whether the back end lies in a region to which this daemon has no way.
+  /// Whether the back end is in a region that this daemon cannot reach.
   isCutOff(view: BackendView): boolean {
     if (this.cutOff.size === 0) return false
     const region = this.getOtherRegion(view)
     return region !== undefined && this.cutOff.has(region)
   }
 
-  /// How far two back ends are apart.
+  /// Distance between two back ends.
   getDistanceBetween(one: BackendView, other: BackendView): DistanceClass {
     return this.cost.places.getDistance(one.record.zone, other.record.zone)
   }
 
-  /// A call with so many bytes to the back end.
+  /// Cost of a call of `bytes` to the back end.
   getCall(view: BackendView, bytes: number): Expense {
     return this.cost.getCall(this.ownZone, view.record.zone, bytes)
   }
 
-  /// So many tokens of a KV cache copied between two engines.
+  /// Cost of copying `tokens` of a KV cache between two engines.
   getMove(from: BackendView, to: BackendView, tokens: number, engine: EngineTraits | undefined): Expense {
     return this.cost.getMove(from.record.zone, to.record.zone, tokens, getLinks(engine))
   }
 
-  /// Prompt tokens that an engine computes in a millisecond until its pace is known.
+  /// Prompt tokens that an engine is assumed to compute in a millisecond until its pace is known.
   getDefaultTokensPerMs(): number {
     return this.cost.settings.tokensPerMs
   }
 
-  /// How long a request takes at a back end of this kind. Milliseconds.
+  /// Average time of a request at back ends of the same service and stage. Milliseconds.
   getWorkMs(view: BackendView): number {
     return this.workMs.get(getKind(view)) ?? this.cost.settings.workMs
   }
 
-  /// What a request would wait for a slot there. Milliseconds.
+  /// Expected wait for a slot there. Milliseconds.
   getSlotWaitMs(view: BackendView): number {
     const slots = Math.max(1, view.record.slots)
     const excess = Math.max(0, view.inFlight() + 1 - slots) / slots
-    return this.getWorkMs(view) * (excess + (view.inFlight() / slots) * UNTOLD_LOAD_SHARE)
+    return this.getWorkMs(view) * (excess + (view.inFlight() / slots) * UNREPORTED_LOAD_SHARE)
   }
 
-  /// How long an answer takes there by the back end's own pace, the wait for a slot included. Milliseconds.
+  /// Expected time of an answer at the back end's own pace, the wait for a slot included. Milliseconds.
   getAnswerMs(view: BackendView): number {
     return (this.getWorkMs(view) + this.getSlotWaitMs(view)) * view.pace.factor()
   }
 
-  /// An attempt was answered whole, so long after it was sent. In one region nothing depends on it.
+  /// Adds a sample: an attempt was answered completely `ms` after it was sent. Ignored in a fleet of one
+  /// region, where nothing depends on it.
   addAnswerSample({backend}: BackendChoice, ms: number): void {
     if (!this.hasSeveralRegions()) return
     const before = this.getWorkMs(backend)
-    this.workMs.set(getKind(backend), before + (ms - before) * WORK_SHARE)
+    this.workMs.set(getKind(backend), before + (ms - before) * WORK_SAMPLE_WEIGHT)
   }
 
-  /// An attempt goes there.
+  /// Counts an attempt that is sent there.
   addAttempt(view: BackendView): void {
     this.attempts[this.getDistance(view)] += 1
   }
 
-  /// Attempts planned since the start, by distance.
+  /// Attempts since the start of the process, by distance.
   getAttempts(): Readonly<Record<DistanceClass, number>> {
     return this.attempts
   }
--- a/src/forwarding/choose/backend-picker-settings.ts
+++ b/src/forwarding/choose/backend-picker-settings.ts
@@ -1,35 +1,35 @@
 /// Settings of the choice of back ends.
 import {DEFAULT_PACE_TRACKER_SETTINGS, type PaceTrackerSettings} from "../pace/pace-book.js"
 
-/// Settings of the choice.
+/// Settings of the choice of back ends and their defaults.
 export interface BackendPickerSettings {
-  /// Back ends drawn for a choice among many. Default 3.
+  /// Back ends sampled at random for a choice among many. Default 3.
   readonly draws: number
-  /// Shared prompts of at least so many tokens have a home. Default 1000.
+  /// Shared parts of a prompt have a home engine from this size on. Tokens. Default 1000.
   readonly minimumAffinityTokens: number
-  /// How much slower a decode engine computes prompts than a prefill engine. Default 2.
+  /// Time that a decode engine takes for a prompt, as a multiple of a prefill engine's. Default 2.
   readonly decodePromptFactor: number
-  /// Shared parts read again delay others too: they weigh so much more than their tokens. Default 4.
+  /// Cost of a token of shared parts that is computed outside their home, as a multiple of other tokens,
+  /// because computing it again also delays other prompts. Default 4.
   readonly recomputeFactor: number
-  /// What a token costs that is copied from another engine's KV cache, in tokens that are computed. Default
-  /// 0.05.
+  /// Cost of a token that is copied from another engine's KV cache, in computed tokens. Default 0.05.
   readonly copyFactor: number
-  /// A copy is asked for when it saves so many tokens. Default 256.
+  /// Least number of tokens that a copy has to save. Default 256.
   readonly minimumCopyTokens: number
-  /// Whether shared prompts have a home in each region, or one in the whole fleet. Default true. No matter in
-  /// one region.
+  /// Whether shared parts have a home in each region, rather than one in the whole fleet. Without effect in a
+  /// fleet of one region. Default true.
   readonly homesByRegion: boolean
-  /// What one request on an engine costs another, in prompt tokens. Default 60.
+  /// Cost of one request in flight at an engine to another one there, in prompt tokens. Default 60.
   readonly requestCostTokens: number
-  /// Longer prompts are computed by prefill engines while there is one: on a decode engine they would hold up
-  /// the tokens of every other stream. Default 300.
+  /// Longer prompts are computed by prefill engines if there is one: on a decode engine they would delay the
+  /// tokens of all other streams. Tokens. Default 300.
   readonly decodePromptTokens: number
-  /// A prompt is expected to be in time when it is expected within this share of the time left. Default 0.6.
+  /// A prompt counts as overdue unless it is expected within this share of the time left. Default 0.6.
   readonly onTimeShare: number
-  /// Part of an engine's KV cache and slots that prompts may take before overdue ones find no room. An engine
-  /// that runs out of memory puts back what it has begun to read. Default 0.7.
+  /// An overdue prompt is accepted while, with it, at most this share of the engine's KV cache and slots is
+  /// in use: an engine that runs out of memory discards prompts that it has begun to compute. Default 0.7.
   readonly overdueCapacityShare: number
-  /// How the back ends' pace is learned.
+  /// Settings of the pace tracker.
   readonly pace: PaceTrackerSettings
 }
 
--- a/src/forwarding/choose/backend-picker.ts
+++ b/src/forwarding/choose/backend-picker.ts
@@ -1,5 +1,6 @@
-/// Chooses the back end of an attempt. Plain back ends and decode engines: the least loaded of a few drawn.
-/// Prompts: see `PromptPicker`.
+/// Chooses the back end of an attempt: for plain back ends and decode engines the least loaded one of a
+/// random sample, for prompts the engine that `PromptPicker` chooses. Relies on the directory for the state
+/// of the back ends.
 import type {RandomSource} from "../../shared/random.js"
 import {rankByRendezvous} from "../../shared/rendezvous-hash.js"
 import {DISTANCE_CLASSES} from "../../places/places.js"
@@ -19,10 +20,10 @@
 import type {KvIndex} from "../kv-cache/kv-index.js"
 import {PromptPicker} from "./prompt-picker.js"
 
-/// Back ends of one stage that name a limit.
+/// Back ends of one stage that advertise a limit.
 export interface LimitedBackends {
   readonly limited: readonly BackendView[]
-  /// Whether others of the stage may take the request.
+  /// Whether back ends of the stage without a limit may take the request.
   readonly hasOthers: boolean
 }
 
@@ -40,23 +41,23 @@
     this.prompts = new PromptPicker(settings, directory, kvIndex, distance)
   }
 
-  /// This process stood still until now: silence before says nothing about the back ends.
+  /// This process was paused until now: earlier silence says nothing about the back ends.
   onProcessResumed(now: number): void {
     for (const view of this.directory.all()) view.health.onProcessResumed(now)
   }
 
-  /// A prompt was computed as planned, so long after it was sent.
+  /// Adds a sample: a prompt was computed as planned, `ms` after it was sent.
   addPromptSample(choice: BackendChoice, ms: number): void {
     this.prompts.addSample(choice, ms)
   }
 
-  /// An attempt was answered whole, so long after it was sent.
+  /// Adds a sample: an attempt was answered completely, `ms` after it was sent.
   addAnswerSample(choice: BackendChoice, ms: number): void {
     this.distance.addAnswerSample(choice, ms)
   }
 
-  /// For the log: how far the choice's back end is and, if it leaves the region, what it costs there and
-  /// would have cost at home, in milliseconds. Nothing where the fleet lies in one region.
+  /// Log fields of a choice: the distance to its back end and, if that is in another region, the cost there
+  /// and the lowest cost within the own region, in milliseconds. Empty in a fleet of one region.
   getDistanceFields({backend, costMs, ownRegionMs}: BackendChoice): Readonly<Record<string, unknown>> {
     if (!this.distance.hasSeveralRegions()) return {}
     const distance = this.distance.getDistance(backend)
@@ -68,34 +69,34 @@
     }
   }
 
-  /// An attempt goes by this choice.
+  /// Counts an attempt that is sent by this choice.
   addAttempt({backend}: BackendChoice): void {
     this.distance.addAttempt(backend)
   }
 
-  /// The best choice, or undefined when no back end of the service takes work.
+  /// Returns the best choice, or undefined when no back end of the service may take the request.
   pick(query: BackendQuery, now: number): BackendChoice | undefined {
-    const able = this.getAble(query, now)
+    const eligible = this.getEligible(query, now)
     const {prompt} = query
-    const engines = able.some(view => view.record.stage !== undefined)
+    const engines = eligible.some(view => view.record.stage !== undefined)
     if (!prompt || !engines) {
-      return this.pickPlain(getWithCapacity(this.getTrusted(able, now), query), query)
+      return this.pickPlain(getWithCapacity(this.getTrusted(eligible, now), query), query)
     }
-    // Engines of one stage cannot stand in for those of the other, so each has its own way out when all are
-    // in trouble.
+    // Engines of one stage cannot replace those of the other, so each stage falls back to its ejected engines
+    // on its own.
     const decodes = this.getTrusted(
-      able.filter(view => view.record.stage !== "prefill"),
+      eligible.filter(view => view.record.stage !== "prefill"),
       now
     )
     const withCapacity = getWithCapacity(decodes, query)
     if (query.prefilled) return this.pickDecode(withCapacity, query)
-    const trusted = this.getTrusted(able, now)
+    const trusted = this.getTrusted(eligible, now)
     const prefills = trusted.filter(view => view.record.stage === "prefill")
     return this.pickForPrompt(prompt, query, withCapacity, prefills)
   }
 
-  /// The back ends that name a limit and would take the request otherwise. Engines of one stage cannot stand
-  /// in for those of the other.
+  /// The back ends that advertise a limit and would otherwise take the request, grouped by stage because
+  /// engines of one stage cannot replace those of the other.
   findLimited(query: BackendQuery, now: number): LimitedBackends[] {
     const byStage = new Map<EngineStage | undefined, BackendView[]>()
     for (const view of this.getAllowed(query)) {
@@ -110,29 +111,30 @@
     })
   }
 
-  /// The back ends that would take the request, but want nothing from this daemon now.
+  /// The back ends that would take the request but have asked this daemon to back off.
   findBackingOff(query: BackendQuery, now: number): BackendView[] {
     return this.getAllowed(query).filter(view => view.isBackingOff(now))
   }
 
-  /// Those that may take the request.
-  private getAble(query: BackendQuery, now: number): BackendView[] {
+  /// The back ends that may take the request now.
+  private getEligible(query: BackendQuery, now: number): BackendView[] {
     return this.getAllowed(query).filter(view => view.mayReceive(now))
   }
 
-  /// The same with those that this daemon backs off from, or that name a limit and have no permit.
-  private getAllowed({service, excluded, isolatedCaller: confinedCaller}: BackendQuery): BackendView[] {
-    const working = this.directory.ofService(service).filter(view => view.takesWork())
-    const allowed = confinedCaller === undefined ? working : getConfined(working, confinedCaller)
+  /// The same, including those that this daemon backs off from and those with a limit but no permit.
+  private getAllowed({service, excluded, isolatedCaller}: BackendQuery): BackendView[] {
+    const accepting = this.directory.ofService(service).filter(view => view.takesWork())
+    const allowed = isolatedCaller === undefined ? accepting : getIsolated(accepting, isolatedCaller)
     return allowed.filter(view => !excluded.has(view.record.id))
   }
 
-  /// Of those, the ones in trouble, or in a region that is cut off, only when there is no other.
-  private getTrusted(able: readonly BackendView[], now: number): readonly BackendView[] {
-    const sound = able.filter(view => !view.isEjected(now) && !this.distance.isCutOff(view))
-    const trusted = sound.filter(view => !view.isEjectedByPeers())
+  /// Leaves out the ejected ones and those in a region that is cut off, and next those that peers eject,
+  /// while any other is left.
+  private getTrusted(eligible: readonly BackendView[], now: number): readonly BackendView[] {
+    const healthy = eligible.filter(view => !view.isEjected(now) && !this.distance.isCutOff(view))
+    const trusted = healthy.filter(view => !view.isEjectedByPeers())
     if (trusted.length > 0) return trusted
-    return sound.length > 0 ? sound : able
+    return healthy.length > 0 ? healthy : eligible
   }
 
   private pickPlain(candidates: readonly BackendView[], query: BackendQuery): BackendChoice | undefined {
@@ -150,7 +152,7 @@
     return makeChoice(backend, 0, "least-loaded")
   }
 
-  /// A decode engine that takes over the KV cache from where it is.
+  /// A decode engine that fetches the KV cache from the engine that holds it.
   private pickDecode(decodes: readonly BackendView[], query: BackendQuery): BackendChoice | undefined {
     if (decodes.length === 0) return undefined
     const {prefilledAt, service} = query
@@ -168,13 +170,13 @@
     if (query.wholeOnly || prompt.promptTokens <= this.settings.decodePromptTokens) {
       return this.pickLeastWaiting(decodes, query, prompt.promptTokens)
     }
-    const able = prefills.length > 0 ? getWithCapacity(prefills, query) : decodes
-    return able.length > 0 ? this.prompts.pick(prompt, query, able, decodes) : undefined
+    const eligible = prefills.length > 0 ? getWithCapacity(prefills, query) : decodes
+    return eligible.length > 0 ? this.prompts.pick(prompt, query, eligible, decodes) : undefined
   }
 
-  /// The decode engine with the least work of a few drawn, those of the own zone first: connections to them
-  /// are reused, and bytes between zones are saved. One of another zone is drawn too and taken when it has
-  /// clearly less work.
+  /// The decode engine with the least work of a random sample from this daemon's zone, which reuses
+  /// connections and saves traffic between zones. One engine of any zone is sampled too and preferred when it
+  /// has clearly less work.
   private pickLeastWaiting(
     decodes: readonly BackendView[],
     query: BackendQuery,
@@ -195,20 +197,20 @@
     return makeChoice(backend, promptTokens, "least-loaded")
   }
 
-  /// The least of a few drawn from each class of distance. Drawn from all alike, the few back ends of the own
-  /// zone would mostly not be among them.
+  /// The cheapest of the random samples drawn from each class of distance. A sample of all back ends would
+  /// mostly miss the few in this daemon's zone.
   private pickLeastByDistance(
     candidates: readonly BackendView[],
     promptTokens: number,
     cost: (view: BackendView) => number
   ): BackendChoice {
     const best = DISTANCE_CLASSES.flatMap(kind => {
-      const there = candidates.filter(view => this.distance.getDistance(view) === kind)
-      return there.length > 0 ? [this.pickLeast(there, cost)] : []
+      const ofKind = candidates.filter(view => this.distance.getDistance(view) === kind)
+      return ofKind.length > 0 ? [this.pickLeast(ofKind, cost)] : []
     })
     const backend = best.reduce((least, view) => (cost(view) < cost(least) ? view : least))
-    const own = best.filter(view => this.distance.getDistance(view) !== "otherRegion").map(cost)
-    const ownRegionMs = own.length > 0 ? Math.min(...own) : undefined
+    const inOwnRegion = best.filter(view => this.distance.getDistance(view) !== "otherRegion").map(cost)
+    const ownRegionMs = inOwnRegion.length > 0 ? Math.min(...inOwnRegion) : undefined
     return {...makeChoice(backend, promptTokens, "least-loaded"), costMs: cost(backend), ownRegionMs}
   }
 
@@ -227,12 +229,13 @@
   }
 }
 
-/// The back end at which a caller's requests may run, the same one as long as it is there, and those that
-/// only compute prompts. A caller whose requests end back ends one after another so ends one of them at a
-/// time: of the others' requests 0.998 are served in place of 0.46 to 0.62 beside four new ones of that
-/// caller a second (12 back ends, down for 3 s each, virtual time, three seeds).
-function getConfined(working: readonly BackendView[], caller: string): BackendView[] {
-  const running = working.filter(view => view.record.stage !== "prefill").map(view => view.record.id)
-  const [confinedTo] = rankByRendezvous(caller, running, 1)
-  return working.filter(view => view.record.stage === "prefill" || view.record.id === confinedTo)
+/// The only back end at which an isolated caller's requests may be executed, the same one while it is
+/// present, and the engines that only compute prompts. A caller whose requests crash back ends can then crash
+/// only one at a time: 0.998 of the other callers' requests are served instead of 0.46 to 0.62, with four new
+/// requests of that caller a second (12 back ends, each down for 3 s after a crash, virtual time, three
+/// seeds).
+function getIsolated(accepting: readonly BackendView[], caller: string): BackendView[] {
+  const executing = accepting.filter(view => view.record.stage !== "prefill").map(view => view.record.id)
+  const [isolatedTo] = rankByRendezvous(caller, executing, 1)
+  return accepting.filter(view => view.record.stage === "prefill" || view.record.id === isolatedTo)
 }
--- a/src/forwarding/choose/prompt-picker.ts
+++ b/src/forwarding/choose/prompt-picker.ts
@@ -1,6 +1,7 @@
-/// Chooses the engine that computes a prompt: where it is computed soonest, counting the tokens that wait
-/// there, those that its KV cache saves and those that it copies from another engine. A prompt that cannot be
-/// in time anywhere gives way to those that can.
+/// Chooses the engine that computes a prompt: the one where it is computed soonest, given the tokens that
+/// wait there, those that its KV cache saves and those that it copies from another engine. A prompt that
+/// cannot meet its target anywhere waits behind those that can. Owns no state but relies on the KV index, the
+/// directory and the pace tracker.
 import {pickByRendezvous} from "../../shared/rendezvous-hash.js"
 import {addPromptSample, getPaceGroup} from "../pace/attempt-pace.js"
 import type {BackendDistance} from "./backend-distance.js"
@@ -13,34 +14,35 @@
 import {PromptTransfers, type CacheHolder} from "./prompt-transfers.js"
 import type {EngineTraits} from "../routes/route.js"
 
-/// Prompt tokens over which an engine's pace is taken, and the fastest that is believed: none is known that
-/// computes more.
+/// Size of the prompt from which the tokens per millisecond of a group are estimated, and the upper bound of
+/// the estimate: no known engine is faster.
 const PACE_TOKENS = 10_000
 const MAXIMUM_TOKENS_PER_MS = 1000
 
-/// When an engine computes a prompt: before all that are overdue, or behind every prompt that waits there.
-type PromptTurn = "inTime" | "overdue"
+/// Position of a prompt in an engine's queue: before all overdue prompts, or behind every prompt that waits
+/// there.
+type PromptPriority = "inTime" | "overdue"
 
-/// A prompt for which an engine is looked for.
+/// A prompt to be placed.
 interface PromptPlacement {
   readonly prompt: PromptOutline
-  /// Id of the engine that keeps its shared parts; undefined when they are too short to have one.
+  /// Id of the home engine of its shared parts; undefined when they are too short to have one.
   readonly home: string | undefined
-  /// What its ways cost; undefined in a fleet of one region.
+  /// Costs of its transfers; undefined in a fleet of one region.
   readonly transfers: PromptTransfers | undefined
 }
 
-/// What a prompt would cost at one engine, in tokens.
+/// Cost of a prompt at one engine. In tokens, unless stated otherwise.
 interface PromptWork {
   /// To be computed there.
   readonly promptTokens: number
   /// The engine that it is copied from.
   readonly copyFrom: BackendView | undefined
-  /// What it costs in all, shared parts that are read beside their home included.
+  /// Total cost of computing and copying, with the surcharge for shared parts computed outside their home.
   readonly cost: number
-  /// What the way there, copies and the way to a decode engine cost.
+  /// Cost of the transfers: the call, copies and the hand-over to a decode engine.
   readonly distanceTokens: number
-  /// Part of that which passes before the prompt is computed. Milliseconds.
+  /// Time of the transfers before the prompt is computed. Milliseconds.
   readonly distanceMs: number
   readonly reason: ChoiceReason
 }
@@ -54,41 +56,42 @@
     private readonly distance: BackendDistance
   ) {}
 
-  /// A prompt was computed as planned, so long after it was sent.
+  /// Adds a sample: a prompt was computed as planned, `ms` after it was sent.
   addSample(choice: BackendChoice, ms: number): void {
     addPromptSample(choice, Math.max(0, ms - choice.distanceMs))
   }
 
-  /// The best choice at one of these engines, of which there is at least one. A prompt that is not expected
-  /// within its target anywhere is placed once more, behind those that are; when no engine has capacity for
-  /// it, the choice is saturated.
+  /// Returns the cheapest choice among the engines in `eligible`, which must not be empty. A prompt that is
+  /// not expected within its target at the chosen engine is placed again as overdue, behind those that are.
+  /// When no engine has capacity for overdue prompts, the choice is marked as saturated.
   pick(
     prompt: PromptOutline,
     query: BackendQuery,
-    able: readonly BackendView[],
+    eligible: readonly BackendView[],
     decodes: readonly BackendView[]
   ): BackendChoice {
     const transfers = this.distance.hasSeveralRegions()
       ? new PromptTransfers(this.distance, prompt, query, decodes)
       : undefined
-    const placement = {prompt, home: this.findHome(prompt, query.service, able), transfers}
-    const choice = this.pickCheapest(placement, able, "inTime")
+    const placement = {prompt, home: this.findHome(prompt, query.service, eligible), transfers}
+    const choice = this.pickCheapest(placement, eligible, "inTime")
     if (!this.isOverdue(choice, query)) return choice
-    const withCapacity = able.filter(view => this.hasCapacityForOverdue(view, prompt, query.engine))
+    const withCapacity = eligible.filter(view => this.hasCapacityForOverdue(view, prompt, query.engine))
     if (withCapacity.length > 0) return this.pickCheapest(placement, withCapacity, "overdue")
-    return {...this.pickCheapest(placement, able, "overdue"), saturated: true}
+    return {...this.pickCheapest(placement, eligible, "overdue"), saturated: true}
   }
 
   private isOverdue({expectedMs}: BackendChoice, {targetLeftMs}: BackendQuery): boolean {
     return expectedMs !== undefined && expectedMs > targetLeftMs * this.settings.onTimeShare
   }
 
-  /// Every engine is weighed: what it keeps of the prompt it need not compute, what another engine keeps it
-  /// copies from there, and what no engine keeps is computed once for all at the home.
+  /// Compares the cost at every candidate. Tokens in the candidate's KV cache are not computed again, those
+  /// in another engine's cache are copied, and shared parts that no engine keeps are cheapest at their home,
+  /// so that they are computed once for all.
   private pickCheapest(
     placement: PromptPlacement,
     candidates: readonly BackendView[],
-    turn: PromptTurn
+    priority: PromptPriority
   ): BackendChoice {
     const {prompt, transfers} = placement
     const cacheHolders = this.findCacheHolders(prompt, candidates[0].record.service)
@@ -98,8 +101,8 @@
     let ownRegionCost = Infinity
     for (const backend of candidates) {
       const work = this.getWork(placement, backend, cacheHolders)
-      const ownCost = work.cost * this.getPromptFactor(backend) * backend.pace.factor()
-      const cost = this.getWaitingCost(backend, turn) + ownCost + work.distanceTokens
+      const computeCost = work.cost * this.getPromptFactor(backend) * backend.pace.factor()
+      const cost = this.getWaitingCost(backend, priority) + computeCost + work.distanceTokens
       if (this.distance.getDistance(backend) !== "otherRegion") ownRegionCost = Math.min(ownRegionCost, cost)
       if (cost >= bestCost) continue
       best = backend
@@ -107,7 +110,7 @@
       bestCost = cost
     }
     bestWork ??= this.getWork(placement, best, cacheHolders)
-    const choice = this.makeChoice(best, bestWork, turn)
+    const choice = this.makeChoice(best, bestWork, priority)
     if (!transfers) return choice
     const tokensPerMs = this.getTokensPerMs(best)
     const ownRegionMs = ownRegionCost < Infinity ? ownRegionCost / tokensPerMs : undefined
@@ -123,8 +126,8 @@
     const shared = sharedTokens(prompt)
     const keptTokens = this.kvIndex.getKeptTokens(backend.record.id, prompt)
     const cacheHolder = transfers ? transfers.pickCacheHolder(cacheHolders, backend) : cacheHolders[0]
-    const missing = (cacheHolder?.tokens ?? 0) - keptTokens
-    const copiedTokens = missing >= minimumCopyTokens ? missing : 0
+    const missingTokens = (cacheHolder?.tokens ?? 0) - keptTokens
+    const copiedTokens = missingTokens >= minimumCopyTokens ? missingTokens : 0
     const promptTokens = prompt.promptTokens - keptTokens - copiedTokens
     const uncachedTokens = Math.max(0, shared - keptTokens - copiedTokens)
     const atHome = backend.record.id === home
@@ -142,9 +145,9 @@
   private makeChoice(
     backend: BackendView,
     {promptTokens, copyFrom, distanceMs, reason}: PromptWork,
-    turn: PromptTurn
+    priority: PromptPriority
   ): BackendChoice {
-    const queuedTokens = getWaitingTokens(backend, turn) + promptTokens
+    const queuedTokens = getWaitingTokens(backend, priority) + promptTokens
     const computedMs = this.getExpectedMs(backend, queuedTokens)
     return {
       backend,
@@ -153,14 +156,14 @@
       prefillOnly: backend.record.stage === "prefill",
       queuedTokens,
       expectedMs: computedMs === undefined ? undefined : computedMs + distanceMs,
-      overdue: turn === "overdue",
+      overdue: priority === "overdue",
       saturated: false,
       distanceMs,
       reason
     }
   }
 
-  /// Prompts of others are taken to be as long as this one.
+  /// Assumes that the other prompts there are as long as this one.
   private hasCapacityForOverdue(
     view: BackendView,
     prompt: PromptOutline,
@@ -169,12 +172,11 @@
     if (!engine) return true
     const requests = view.inFlight() + 1
     const {overdueCapacityShare} = this.settings
-    const memory = requests * prompt.promptTokens <= engine.kvCapacityTokens * overdueCapacityShare
-    return memory && requests <= engine.slots * overdueCapacityShare
+    const fitsMemory = requests * prompt.promptTokens <= engine.kvCapacityTokens * overdueCapacityShare
+    return fitsMemory && requests <= engine.slots * overdueCapacityShare
   }
 
-  /// The engines of the service that keep some of the prompt, of whatever stage; one that keeps most of it is
-  /// the first.
+  /// The engines of the service, of any stage, that keep some of the prompt; the first one keeps most of it.
   private findCacheHolders(prompt: PromptOutline, service: string): readonly CacheHolder[] {
     const cacheHolders: CacheHolder[] = []
     let most = 0
@@ -189,35 +191,40 @@
     return cacheHolders
   }
 
-  /// The engine that keeps the shared parts: the same for every daemon of a region, also while it is avoided
-  /// for a moment. A region without such engines shares the homes of all.
-  private findHome(prompt: PromptOutline, service: string, able: readonly BackendView[]): string | undefined {
+  /// The home engine of the shared parts: the same one for every daemon of a region, also while it is
+  /// ejected. A region without engines of this stage uses the homes of the whole fleet.
+  private findHome(
+    prompt: PromptOutline,
+    service: string,
+    eligible: readonly BackendView[]
+  ): string | undefined {
     if (sharedTokens(prompt) < this.settings.minimumAffinityTokens) return undefined
-    const {stage} = able[0].record
+    const {stage} = eligible[0].record
     const views = this.directory
       .ofService(service)
       .filter(view => view.takesWork() && view.record.stage === stage)
-    const own = this.settings.homesByRegion
+    const local = this.settings.homesByRegion
       ? views.filter(view => this.distance.getDistance(view) !== "otherRegion")
       : []
-    const ids = (own.length > 0 ? own : views).map(view => view.record.id)
+    const ids = (local.length > 0 ? local : views).map(view => view.record.id)
     return pickByRendezvous(sharedKey(prompt), ids)
   }
 
-  /// Time that a token of a prompt takes, in tokens of a prefill engine.
+  /// Time of a prompt token there, relative to a prefill engine.
   private getPromptFactor(view: BackendView): number {
     return view.record.stage === "prefill" ? 1 : this.settings.decodePromptFactor
   }
 
-  /// What a prompt waits for there, and what one more request costs, in tokens of an average prefill engine.
-  getWaitingCost(view: BackendView, turn: PromptTurn = "inTime"): number {
-    const tokens = getWaitingTokens(view, turn)
+  /// Cost of the tokens that a new prompt waits for there and of one more request, in tokens of an average
+  /// prefill engine.
+  getWaitingCost(view: BackendView, priority: PromptPriority = "inTime"): number {
+    const tokens = getWaitingTokens(view, priority)
     const requestCost = (view.inFlight() + 1) * this.settings.requestCostTokens
     return (tokens * this.getPromptFactor(view) + requestCost) * view.pace.factor()
   }
 
-  /// What a request would wait for at a decode engine, the way there and that of the KV cache from its source
-  /// included. Milliseconds.
+  /// Expected time of a request at a decode engine, with the call and the copy of the KV cache from its
+  /// source. Milliseconds.
   getDecodeMs(view: BackendView, query: BackendQuery, source: BackendView | undefined): number {
     const {distance} = this
     const waitingMs = this.getWaitingCost(view) / this.getTokensPerMs(view) + distance.getAnswerMs(view)
@@ -227,24 +234,24 @@
     return waitingMs + callMs + distance.getMove(source, view, tokens, query.engine).costMs
   }
 
-  /// Tokens of a prompt that an average engine of the group computes in a millisecond.
+  /// Prompt tokens that an average engine of the group computes in a millisecond.
   private getTokensPerMs({record}: BackendView): number {
     const {paces} = this.directory
     const group = getPaceGroup(record, "prompt")
-    const none = paces.getGroupMs(group, 0)
-    const many = paces.getGroupMs(group, PACE_TOKENS)
-    if (none === undefined || many === undefined) return this.distance.getDefaultTokensPerMs()
-    return Math.min(MAXIMUM_TOKENS_PER_MS, PACE_TOKENS / Math.max(1, many - none))
+    const baseMs = paces.getGroupMs(group, 0)
+    const loadedMs = paces.getGroupMs(group, PACE_TOKENS)
+    if (baseMs === undefined || loadedMs === undefined) return this.distance.getDefaultTokensPerMs()
+    return Math.min(MAXIMUM_TOKENS_PER_MS, PACE_TOKENS / Math.max(1, loadedMs - baseMs))
   }
 
-  /// The time of the engine's group, by its own pace.
+  /// Expected time for `tokens`: that of the engine's group, scaled by the engine's pace.
   private getExpectedMs({record, pace}: BackendView, tokens: number): number | undefined {
     const groupMs = this.directory.paces.getGroupMs(getPaceGroup(record, "prompt"), tokens)
     return groupMs === undefined ? undefined : groupMs * pace.factor()
   }
 }
 
-/// Tokens that go before those of a new prompt.
-function getWaitingTokens(view: BackendView, turn: PromptTurn): number {
-  return view.pendingTokens() + (turn === "overdue" ? view.overdueTokens() : 0)
+/// Tokens that are computed before those of a new prompt.
+function getWaitingTokens(view: BackendView, priority: PromptPriority): number {
+  return view.pendingTokens() + (priority === "overdue" ? view.overdueTokens() : 0)
 }
--- a/src/forwarding/choose/prompt-transfers.ts
+++ b/src/forwarding/choose/prompt-transfers.ts
@@ -1,5 +1,6 @@
-/// What the transfers of one prompt cost in a fleet of several regions: the calls to the engine that computes
-/// it and to the one that generates, copies of shared parts, and the hand-over between the two.
+/// The costs of one prompt's transfers in a fleet of several regions: the calls to the engine that computes
+/// it and to the one that generates, copies of shared parts, and the hand-over of the KV cache between the
+/// two. Caches its results by zone; relies on `BackendDistance` for the costs.
 import type {Expense} from "../../places/distance-cost.js"
 import {DISTANCE_CLASSES} from "../../places/places.js"
 import type {BackendDistance} from "./backend-distance.js"
@@ -7,7 +8,7 @@
 import type {BackendView} from "../backends/backend-view.js"
 import type {PromptOutline} from "../forward-request.js"
 
-/// An engine and the tokens of a prompt that it keeps.
+/// An engine and the tokens of a prompt that its KV cache holds.
 export interface CacheHolder {
   readonly backend: BackendView
   readonly tokens: number
@@ -28,7 +29,7 @@
     this.callBytes = getCallBytes(query)
   }
 
-  /// Whom the engine copies from: the one that keeps most, the nearest of these.
+  /// Returns the engine to copy from: the nearest of those that keep most of the prompt.
   pickCacheHolder(cacheHolders: readonly CacheHolder[], backend: BackendView): CacheHolder | undefined {
     const {zone} = backend.record
     if (!this.cacheHolderByZone.has(zone))
@@ -49,24 +50,24 @@
     return best
   }
 
-  /// The whole way of the prompt if this engine computes it, and copies so many tokens first.
+  /// Cost of all transfers of the prompt if this engine computes it after copying `copiedTokens`.
   getTransfer(backend: BackendView, copyFrom: BackendView | undefined, copiedTokens: number): Expense {
     const {distance, query} = this
     const call = distance.getCall(backend, this.callBytes)
     const copy = copyFrom ? distance.getMove(copyFrom, backend, copiedTokens, query.engine) : undefined
-    const rest = backend.record.stage === "prefill" ? this.getHandOver(backend).costMs : 0
+    const handOverMs = backend.record.stage === "prefill" ? this.getHandOver(backend).costMs : 0
     return {
       timeMs: call.timeMs + (copy?.timeMs ?? 0),
-      costMs: call.costMs + (copy?.costMs ?? 0) + rest
+      costMs: call.costMs + (copy?.costMs ?? 0) + handOverMs
     }
   }
 
-  /// The second call and the hand-over, to a decode engine as near to the first engine as there is one.
+  /// Cost of the second call and the hand-over, to the decode engine where both are cheapest.
   private getHandOver(backend: BackendView): Expense {
     const {zone} = backend.record
-    let rest = this.handOverByZone.get(zone)
-    if (!rest) this.handOverByZone.set(zone, (rest = this.findHandOver(backend)))
-    return rest
+    let handOver = this.handOverByZone.get(zone)
+    if (!handOver) this.handOverByZone.set(zone, (handOver = this.findHandOver(backend)))
+    return handOver
   }
 
   private findHandOver(backend: BackendView): Expense {
