--- a/src/forwarding/backends/backend-health.ts
+++ b/src/forwarding/backends/backend-health.ts
@@ -7,7 +7,7 @@
 ///   `ejectFailureShare`. It is ejected for `ejectionMs`, doubled at each further ejection up to
 ///   `maximumEjectionMs`; the doubling is reset when the share of this daemon's attempts falls below half of
 ///   the limit.
-/// - Contact is lost: a connection attempt failed, or its process was found to have ended. This lasts until
+/// - Contact is lost: a connection attempt failed, or its process was found to have crashed. This lasts until
 ///   the back end answers a probe (health-prober.ts) or a request.
 /// - It is silent: requests wait there, and it has answered nothing for `silenceMs` plus `silenceMsPerToken`
 ///   for each prompt token that waits. This lasts until it answers anything.
@@ -144,15 +144,16 @@
     this.countFailure(now)
   }
 
-  /// No connection could be made, or it stayed silent: it gets no more requests until it answers a probe.
+  /// No connection could be made, or it stayed silent: counts a failure besides the lost contact.
   onUnreachable(now: number): void {
-    this.onProcessEnded(now)
+    this.onContactLost(now)
     this.unsentFailures += 1
     this.eject(now)
   }
 
-  /// Its process was found to have ended: it gets no more requests until it answers a probe.
-  onProcessEnded(now: number): void {
+  /// Contact to it was lost, for example because its process crashed: it gets no more requests until it
+  /// answers a probe.
+  onContactLost(now: number): void {
     this.lostContact = true
     this.lostAt = now
   }
--- a/src/forwarding/pace/attempt-pace.ts
+++ b/src/forwarding/pace/attempt-pace.ts
@@ -1,29 +1,34 @@
-/// What the course of an attempt says of its back end's speed.
+/// Pace samples from the course of an attempt. Owns no state; adds to the pace of the attempt's back end.
 import type {LiveAttempt} from "../forward-session.js"
 import type {PaceMeasure} from "./pace-book.js"
 import type {BackendChoice} from "../choose/backend-choice.js"
 import type {BackendRecord} from "../routes/route.js"
 
-/// Back ends that are measured against each other: those of a service and, for engines, a stage.
+/// Key of the group of back ends that a back end is compared with: those of its service and, for engines, its
+/// stage, by one measure.
 export function getPaceGroup({service, stage}: BackendRecord, measure: PaceMeasure): string {
   return `${service}/${stage ?? ""}/${measure}`
 }
 
-/// A prompt was computed apart, so long after it was sent. Overdue prompts wait for an unknown number of
-/// others, and copies for links.
+/// Adds a sample for a prompt that a prefill engine computed `ms` after it was sent. Skips overdue prompts,
+/// which wait for an unknown number of others, and copies, which wait for links.
 export function addPromptSample({backend, queuedTokens, overdue, copyFrom}: BackendChoice, ms: number): void {
   if (overdue || copyFrom) return
   backend.pace.addSample(getPaceGroup(backend.record, "prompt"), queuedTokens, ms)
 }
 
-/// The first event of a stream, unless its prompt was computed at another engine.
-export function addFirstEventSample({choice, startedAt}: LiveAttempt, moved: boolean, now: number): void {
+/// Adds a sample for the first event of a stream, unless its prompt was computed at another engine.
+export function addFirstEventSample(
+  {choice, startedAt}: LiveAttempt,
+  prefilledElsewhere: boolean,
+  now: number
+): void {
   const {backend, queuedTokens} = choice
-  if (moved || backend.record.stage === undefined) return
+  if (prefilledElsewhere || backend.record.stage === undefined) return
   backend.pace.addSample(getPaceGroup(backend.record, "first"), queuedTokens, now - startedAt)
 }
 
-/// The stream, or the answer of a plain back end, is whole.
+/// Adds a sample for a complete stream, or for a complete answer of a plain back end.
 export function addWholeSample(attempt: LiveAttempt, now: number): void {
   const {choice, startedAt, firstEventAt, events, load} = attempt
   const {record, pace} = choice.backend
@@ -32,10 +37,10 @@
     return
   }
   if (firstEventAt === undefined || events === 0) return
-  pace.addSample(getPaceGroup(record, "pause"), load, (attempt.lastProgressAt - firstEventAt) / events)
+  pace.addSample(getPaceGroup(record, "gap"), load, (attempt.lastProgressAt - firstEventAt) / events)
 }
 
-/// The attempt is aborted without an answer.
+/// Adds a sample for an attempt that is aborted without an answer.
 export function addUnansweredSample({choice, startedAt, answering, load}: LiveAttempt, now: number): void {
   const {record, pace} = choice.backend
   if (answering || choice.overdue || choice.copyFrom) return
@@ -45,7 +50,7 @@
   } else if (choice.prefillOnly) pace.addUnanswered(getPaceGroup(record, "prompt"), choice.queuedTokens, ms)
 }
 
-/// Requests in front beyond the slots, as a share of these.
+/// Requests ahead in excess of the slots, as a share of the slots.
 function getExcess(load: number, slots: number): number {
   return Math.max(0, load - slots) / Math.max(1, slots)
 }
--- a/src/forwarding/pace/pace-book.ts
+++ b/src/forwarding/pace/pace-book.ts
@@ -1,7 +1,8 @@
-/// How fast each back end works, beside the others of its group. Engines of one service differ in speed for
-/// good, and any may turn slow for a while and recover; both are told by the same figure: the time that
-/// answers took there over the time that the group takes for the same. A back end that was replaced is
-/// another one and starts as an average one.
+/// The pace of each back end: how many times longer it takes than the average of its group. Engines of one
+/// service may differ in speed permanently, and any may be slow for a while and recover; both show in the
+/// same ratio, the time of its answers over the time that the group takes for the same load. A back end that
+/// was replaced starts again as average. Owns the regression lines of the groups and the samples of the back
+/// ends.
 import {
   DEFAULT_PROMPT_PACE_SETTINGS,
   isValidSample,
@@ -9,33 +10,34 @@
   type PromptPaceSettings
 } from "./prompt-pace.js"
 
-/// Settings of the learning.
+/// Settings of the pace tracker.
 export interface PaceTrackerSettings {
-  /// How the groups' lines are learned.
+  /// Settings of the groups' regression lines.
   readonly line: PromptPaceSettings
-  /// Shrinkage: an engine counts as average as though it had given so many average samples. Default 5: single
-  /// samples spread by half of their mean, so fewer would take noise for speed.
+  /// Shrinkage: weight of the prior, in average samples that every engine starts with. Default 5: single
+  /// samples deviate by half of their mean, so a smaller prior would take noise for speed.
   readonly priorSamples: number
-  /// What samples still count after this time. Milliseconds. Default 4000: an engine that gets no work any
-  /// more is tried again soon. A daemon alone in a fleet of 64 has about one such sample of an engine, so
-  /// that factors stay near 1 there but for engines that are many times slower.
+  /// Time after which a sample has half of its weight. Milliseconds. Default 4000: an engine that gets no
+  /// more work is tried again soon. A single daemon of a fleet of 64 has about one such sample of an
+  /// engine, so factors stay near 1 there except for engines that are many times slower.
   readonly halfLifeMs: number
-  /// What the samples before still count after one more. Default 0.96.
+  /// Factor applied to the weight of earlier samples with each new one. Default 0.96.
   readonly sampleDecay: number
-  /// A sample that is so many times slower or faster than the engine is thought to be is a surprise. Default
-  /// 2.5.
+  /// A sample that is more than this many times slower or faster than the engine's estimate is an outlier.
+  /// Default 2.5.
   readonly outlierRatio: number
-  /// What the samples before still count after a second surprise in the same direction. Default 0.5.
+  /// Factor applied to the weight of earlier samples instead of `sampleDecay` from the second consecutive
+  /// outlier in the same direction on. Default 0.5.
   readonly outlierDecay: number
-  /// No sample counts as more times slower or faster than this. Default 8.
+  /// Bound of a sample's ratio, and of its inverse. Default 8.
   readonly maximumRatio: number
-  /// Samples of one engine move its group's line as though at most so many times slower than expected.
-  /// Default 3.
+  /// Bound of a sample's ratio where it is added to its group's line. Default 3.
   readonly maximumLineRatio: number
-  /// An engine so many times slower than the middle one of its group is told as slow: when work changes, all
-  /// of a group may take longer than its line says. Default 2.
+  /// An engine is reported as slow when its factor is this many times the median of its group. Compared with
+  /// the median, as a whole group may take longer than its line predicts when the workload changes. Default
+  /// 2.
   readonly slowFactor: number
-  /// A slow one is told as sound again below this. Default 1.5.
+  /// A slow engine is reported as recovered at or below this multiple of the median. Default 1.5.
   readonly recoveredFactor: number
 }
 
@@ -53,28 +55,28 @@
   recoveredFactor: 1.5
 }
 
-/// What a line says: prompts computed apart by the tokens in front, first events of whole requests by the
-/// same, pauses between events by requests at the engine, answers of plain back ends by requests beyond the
-/// slots.
-export type PaceMeasure = "prompt" | "first" | "pause" | "answer"
+/// What a regression line predicts: the time of prompts that prefill engines compute, or of the first events
+/// of requests that are not split, both by the tokens queued ahead; the gaps between events, by the requests
+/// at the engine; or the time of plain back ends' answers, by the requests in excess of the slots.
+export type PaceMeasure = "prompt" | "first" | "gap" | "answer"
 
-/// Samples of one engine in the form that travels: id, sum of the ratios to the group's line, count. Sums add
-/// up.
-type PaceEvidence = readonly [id: string, ratioSum: number, count: number]
+/// Samples of one engine in a form that daemons can exchange: id, sum of the ratios to the group's line,
+/// count. Sums of several daemons can be added.
+type PaceSamples = readonly [id: string, ratioSum: number, count: number]
 
-/// A change of what is believed of an engine's speed.
+/// An engine that has become slow or has recovered.
 interface PaceChange {
   readonly id: string
   readonly slow: boolean
   readonly factor: number
 }
 
-/// Less than this much of a sample says nothing. In samples.
+/// Below this weight the samples of an engine are dropped. In samples.
 const MINIMUM_WEIGHT = 0.01
-/// Evidence of one digest counts as at most so many samples.
+/// Largest count of samples accepted from one daemon at once.
 const MAXIMUM_COUNT = 1000
 
-/// The speed of one back end.
+/// The pace of one back end.
 export class EnginePace {
   private weight = 0
   private ratioSum = 0
@@ -89,13 +91,13 @@
     private readonly getLine: (group: string) => PromptPace
   ) {}
 
-  /// How many times longer than its group it takes: 1 without samples.
+  /// Estimate of how many times longer than its group it takes; 1 without samples.
   factor(): number {
     const {priorSamples} = this.settings
     return (priorSamples + this.ratioSum) / (priorSamples + this.weight)
   }
 
-  /// The engine took `ms` over something that had `load` in front of it. Senseless figures are ignored.
+  /// Adds a sample: the engine took `ms` for work with `load` ahead of it. Ignores invalid values.
   addSample(group: string, load: number, ms: number): void {
     if (!isValidSample(load, ms)) return
     this.lastGroup = group
@@ -106,8 +108,7 @@
     if (known) this.addLocal(ms / expectedMs)
   }
 
-  /// The engine had not answered after `ms`, when it was asked no longer: a sample where that is longer than
-  /// it should take.
+  /// Adds a sample for work that was aborted without an answer after `ms`, if that is longer than expected.
   addUnanswered(group: string, load: number, ms: number): void {
     if (!isValidSample(load, ms)) return
     const expectedMs = this.getLine(group).getExpectedMs(load)
@@ -115,21 +116,21 @@
     if (ms > expectedMs * this.factor()) this.addLocal(ms / expectedMs)
   }
 
-  /// Samples of other daemons.
-  applyEvidence(ratioSum: number, count: number): void {
+  /// Adds samples of another daemon. Ignores invalid values.
+  applySamples(ratioSum: number, count: number): void {
     const valid = count > 0 && count <= MAXIMUM_COUNT && ratioSum >= 0
     if (valid) this.add(ratioSum / count, count)
   }
 
-  /// Samples of this daemon since the last call.
-  takeEvidence(): {ratioSum: number; count: number} {
-    const evidence = {ratioSum: this.unsentSum, count: this.unsentCount}
+  /// Returns and resets this daemon's samples since the last call.
+  takeSamples(): {ratioSum: number; count: number} {
+    const samples = {ratioSum: this.unsentSum, count: this.unsentCount}
     this.unsentSum = 0
     this.unsentCount = 0
-    return evidence
+    return samples
   }
 
-  /// What is known counts this part from now on.
+  /// Multiplies the weight of all samples by `keptShare`.
   decay(keptShare: number): void {
     this.weight *= keptShare
     this.ratioSum *= keptShare
@@ -137,30 +138,30 @@
     this.reset()
   }
 
-  /// Another engine answers there now.
+  /// Drops all samples, as another engine answers there now.
   reset(): void {
     this.weight = 0
     this.ratioSum = 0
     this.outliers = 0
   }
 
-  /// The group that it was last measured in; undefined before this daemon has.
+  /// The group of its last sample; undefined before this daemon has added one.
   group(): string | undefined {
     return this.lastGroup
   }
 
-  /// The change since the last call: it has turned slow beside the middle one of its group, or is sound
-  /// again.
-  takeChange(medianFactor: number): "slow" | "sound" | undefined {
+  /// The change since the last call: it has become slow compared with the median factor of its group, or is
+  /// normal again. Undefined without a change.
+  takeChange(medianFactor: number): "slow" | "normal" | undefined {
     const {slowFactor, recoveredFactor} = this.settings
     const factor = this.factor() / medianFactor
     const slow = this.slow ? factor > recoveredFactor : factor >= slowFactor
     if (slow === this.slow) return undefined
     this.slow = slow
-    return slow ? "slow" : "sound"
+    return slow ? "slow" : "normal"
   }
 
-  /// Whether it is told as slow.
+  /// Whether it was last reported as slow.
   isSlow(): boolean {
     return this.slow
   }
@@ -181,11 +182,12 @@
     this.ratioSum = this.ratioSum * kept + clamped * count
   }
 
-  /// Whether so much speaks against what was known that it is forgotten sooner.
+  /// Counts consecutive outliers in one direction. Returns whether there are at least two samples of them, so
+  /// that earlier samples have to be discounted faster.
   private countOutlier(ratio: number, count: number): boolean {
     const {outlierRatio} = this.settings
-    const beside = ratio / this.factor()
-    const direction = beside > outlierRatio ? 1 : beside < 1 / outlierRatio ? -1 : 0
+    const relative = ratio / this.factor()
+    const direction = relative > outlierRatio ? 1 : relative < 1 / outlierRatio ? -1 : 0
     this.outliers = direction * this.outliers > 0 ? this.outliers + direction * count : direction * count
     return Math.abs(this.outliers) >= 2
   }
@@ -196,7 +198,7 @@
   }
 }
 
-/// The speeds of all back ends that a daemon knows, and the lines of their groups. Times are monotonic
+/// The paces of all back ends that a daemon knows, and the lines of their groups. Times are monotonic
 /// milliseconds.
 export class PaceTracker {
   private readonly lines = new Map<string, PromptPace>()
@@ -210,24 +212,25 @@
 
   constructor(private readonly settings: PaceTrackerSettings) {}
 
-  /// The speed of this incarnation of a back end.
+  /// The pace of this incarnation of a back end.
   get(id: string): EnginePace {
     let pace = this.engines.get(id)
     if (!pace) this.engines.set(id, (pace = new EnginePace(this.settings, this.getLine)))
     return pace
   }
 
-  /// The back end's record is gone.
+  /// Removes a back end whose record was removed.
   remove(id: string): void {
     this.engines.delete(id)
   }
 
-  /// What the group takes with so much in front; undefined while too little is known. Milliseconds.
+  /// Expected time of an average member of the group with `load` ahead; undefined while there are too few
+  /// samples. Milliseconds.
   getGroupMs(group: string, load: number): number | undefined {
     return this.getLine(group).getExpectedMs(load)
   }
 
-  /// Lets samples fade.
+  /// Decays the samples by the time since the last call.
   tick(now: number): void {
     const passedMs = now - (this.decayedAt ?? now)
     this.decayedAt = now
@@ -236,7 +239,7 @@
     for (const pace of this.engines.values()) pace.decay(keptShare)
   }
 
-  /// Engines that have turned slow or sound since the last call.
+  /// Engines that have become slow or recovered since the last call.
   takeChanges(): PaceChange[] {
     const changes: PaceChange[] = []
     const medians = this.getMedians()
@@ -247,7 +250,7 @@
     return changes
   }
 
-  /// The middle factor of each group; the lower one of two.
+  /// The median factor of each group; the lower one where there are two.
   private getMedians(): ReadonlyMap<string | undefined, number> {
     const byGroup = new Map<string | undefined, number[]>()
     for (const pace of this.engines.values()) {
@@ -263,27 +266,27 @@
     return medians
   }
 
-  /// This daemon's samples since the last call, for its peers.
-  takeEvidence(): PaceEvidence[] {
-    const told: PaceEvidence[] = []
+  /// Returns and resets this daemon's samples since the last call, for its peers.
+  takeSamples(): PaceSamples[] {
+    const samples: PaceSamples[] = []
     for (const [id, pace] of this.engines) {
-      const {ratioSum, count} = pace.takeEvidence()
-      if (count > 0) told.push([id, Math.round(ratioSum * 100) / 100, count])
+      const {ratioSum, count} = pace.takeSamples()
+      if (count > 0) samples.push([id, Math.round(ratioSum * 100) / 100, count])
     }
-    return told
+    return samples
   }
 
-  /// Samples of other daemons. Engines that are not known here are left out.
-  applyEvidence(evidence: readonly PaceEvidence[]): void {
-    for (const [id, ratioSum, count] of evidence) this.engines.get(id)?.applyEvidence(ratioSum, count)
+  /// Applies samples of other daemons. Skips engines that are not known here.
+  applySamples(samples: readonly PaceSamples[]): void {
+    for (const [id, ratioSum, count] of samples) this.engines.get(id)?.applySamples(ratioSum, count)
   }
 
-  /// Engines that are told as slow.
+  /// Number of engines that are reported as slow.
   countSlow(): number {
     return [...this.engines.values()].filter(pace => pace.isSlow()).length
   }
 
-  /// Factors of all engines, the slowest first.
+  /// Factors of all engines, slowest first.
   getFactors(): {readonly id: string; readonly factor: number}[] {
     const factors = [...this.engines].map(([id, pace]) => ({id, factor: pace.factor()}))
     return factors.sort((left, right) => right.factor - left.factor)
--- a/src/forwarding/pace/prompt-pace.ts
+++ b/src/forwarding/pace/prompt-pace.ts
@@ -1,28 +1,29 @@
-/// How long engines take over prompts, learned from what they answered: a fixed time and a time for each
-/// token, waiting ones included. The tokens are those that this daemon believes, so the pace also corrects
-/// what it believes wrongly, such as shared parts that an engine keeps without this daemon's knowledge.
+/// The time that engines take for prompts, as a linear regression over their answers: a fixed time and a time
+/// for each token, including tokens queued ahead. The tokens are those that this daemon assumes, so the line
+/// also corrects wrong assumptions, such as shared parts that an engine keeps without this daemon's
+/// knowledge. Owns the weighted sums of the samples.
 
-/// Settings of the learning.
+/// Settings of a regression line.
 export interface PromptPaceSettings {
-  /// What a sample still counts after the next one. Default 0.98.
+  /// Factor applied to the weight of earlier samples with each new one. Default 0.98.
   readonly sampleDecay: number
-  /// Samples before anything is predicted. Default 8.
+  /// Number of samples needed for a prediction. Default 8.
   readonly minimumSamples: number
 }
 
 /// Default settings.
 export const DEFAULT_PROMPT_PACE_SETTINGS: PromptPaceSettings = {sampleDecay: 0.98, minimumSamples: 8}
 
-/// Figures beyond these are senseless, and their squares would not be finite.
+/// Bounds of valid samples; the squares of larger values might not be finite.
 const MAXIMUM_TOKENS = 1e9
 const MAXIMUM_MS = 1e9
 
-/// Whether a measured time and what it was taken over can be true.
+/// Whether a measured time and its load are within the valid range.
 export function isValidSample(tokens: number, ms: number): boolean {
   return tokens >= 0 && tokens <= MAXIMUM_TOKENS && ms >= 0 && ms <= MAXIMUM_MS
 }
 
-/// The pace of the engines of one stage. A line of least squares whose samples fade.
+/// The pace of the engines of one group: a least-squares line with exponentially decaying weights.
 export class PromptPace {
   private samples = 0
   private weight = 0
@@ -33,8 +34,8 @@
 
   constructor(private readonly settings: PromptPaceSettings) {}
 
-  /// A prompt was computed `ms` after it was sent, with `tokens` to compute until then. Senseless figures are
-  /// ignored.
+  /// Adds a sample: a prompt was computed `ms` after it was sent, with `tokens` to compute until then.
+  /// Ignores invalid values.
   addSample(tokens: number, ms: number): void {
     if (!isValidSample(tokens, ms)) return
     const {sampleDecay} = this.settings
@@ -46,8 +47,8 @@
     this.sumProducts = this.sumProducts * sampleDecay + tokens * ms
   }
 
-  /// How long a prompt takes when so many tokens, its own included, are to be computed; undefined while too
-  /// little is known. Milliseconds.
+  /// Expected time of a prompt when `tokens`, its own included, have to be computed; undefined while there
+  /// are too few samples. Milliseconds.
   getExpectedMs(tokens: number): number | undefined {
     if (this.samples < this.settings.minimumSamples) return undefined
     const meanTokens = this.sumTokens / this.weight
@@ -56,7 +57,8 @@
     return Math.max(0, meanMs + slope * (tokens - meanTokens))
   }
 
-  /// Between no growth at all and a line through the origin, whatever noise says.
+  /// Slope of the line, clamped between zero and that of a line through the origin to limit the effect of
+  /// noise.
   private getMsPerToken(meanTokens: number, meanMs: number): number {
     const variance = this.sumTokensSquared / this.weight - meanTokens * meanTokens
     const covariance = this.sumProducts / this.weight - meanTokens * meanMs
--- a/test/pace-book.test.ts
+++ b/test/pace-book.test.ts
@@ -103,10 +103,10 @@
     const engines = makeEngines(Array<number>(9).fill(1));
     engines.answer(40, 400);
     for (let step = 0; step < 5; step += 1)
-      for (const id of engines.speeds.keys()) engines.book.get(id).applyEvidence(12, 3);
+      for (const id of engines.speeds.keys()) engines.book.get(id).applySamples(12, 3);
     for (const id of engines.speeds.keys()) expect(engines.factor(id)).to.be.at.least(2);
     expect(engines.book.takeChanges()).to.deep.equal([]);
-    engines.book.get('engine-3').applyEvidence(800, 100);
+    engines.book.get('engine-3').applySamples(800, 100);
     expect(engines.book.takeChanges().map(({ id }) => id)).to.deep.equal(['engine-3']);
   });
 
@@ -155,13 +155,13 @@
     for (const id of teller.speeds.keys()) hearer.get(id);
     for (let step = 0; step < 40; step += 1) {
       teller.answer(1, 400);
-      hearer.applyEvidence(teller.book.takeEvidence());
+      hearer.applySamples(teller.book.takeSamples());
       hearer.tick((step + 1) * 400);
     }
     for (const id of teller.speeds.keys())
       expect(hearer.get(id).factor()).to.be.closeTo(teller.factor(id), 0.12);
-    expect(teller.book.takeEvidence()).to.deep.equal([]);
-    hearer.applyEvidence([['unknown', 3, 1]]);
+    expect(teller.book.takeSamples()).to.deep.equal([]);
+    hearer.applySamples([['unknown', 3, 1]]);
     expect(hearer.getFactors().map(({ id }) => id)).not.to.include('unknown');
   });
 
@@ -180,7 +180,7 @@
         for (const [kind, left, right] of steps) {
           if (kind === 'sample') pace.addSample(GROUP, left, right);
           else if (kind === 'unanswered') pace.addUnanswered(GROUP, left, right);
-          else if (kind === 'told') book.applyEvidence([['engine', left, right]]);
+          else if (kind === 'told') book.applySamples([['engine', left, right]]);
           else book.tick(left);
           expect(pace.factor()).to.be.within(1 / maximumRatio, maximumRatio);
         }
@@ -202,7 +202,7 @@
       [10, Infinity],
     ])
       engines.book.get('engine-0').addSample(GROUP, load, ms);
-    engines.book.applyEvidence([
+    engines.book.applySamples([
       ['engine-0', NaN, 1],
       ['engine-0', 1, NaN],
       ['engine-0', 5, 0],
