--- a/src/forwarding/permits/permit-demand.ts
+++ b/src/forwarding/permits/permit-demand.ts
@@ -1,7 +1,8 @@
-/// What competes for the permits of one service at one daemon, by priority, and how many permits it gets.
+/// The requests that compete for the permits of one service at one daemon, by priority, and the permits that
+/// were granted for them.
 import {WindowCount} from "../backends/window-count.js"
 
-/// Time over which both are counted. Milliseconds.
+/// Window over which both are counted. Milliseconds.
 const WINDOW_MS = 4000
 
 /// The demand for the permits of one service. Times are monotonic milliseconds.
@@ -9,20 +10,20 @@
   private readonly requests = new Map<number, WindowCount>()
   private readonly permits = new WindowCount(WINDOW_MS)
 
-  /// A request of this priority, 0 the most urgent, can only be served with a permit.
+  /// Counts a request of this priority, 0 being the most urgent, that can only be served with a permit.
   addRequest(priority: number, now: number): void {
     let count = this.requests.get(priority)
     if (!count) this.requests.set(priority, (count = new WindowCount(WINDOW_MS)))
     count.add(now)
   }
 
-  /// A permit was granted.
+  /// Counts a permit that was granted.
   addPermit(now: number): void {
     this.permits.add(now)
   }
 
-  /// How long the permits that come take to serve what is as urgent or more, and has not been served.
-  /// Milliseconds.
+  /// Time to serve the unserved requests of this priority or a more urgent one at the rate of granted
+  /// permits. Milliseconds.
   getBacklogMs(priority: number, now: number): number {
     let requests = 0
     for (const [other, count] of this.requests) if (other <= priority) requests += count.count(now)
--- a/src/forwarding/permits/permit-manager.ts
+++ b/src/forwarding/permits/permit-manager.ts
@@ -1,10 +1,10 @@
-/// Permits of this daemon to send requests to back ends that name a limit. All daemons together may send such
-/// a back end so many requests a second as it names, so each request there takes a permit of a bucket that
-/// one daemon runs for the whole fleet, as it does for tenants' quotas (src/quotas).
+/// Permits of this daemon to send requests to back ends that advertise a limit. The limit, in requests a
+/// second, applies to all daemons together, so each request to such a back end takes a permit from a token
+/// bucket that one daemon runs for the whole fleet, as for tenants' quotas (src/quotas).
 ///
-/// A daemon with requests for a service asks for one permit of each limited back end ahead of its use: where
-/// others take the requests, none of them waits for the answer. Owns the permits in hand and the asks under
-/// way.
+/// A daemon with requests for a service asks for one permit of each limited back end in advance, so that no
+/// request waits for the decision while other back ends can take it. Owns the unused permits and the pending
+/// asks; relies on `QuotaManager` for the buckets.
 import {getQuotaRetryAfterMs, NO_OWNER_RETRY_AFTER_MS, spreadQuotaRetryAfter} from "../admit/retry-after.js"
 import type {QuotaDecision} from "../admit/tenant-quota.js"
 import type {BackendView} from "../backends/backend-view.js"
@@ -17,29 +17,30 @@
 import type {RandomSource} from "../../shared/random.js"
 import {PermitDemand} from "./permit-demand.js"
 
-/// In any window a back end may get one and a half times its limit, and five requests more.
+/// In any window a back end may get one and a half times its limit plus five requests.
 const BUCKET_SETTINGS: QuotaSettings = {windowMs: 4000, overage: 0.5, slackTokens: 5}
-/// A back end is asked at least so often whether its limit still holds. Requests a second; within the slack
-/// of the bucket.
-const SLOWEST_PER_SECOND = 0.25
-/// Requests beyond the rate, at once: urgent ones that come together.
+/// Lowest rate of a bucket, so that requests reach each back end often enough to show whether its limit still
+/// holds. Requests a second; within the slack of the bucket.
+const MINIMUM_PER_SECOND = 0.25
+/// Burst of a bucket, for urgent requests that arrive together. Requests.
 const BURST = 1
-/// A permit that is not used for so long is handed back. Milliseconds. What is granted so reaches the back
-/// end at about the time at which it was counted.
+/// A permit that is not used within this time is returned. Milliseconds. A granted request thus reaches the
+/// back end at about the time at which it was counted.
 const PERMIT_LIFETIME_MS = 500
-/// An ask without an answer counts as refused after so long. Milliseconds.
+/// An ask without a decision counts as refused after this time. Milliseconds.
 const ASK_TIMEOUT_MS = 250
-/// After a refusal a back end's permit is asked for again after so long for each daemon of the fleet, and at
-/// least after so long, so that the daemon that grants them bears a hundred asks a second. Milliseconds.
-const ASK_PAUSE_PER_DAEMON_MS = 10
-const SHORTEST_ASK_PAUSE_MS = 100
+/// Time after a refusal until the next ask for a permit of the same back end, per daemon of the fleet, and
+/// its minimum. Keeps the load of the daemon that grants the permits at a hundred asks a second.
+/// Milliseconds.
+const ASK_INTERVAL_PER_DAEMON_MS = 10
+const MINIMUM_ASK_INTERVAL_MS = 100
 
-/// What the manager relies on.
+/// Dependencies of the permit manager.
 interface PermitManagerDependencies {
   readonly selfId: string
   readonly random: RandomSource
   readonly getFleet: () => FleetView
-  /// Called when a request of the service may find a permit, or need not wait for one any more.
+  /// Called when a request of the service may get a permit, or no longer has to wait for one.
   readonly onSettled: (service: string, now: number) => void
   readonly emit: EffectSink<{
     readonly kind: "sendPeer"
@@ -51,15 +52,15 @@
 /// The permits of one back end.
 interface PermitState {
   readonly key: string
-  /// The ask under way.
+  /// Id of the pending ask.
   askId: string | undefined
-  /// Priority of the request that is or was last asked for.
+  /// Priority of the request of the pending or the last ask.
   priority: number
-  /// For requests that are no more urgent it is not asked for again before.
+  /// No ask before this time for requests that are not more urgent.
   nextAskAt: number
-  /// When the daemon that grants permits expects one to be free, as it last said. Milliseconds.
+  /// Time until a permit, as estimated in the last refusal of the daemon that grants them. Milliseconds.
   retryAfterMs: number | undefined
-  /// The permit in hand is handed back then.
+  /// When the unused permit is returned.
   expiresAt: number
 }
 
@@ -70,7 +71,7 @@
   private readonly asked = new Map<string, BackendView>()
   private readonly demands = new Map<string, PermitDemand>()
   private asks = 0
-  /// The time of the event that is handled now.
+  /// Time of the event that is being handled.
   private now = -Infinity
 
   constructor(private readonly dependencies: PermitManagerDependencies) {
@@ -78,12 +79,12 @@
     this.buckets = new QuotaManager(selfId, BUCKET_SETTINGS, getFleet, random, effect => this.onQuota(effect))
   }
 
-  /// Takes the back ends that name a limit now.
+  /// Sets the back ends that advertise a limit now. Drops the permits and asks of all others.
   setLimited(views: readonly BackendView[], now: number): void {
     this.now = now
     const limits = new Map<string, QuotaLimit>()
     for (const view of views) {
-      const ratePerSecond = Math.max(SLOWEST_PER_SECOND, view.limit.get() ?? 0)
+      const ratePerSecond = Math.max(MINIMUM_PER_SECOND, view.limit.get() ?? 0)
       limits.set(getIncarnation(view.record), {ratePerSecond, burst: BURST})
     }
     for (const [view, {key, askId}] of this.states) {
@@ -97,19 +98,20 @@
       if (!this.demands.has(service)) this.demands.set(service, new PermitDemand())
   }
 
-  /// What competes for the permits of a service; undefined until one of its back ends has named a limit.
+  /// Demand for the permits of a service; undefined until one of its back ends has advertised a limit.
   getDemand(service: string): PermitDemand | undefined {
     return this.demands.get(service)
   }
 
-  /// Asks for a permit of each of these back ends, which name a limit, where none is in hand.
+  /// Asks for a permit of each of these back ends, which advertise a limit, unless an unused one is left.
   ask(views: readonly BackendView[], priority: number, now: number): void {
     this.now = now
     for (const view of views) if (this.mayAsk(view, priority)) this.askOne(view, priority)
   }
 
   /// Asks for one permit of any of these back ends, one back end after another, for a request that no other
-  /// back end can take. Asked all at once they would grant it several, and others none.
+  /// back end can take. Asking for all at once could grant several permits to this request and none to
+  /// others.
   askAny(views: readonly BackendView[], priority: number, now: number): void {
     this.now = now
     const offset = this.dependencies.random.below(views.length)
@@ -120,38 +122,38 @@
     }
   }
 
-  /// Whether an answer is due from one of these.
+  /// Whether an ask for one of these back ends is pending.
   isAsking(views: readonly BackendView[]): boolean {
     return views.some(view => this.states.get(view)?.askId !== undefined)
   }
 
-  /// When there may be a permit of one of these for a request of this priority: what the fleet's demand says,
-  /// or sooner when this daemon's own demand of that priority is small. Milliseconds from now.
+  /// Estimated time until a permit of one of these back ends for a request of this priority: by the fleet's
+  /// demand, as last reported, or by this daemon's demand of that priority if that is shorter. Milliseconds.
   getRetryAfterMs(views: readonly BackendView[], priority: number, now: number): number {
     const [{record}] = views
     const backlogMs = this.demands.get(record.service)?.getBacklogMs(priority, now) ?? 0
-    const ownMs = spreadQuotaRetryAfter(getQuotaRetryAfterMs(backlogMs), this.dependencies.random.next())
-    const toldMs = views.map(view => this.states.get(view)?.retryAfterMs ?? NO_OWNER_RETRY_AFTER_MS)
-    return Math.min(ownMs, ...toldMs)
+    const localMs = spreadQuotaRetryAfter(getQuotaRetryAfterMs(backlogMs), this.dependencies.random.next())
+    const ownerMs = views.map(view => this.states.get(view)?.retryAfterMs ?? NO_OWNER_RETRY_AFTER_MS)
+    return Math.min(localMs, ...ownerMs)
   }
 
-  /// Whether this daemon runs the bucket of a back end.
+  /// Whether this daemon runs the bucket of the back end.
   isOwner(view: BackendView, now: number): boolean {
     return this.buckets.isOwner(getIncarnation(view.record), now)
   }
 
-  /// Any message of a daemon shows that it runs.
+  /// A message was received from another daemon, so it is running.
   onContact(fromId: string, now: number): void {
     this.buckets.hear(fromId, now)
   }
 
-  /// Takes a message about permits.
+  /// Applies a message about permits.
   receive(fromId: string, fromAddress: string, message: QuotaMessage, now: number): void {
     this.now = now
     this.buckets.receive(fromId, fromAddress, message, now)
   }
 
-  /// This process stood still until now: what it was granted before is out of date.
+  /// This process was paused until now: permits granted before are out of date.
   onProcessResumed(now: number): void {
     for (const view of this.states.keys()) view.permits = 0
     this.buckets.resumeAfterPause(now)
@@ -168,7 +170,7 @@
     }
   }
 
-  /// Sums over all back ends. Requests since the process began.
+  /// Figures summed over all back ends; requests are counted since the start of the process.
   getFigures(): Readonly<Record<string, number>> {
     const {granted_tokens: granted, refused_requests: refused, limits, owned} = this.buckets.getFigures()
     return {limited: limits, owned, granted, refused}
@@ -176,11 +178,11 @@
 
   private mayAsk(view: BackendView, priority: number): boolean {
     const {askId, nextAskAt, priority: askedPriority} = this.getState(view)
-    const isPaused = this.now < nextAskAt && priority >= askedPriority
-    return view.permits === 0 && askId === undefined && !isPaused
+    const isTooEarly = this.now < nextAskAt && priority >= askedPriority
+    return view.permits === 0 && askId === undefined && !isTooEarly
   }
 
-  /// Whether a permit is asked for, for a request of this priority or a more urgent one.
+  /// Whether an ask for a request of this priority or a more urgent one is pending.
   private isAskedFor(view: BackendView, priority: number): boolean {
     const state = this.states.get(view)
     return state?.askId !== undefined && state.priority <= priority
@@ -233,9 +235,9 @@
     if (!view || state?.askId !== askId) return
     state.askId = undefined
     if (decision.kind === "refused") {
-      const pauseMs = this.dependencies.getFleet().members.length * ASK_PAUSE_PER_DAEMON_MS
+      const intervalMs = this.dependencies.getFleet().members.length * ASK_INTERVAL_PER_DAEMON_MS
       state.retryAfterMs = decision.retryAfterMs
-      state.nextAskAt = this.now + Math.max(SHORTEST_ASK_PAUSE_MS, pauseMs)
+      state.nextAskAt = this.now + Math.max(MINIMUM_ASK_INTERVAL_MS, intervalMs)
       return
     }
     view.permits += 1
