--- a/test/advertised-limits.test.ts
+++ b/test/advertised-limits.test.ts
@@ -1,4 +1,4 @@
-/** Back ends that name in their answers how many requests a second they take from all daemons together. */
+/** Back ends that advertise in their answers a request rate for all daemons together. */
 import { expect } from 'chai';
 import { labRoute } from '../lab/forwarding-site.js';
 import { SignalSite } from '../simulation/signal-site.js';
@@ -8,36 +8,37 @@
 const PATH = '/a/x';
 const URGENT = '/u/x';
 const PLAIN_LOAD = { [PATH]: 120 };
-/** Part of a limit that is used where there is enough to send. */
-const LEAST_USE = 0.6;
-/** The use is counted from so long after the limits were named. Milliseconds. */
-const SETTLES_MS = 4000;
+/** Least share of a limit that is used when there are enough requests. */
+const MINIMUM_USE = 0.6;
+/** Time from when limits are advertised until their use is measured. Milliseconds. */
+const SETTLE_MS = 4000;
 const RUN_MS = 20_000;
 
 function startSite(daemons: number, backends: number, seed = SEED, engines = false): SignalSite {
   return new SignalSite({ daemons, backends, seed, engines });
 }
 
-function checkLimit(site: SignalSite, backendId: string, excused?: ReadonlySet<FleetNode>): void {
-  const { seen, allowed } = site.findWorst(backendId, excused);
+/** Checks that no window had more requests than the limit allows, leaving out those of `exempt` daemons. */
+function checkLimit(site: SignalSite, backendId: string, exempt?: ReadonlySet<FleetNode>): void {
+  const { seen, allowed } = site.findWorst(backendId, exempt);
   expect(seen, `requests to ${backendId} in 4 s`).to.be.at.most(allowed);
 }
 
-/** The back end gets most of what it takes. */
+/** Checks that the back end gets at least `MINIMUM_USE` of the rate that it accepts. */
 function checkUse(site: SignalSite, backendId: string, perSecond: number, since: number): void {
   const seconds = (site.fleet.time.now() - since) / 1000;
   expect(site.countSince(backendId, since) / seconds, `requests a second to ${backendId}`).to.be.at.least(
-    perSecond * LEAST_USE,
+    perSecond * MINIMUM_USE,
   );
 }
 
-/** Two of six back ends name a limit. */
-function playTwoLimited(daemons: number, perSecond: number, load = PLAIN_LOAD): SignalSite {
+/** Runs a fleet in which two of six back ends advertise a limit, and checks these limits and their use. */
+function runWithTwoLimited(daemons: number, perSecond: number, load = PLAIN_LOAD): SignalSite {
   const site = startSite(daemons, 6);
   site.load(load, RUN_MS + 2000);
   site.run(2000);
   for (const id of ['b0', 'b1']) site.setLimit(id, perSecond);
-  const since = site.fleet.time.now() + SETTLES_MS;
+  const since = site.fleet.time.now() + SETTLE_MS;
   site.run(RUN_MS);
   for (const id of ['b0', 'b1']) {
     checkLimit(site, id);
@@ -46,24 +47,24 @@
   return site;
 }
 
-describe('limits that back ends name', () => {
+describe('limits that back ends advertise', () => {
   for (const perSecond of [0.5, 1, 2, 6.9, 15])
-    it(`${perSecond} a second beside unlimited ones: kept by the whole fleet, used, and nobody is refused`, () => {
-      const site = playTwoLimited(9, perSecond);
+    it(`${perSecond} a second, other back ends unlimited: kept by the whole fleet, used, no request is refused`, () => {
+      const site = runWithTwoLimited(9, perSecond);
       expect(site.findRefusals()).to.deep.equal([]);
     });
 
-  it('kept by 24 daemons', () => {
-    playTwoLimited(24, 2, { [PATH]: 240 });
+  it('are kept by 24 daemons', () => {
+    runWithTwoLimited(24, 2, { [PATH]: 240 });
   });
 
-  it('kept where every back end of the service names one: the rest is refused at once', () => {
+  it('are kept when every back end of the service advertises one: excess requests are refused at once', () => {
     const site = startSite(9, 3);
     site.load(PLAIN_LOAD, RUN_MS + 2000);
     site.run(2000);
     const ids = ['b0', 'b1', 'b2'];
     for (const id of ids) site.setLimit(id, 2);
-    const since = site.fleet.time.now() + SETTLES_MS;
+    const since = site.fleet.time.now() + SETTLE_MS;
     site.run(RUN_MS);
     for (const id of ids) {
       checkLimit(site, id);
@@ -78,7 +79,7 @@
     }
   });
 
-  it('kept while daemons are killed and start again, those that hand out the limit too', () => {
+  it('are kept while daemons are killed and restarted, including those that grant the permits', () => {
     const site = startSite(9, 6);
     site.load(PLAIN_LOAD, 40_000);
     site.run(2000);
@@ -91,7 +92,7 @@
     for (const id of ['b0', 'b1']) checkLimit(site, id, new Set(killed));
   });
 
-  it('kept by daemons that start while they hold, from when each is told', () => {
+  it('are kept by daemons that start while a limit holds, from when each has learned of it', () => {
     const site = startSite(9, 6);
     site.load(PLAIN_LOAD, 45_000);
     site.run(2000);
@@ -104,21 +105,21 @@
     for (const id of ['b0', 'b1']) checkLimit(site, id);
   });
 
-  it('kept in sum by both sides of a divided fleet', () => {
+  it('are kept by both sides of a network partition together', () => {
     const site = startSite(9, 6);
     site.load(PLAIN_LOAD, 40_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLimit(id, 2);
     site.run(6000);
-    const oneSide = new Set(site.fleet.nodes.slice(0, 4));
-    site.fleet.isLinked = (from, to) => oneSide.has(from) === oneSide.has(to);
+    const partition = new Set(site.fleet.nodes.slice(0, 4));
+    site.fleet.isLinked = (from, to) => partition.has(from) === partition.has(to);
     site.run(15_000);
     site.fleet.isLinked = () => true;
     site.run(10_000);
     for (const id of ['b0', 'b1']) checkLimit(site, id);
   });
 
-  it('kept by daemons that stood still for a while', () => {
+  it('are kept by daemons whose processes were paused', () => {
     const site = startSite(9, 6);
     site.load(PLAIN_LOAD, 40_000);
     site.run(2000);
@@ -132,7 +133,7 @@
     for (const id of ['b0', 'b1']) checkLimit(site, id, new Set(paused));
   });
 
-  it('kept where the records of back ends lapse and come back', () => {
+  it('are kept when the records of back ends expire and are added again', () => {
     const site = startSite(24, 6);
     site.load({ [PATH]: 300 }, 40_000);
     site.run(2000);
@@ -146,7 +147,7 @@
     for (const id of ['b0', 'b1']) checkLimit(site, id);
   });
 
-  it('kept for engines of both stages', () => {
+  it('are kept for engines of both stages', () => {
     const site = startSite(9, 8, SEED, true);
     const prompt = {
       model: 'm',
@@ -161,7 +162,7 @@
     for (const id of ['b0', 'b1']) checkLimit(site, id);
   });
 
-  it('end where they are no longer named, also without requests that could tell', () => {
+  it('end when they are no longer advertised, even after a time without requests', () => {
     for (const pauseMs of [0, 15_000]) {
       const site = startSite(9, 3);
       site.load(PLAIN_LOAD, 8000);
@@ -178,7 +179,7 @@
     }
   });
 
-  it('end without any request where health checks have named them too', () => {
+  it('end without any request when health checks have advertised them too', () => {
     const site = startSite(9, 3);
     site.answerChecks({ nameLimits: true });
     site.load(PLAIN_LOAD, 4000);
@@ -191,7 +192,7 @@
     expect(site.countBelievedLimits()).to.equal(0);
   });
 
-  it('do not end by health checks that never named them', () => {
+  it('do not end by health checks that never advertised them', () => {
     const site = startSite(9, 3);
     site.answerChecks({ nameLimits: false });
     site.load(PLAIN_LOAD, 4000);
@@ -201,7 +202,7 @@
     expect(site.countBelievedLimits()).to.equal(1);
   });
 
-  it('a request whose prompt is computed waits anew for a permit of an engine that generates', () => {
+  it('a request whose prompt is computed waits again, for a permit of an engine that generates', () => {
     const site = startSite(9, 8, SEED, true);
     const parts = [{ id: 'own', tokens: 2000 }];
     const prompt = { model: 'm', parts, promptTokens: 2000, maximumOutputTokens: 10 };
@@ -209,12 +210,12 @@
     site.run(2000);
     for (let index = 0; index < 8; index += 1) site.setLimit(`b${index}`, 6);
     site.run(6000);
-    const before = site.findRefusals().length;
+    const refusedBefore = site.findRefusals().length;
     site.run(20_000);
-    expect(site.findRefusals().length - before).to.be.at.most(1);
+    expect(site.findRefusals().length - refusedBefore).to.be.at.most(1);
   });
 
-  it('are asked for by health checks only where no answer has told lately', () => {
+  it('are polled by health checks only when no recent answer has advertised them', () => {
     const site = startSite(9, 6);
     site.load(PLAIN_LOAD, 14_000);
     site.run(2000);
@@ -225,22 +226,22 @@
     expect(site.fleet.probes.length).to.be.within(2, 5);
   });
 
-  it('a few requests for many daemons: all are served within the limit of the only back end', () => {
+  it('few requests at many daemons: at most 5 % are refused within the limit of the only back end', () => {
     const site = startSite(24, 1);
     site.load({ [PATH]: 2 }, 4000);
     site.run(4000);
     site.setLimit('b0', 4);
     site.load({ [PATH]: 2 }, 30_000);
     site.run(4000);
-    const before = site.findRefusals().length;
+    const refusedBefore = site.findRefusals().length;
     const since = site.fleet.time.now();
     site.run(24_000);
-    const refused = site.findRefusals().length - before;
+    const refused = site.findRefusals().length - refusedBefore;
     expect(refused / (site.countSince('b0', since) + refused)).to.be.at.most(0.05);
     checkLimit(site, 'b0');
   });
 
-  it('the more urgent requests come first where every back end names one', () => {
+  it('more urgent requests are served first when every back end advertises one', () => {
     const routes = [
       labRoute({ name: 'urgent', pathPrefix: '/u/', priority: 0 }),
       labRoute({ name: 'other', pathPrefix: '/a/', priority: 2 }),
@@ -251,10 +252,10 @@
     site.run(2000);
     for (const id of ['b0', 'b1', 'b2']) site.setLimit(id, 4);
     site.run(6000);
-    const before = new Map(site.served);
+    const servedBefore = new Map(site.served);
     site.run(24_000);
     const getServedShare = (path: keyof typeof load): number => {
-      const served = (site.served.get(path) ?? 0) - (before.get(path) ?? 0);
+      const served = (site.served.get(path) ?? 0) - (servedBefore.get(path) ?? 0);
       return served / (24 * load[path]);
     };
     expect(getServedShare(URGENT)).to.be.at.least(0.65);
--- a/test/back-off-signals.test.ts
+++ b/test/back-off-signals.test.ts
@@ -1,38 +1,43 @@
-/** Back ends that turn a request away and say for how long they want nothing from that daemon. */
+/** Back ends that reject a request and ask that daemon to back off for a time. */
 import { expect } from 'chai';
 import { SignalSite } from '../simulation/signal-site.js';
 
 const SEED = 20261203;
 const LOAD = { '/a/x': 120 };
 const BACK_OFF_MS = 3000;
-/** Requests that may reach a back end meanwhile. */
+/** Requests of one daemon that may still reach a back end during a back-off. */
 const ALLOWED = 2;
 
-function play(backends: number, asking: readonly string[], share: number, engines = false): SignalSite {
+function runFleet(
+  backends: number,
+  backingOff: readonly string[],
+  share: number,
+  engines = false,
+): SignalSite {
   const site = new SignalSite({ daemons: 7, backends, seed: SEED, engines });
   const parts = [{ id: 'own', tokens: 2000 }];
   const prompt = { model: 'm', parts, promptTokens: 2000, maximumOutputTokens: 10 };
   site.load(LOAD, 22_000, engines ? { prompt } : {});
   site.run(2000);
-  for (const id of asking) site.setBackOff(id, share, BACK_OFF_MS);
+  for (const id of backingOff) site.setBackOff(id, share, BACK_OFF_MS);
   site.run(15_000);
   return site;
 }
 
-describe('back ends that ask daemons to back off', () => {
+describe('back ends that ask a daemon to back off', () => {
   for (const share of [0.05, 0.4])
-    it(`beside others, of ${share} of the requests: get none from the daemons that were asked`, () => {
-      const site = play(6, ['b0', 'b1'], share);
+    it(`on ${share} of the requests, with other back ends left: get no more requests from these daemons`, () => {
+      const site = runFleet(6, ['b0', 'b1'], share);
       expect(site.findMostInBackOff()).to.be.at.most(ALLOWED);
     });
 
-  it('get no hand-over of computed prompts from these', () => {
-    const site = play(8, ['b1', 'b3'], 0.2, true);
+  it('get no computed prompts handed over from these daemons', () => {
+    const site = runFleet(8, ['b1', 'b3'], 0.2, true);
     expect(site.findMostInBackOff()).to.be.at.most(ALLOWED);
   });
 
-  it('all of a service: requests are refused at once, with the time until the first wants requests again', () => {
-    const site = play(3, ['b0', 'b1', 'b2'], 0.3);
+  it('all of a service: requests are refused at once, with the time until the first back-off ends', () => {
+    const site = runFleet(3, ['b0', 'b1', 'b2'], 0.3);
     expect(site.findMostInBackOff()).to.be.at.most(ALLOWED);
     const refusals = site.findRefusals();
     expect(refusals.length).to.be.greaterThan(100);
@@ -43,8 +48,8 @@
     }
   });
 
-  it('get requests again when the time is over', () => {
-    const site = play(6, ['b0'], 0.4);
+  it('get requests again when the back-off has ended', () => {
+    const site = runFleet(6, ['b0'], 0.4);
     site.setBackOff('b0', 0, BACK_OFF_MS);
     site.run(BACK_OFF_MS);
     const since = site.fleet.time.now();
--- a/test/leaving-back-ends.test.ts
+++ b/test/leaving-back-ends.test.ts
@@ -1,35 +1,35 @@
 /**
- * Callers' requests reached back ends for longer after they had left than the fleet is given to know of it.
+ * Guards against requests to back ends that left longer ago than the bound for all daemons to know of it.
  *
- * Back ends may leave without a word: their record goes while it says that they are ready. A daemon that the
- * store had turned away for 2 s or more took its own lost contact for an outage of the store, held such a
- * removal for 1.8 s, in case the record had only lapsed, and told its peers to do the same, although they had
- * heard from the store all the time. The time until the removal was read, up to 0.6 of the bound while the
- * first reader is turned away, and the 1.8 s add up to more than the bound.
+ * A back end may leave unannounced: its record is removed while its state is ready. A daemon that had lost access to
+ * the store for 2 s or more took this for an outage of the store. It held such a removal for 1.8 s, in case the
+ * record had only expired, and made its peers do the same, although they had been in contact with the store. Reading
+ * the removal takes up to 0.6 of the bound while the first reader has lost access, and with the 1.8 s the bound was
+ * exceeded.
  *
- * Evidence: with the reader turned away for some 5 to 7 s, removals were known after 2,046 to 2,822 ms of
- * 2,000 in 5 of 60 plays (30 daemons), 3,039 to 3,428 of 3,000 in 5 of 500 and 4,044 to 4,163 of 4,000 in 2 of
- * 500 (16 daemons), at nearly all daemons at once; back ends that said that they leave were known in time in
- * all. Virtual time.
+ * Measured in virtual time, with the reader without access for some 5 to 7 s: removals were known after 2,046 to
+ * 2,822 ms with a bound of 2,000 in 5 of 60 runs (30 daemons), and with 16 daemons after 3,039 to 3,428 ms of 3,000
+ * in 5 of 500 and 4,044 to 4,163 ms of 4,000 in 2 of 500, at nearly all daemons at once. Announced leavings were known
+ * in time in all runs.
  */
 import { expect } from 'chai';
 import type { ForwardingFleet, StoreAccess } from '../simulation/forwarding-fleet.js';
 import { findReader, makeBackendRecord, startSettledFleet } from './store-reader.js';
 
 const SEED = 20261203;
-/** All daemons know of a leaving within this time. Milliseconds; `FLEET_SETTINGS` are made for it. */
+/** All daemons know that a back end is leaving within this time; `FLEET_SETTINGS` ensure it. Milliseconds. */
 const BOUND_MS = 2000;
 const DAEMONS = 9;
-/** The store turns the first reader away for at least so long. Milliseconds. */
-const TURNED_AWAY_MS = 5000;
-/** A back end that lives has written its record anew so long after an outage. Milliseconds. */
+/** Least time for which the first reader loses access to the store. Milliseconds. */
+const LOST_ACCESS_MS = 5000;
+/** Time after an outage within which a running back end has written its record again. Milliseconds. */
 const REWRITTEN_MS = 1000;
 
 function startFleet(): ForwardingFleet {
   return startSettledFleet(DAEMONS, SEED, ['a', 'b', 'c']);
 }
 
-/** Until all daemons that run knew a state of a back end. Milliseconds; infinite when one never did. */
+/** Time until all running daemons knew this state of a back end; infinite when one never did. Milliseconds. */
 function getSlowest(fleet: ForwardingFleet, id: string, state: string, since: number): number {
   const times = fleet.nodes
     .filter(({ down }) => !down)
@@ -38,34 +38,34 @@
   return Math.max(...times);
 }
 
-/** One back end leaves without a word and one says so, at about the time when the reader's contact comes back. */
-function playLostContact(access: StoreAccess, leavesMs: number, backMs: number): void {
+/** One back end leaves unannounced and one announced, shortly before the reader regains access to the store. */
+function runLostContact(access: StoreAccess, leavesMs: number, backMs: number): void {
   const fleet = startFleet();
   const reader = findReader(fleet);
   reader.access = access;
-  const since = fleet.time.now() + TURNED_AWAY_MS + leavesMs;
+  const since = fleet.time.now() + LOST_ACCESS_MS + leavesMs;
   fleet.time.runUntil(since);
   fleet.write(makeBackendRecord('a', 'gone'));
   fleet.write(makeBackendRecord('b', 'draining'));
   fleet.time.runUntil(since + backMs);
   reader.access = 'serves';
   fleet.time.runUntil(since + 2 * BOUND_MS);
-  const name = `store ${access}, left after ${leavesMs} ms, contact back ${backMs} ms later`;
+  const name = `store ${access}, left after ${leavesMs} ms, access regained ${backMs} ms later`;
   expect(getSlowest(fleet, 'b', 'draining', since), name).to.be.at.most(BOUND_MS);
   expect(getSlowest(fleet, 'a', 'gone', since), name).to.be.at.most(BOUND_MS);
 }
 
-describe('back ends that leave while daemons are turned away by the store', () => {
-  it("the first reader's contact is lost and comes back: all know of a leaving in time, said or not", () => {
+describe('back ends that leave while daemons have no access to the store', () => {
+  it('the first reader loses and regains access: all daemons know of each leaving in time, announced or not', () => {
     for (const access of ['refuses', 'silent'] as const)
       for (let leavesMs = 0; leavesMs < 2000; leavesMs += 250)
-        for (let backMs = 0; backMs < 1500; backMs += 250) playLostContact(access, leavesMs, backMs);
+        for (let backMs = 0; backMs < 1500; backMs += 250) runLostContact(access, leavesMs, backMs);
   });
 
-  it('a daemon that was turned away long ago and heard of all changes since holds no removal', () => {
+  it('a daemon that lost access long ago and has received all changes since does not hold removals', () => {
     const fleet = startFleet();
     const reader = findReader(fleet);
-    // Hearing nothing, the others ask the store, which turns them away; then their peers tell them everything.
+    // Without messages from peers, the others read the store, which refuses; then their peers send them all changes.
     for (const node of fleet.nodes) if (node !== reader) node.access = 'refuses';
     fleet.isLinked = () => false;
     fleet.time.runUntil(fleet.time.now() + 1600);
@@ -81,7 +81,7 @@
   });
 
   for (const outageMs of [3000, 5000, 12_000]) {
-    it(`the store is away for all for ${outageMs} ms: a back end whose record lapsed keeps its work everywhere`, () => {
+    it(`the store refuses all daemons for ${outageMs} ms: a back end whose record expired stays in use everywhere`, () => {
       const fleet = startFleet();
       for (const node of fleet.nodes) node.access = 'refuses';
       fleet.time.runUntil(fleet.time.now() + outageMs);
--- a/test/leaving-hunt.test.ts
+++ b/test/leaving-hunt.test.ts
@@ -1,6 +1,6 @@
 /**
- * Drawn troubles of daemons, links and the store, and back ends that leave meanwhile: each daemon that is in
- * contact with the store knows of each leaving within the bound. `LEAVING_HUNT_SEEDS=N` plays more of them.
+ * Random faults of daemons, links and the store while back ends leave: each daemon that is in contact with the store
+ * knows of each leaving within the bound. `LEAVING_HUNT_SEEDS=N` runs N scenarios besides those of known faults.
  */
 import { expect } from 'chai';
 import type { ForwardingFleet, FleetNode } from '../simulation/forwarding-fleet.js';
@@ -8,23 +8,24 @@
 import { makeBackendRecord, startSettledFleet } from './store-reader.js';
 
 /**
- * Days that showed a fault: 4932, a daemon that had been turned away once, 18 s before, waited longer for its
- * first read and held a removal; 4907, a daemon's own outage held removals; 4915, word of a copy that had just
- * begun; 5797, word of a change put off a read that was late already.
+ * Seeds that found faults. 4932: a daemon that had lost access once, 18 s before, waited longer for its first read and
+ * held a removal. 4907: a daemon held removals because of its own outage. 4915: a report from a copy of the records
+ * that had only just been started was taken for complete. 5797: a report of a change postponed a read that was
+ * already overdue.
  */
-const KEPT_SEEDS = [4932, 4907, 4915, 5797];
+const REGRESSION_SEEDS = [4932, 4907, 4915, 5797];
 const FIRST_SEED = 4900;
 const SEEDS = Number(process.env.LEAVING_HUNT_SEEDS ?? 7);
-const LENGTH_MS = 40_000;
-/** All daemons know of a leaving within this time. Milliseconds; the fleet's settings are made for it. */
+const RUN_MS = 40_000;
+/** All daemons know that a back end is leaving within this time; the fleet's settings ensure it. Milliseconds. */
 const BOUND_MS = 2000;
-/** A daemon is in contact when nothing struck it for so long. Milliseconds. */
+/** A daemon counts as in contact after this time without a fault. Milliseconds. */
 const CONTACT_MS = 3000;
 const STEP_MS = 50;
-/** Chance in each step that a back end changes, and that a trouble begins. */
-const CHANGE_SHARE = 0.08;
-const TROUBLE_SHARE = 0.02;
-const LONGEST_TROUBLE_MS = 8000;
+/** Probabilities per step that a back end changes and that a fault starts. */
+const CHANGE_PROBABILITY = 0.08;
+const FAULT_PROBABILITY = 0.02;
+const MAXIMUM_FAULT_MS = 8000;
 const BACKENDS = Array.from({ length: 12 }, (_unused, i) => `b${i}`);
 
 interface Leaving {
@@ -33,15 +34,15 @@
   readonly at: number;
 }
 
-/** One drawn day. Keeps since when each daemon is untroubled, as the store sees it. */
-class Day {
+/** One random scenario. Tracks when each daemon last had a fault that affects its contact with the store. */
+class Scenario {
   readonly late: string[] = [];
   private readonly random: SeededRandom;
   private readonly fleet: ForwardingFleet;
-  private readonly lastTrouble = new Map<FleetNode, number>();
-  private readonly troubledUntil = new Map<FleetNode, number>();
+  private readonly lastFaultAt = new Map<FleetNode, number>();
+  private readonly faultUntil = new Map<FleetNode, number>();
   private readonly cutUntil = new Map<FleetNode, number>();
-  private readonly silenced = new Set<FleetNode>();
+  private readonly silencedNodes = new Set<FleetNode>();
   private readonly readLostAt = new Map<FleetNode, number>();
   private readonly states = new Map(BACKENDS.map((id) => [id, 'ready' as string]));
   private readonly leavings: Leaving[] = [];
@@ -52,14 +53,14 @@
     this.fleet.isLinked = (from, to) => !this.isCut(from) && !this.isCut(to);
   }
 
-  play(): void {
+  run(): void {
     const { time } = this.fleet;
-    const end = time.now() + LENGTH_MS;
+    const end = time.now() + RUN_MS;
     while (time.now() < end) {
       time.runUntil(time.now() + STEP_MS);
-      this.endTroubles();
-      if (this.random.next() < CHANGE_SHARE) this.changeBackend();
-      if (this.random.next() < TROUBLE_SHARE) this.startTrouble();
+      this.endFaults();
+      if (this.random.next() < CHANGE_PROBABILITY) this.changeBackend();
+      if (this.random.next() < FAULT_PROBABILITY) this.startFault();
       this.checkLeavings();
     }
   }
@@ -78,17 +79,17 @@
     if (state === 'ready') this.leavings.push({ id, state: leaves, at: this.fleet.time.now() });
   }
 
-  /** Some daemons are turned away, restarted, cut off from the others, or lose what they are told on a connection. */
-  private startTrouble(): void {
+  /** Some daemons lose access to the store, restart, are cut off from the others, or have a connection go silent. */
+  private startFault(): void {
     const now = this.fleet.time.now();
-    const until = now + this.random.next() * LONGEST_TROUBLE_MS;
+    const until = now + this.random.next() * MAXIMUM_FAULT_MS;
     const kind = this.random.below(4);
-    // Never all: while the store answers nobody nothing is promised.
-    const most = kind === 0 ? Math.floor(this.fleet.nodes.length / 3) : 1;
+    // Never all daemons: nothing is guaranteed while the store answers none of them.
+    const maximum = kind === 0 ? Math.floor(this.fleet.nodes.length / 3) : 1;
     const access = this.random.next() < 0.5 ? 'refuses' : 'silent';
-    for (let i = 0; i <= this.random.below(most + 1); i += 1) {
+    for (let i = 0; i <= this.random.below(maximum + 1); i += 1) {
       const node = this.fleet.nodes[this.random.below(this.fleet.nodes.length)];
-      if (kind === 0) this.turnAway(node, access, until);
+      if (kind === 0) this.removeAccess(node, access, until);
       else if (kind === 1) this.restart(node, now);
       else if (kind === 2) this.cutUntil.set(node, until);
       else this.silenceConnection(node, now);
@@ -96,39 +97,40 @@
   }
 
   /**
-   * One lost read must do no harm. Two in a row are two connections that fell silent within the time in which
-   * contact has to be found again, and nothing is promised to a daemon meanwhile: seed 5661, two reads of the
-   * first reader are lost in a row; a leaving was known after 2,339 ms.
+   * Makes a connection go silent, unless a read of the daemon was lost shortly before. One lost read must do no harm.
+   * With two in a row, two connections went silent within the time in which contact has to be regained, and nothing
+   * is guaranteed for the daemon until then: in seed 5661, two reads of the first reader were lost in a row, and a
+   * leaving was known after 2,339 ms.
    */
   private silenceConnection(node: FleetNode, now: number): void {
     if (now - (this.readLostAt.get(node) ?? -Infinity) <= CONTACT_MS + BOUND_MS) return;
     node.silentConnections.add('backends');
-    this.silenced.add(node);
+    this.silencedNodes.add(node);
   }
 
-  private turnAway(node: FleetNode, access: 'refuses' | 'silent', until: number): void {
+  private removeAccess(node: FleetNode, access: 'refuses' | 'silent', until: number): void {
     node.access = access;
-    this.troubledUntil.set(node, until);
+    this.faultUntil.set(node, until);
   }
 
   private restart(node: FleetNode, now: number): void {
-    this.lastTrouble.set(node, now + 500);
+    this.lastFaultAt.set(node, now + 500);
     node.backendStates.clear();
     this.fleet.kill(node, 500);
   }
 
-  private endTroubles(): void {
+  private endFaults(): void {
     const now = this.fleet.time.now();
-    for (const node of this.silenced) {
+    for (const node of this.silencedNodes) {
       if (node.silentConnections.size > 0) continue;
       this.readLostAt.set(node, now);
-      this.silenced.delete(node);
+      this.silencedNodes.delete(node);
     }
-    for (const [node, until] of this.troubledUntil) {
-      this.lastTrouble.set(node, now);
+    for (const [node, until] of this.faultUntil) {
+      this.lastFaultAt.set(node, now);
       if (now < until) continue;
       node.access = 'serves';
-      this.troubledUntil.delete(node);
+      this.faultUntil.delete(node);
     }
   }
 
@@ -142,22 +144,22 @@
 
   private checkLeaving({ id, state, at }: Leaving, now: number): void {
     for (const node of this.fleet.nodes) {
-      const troubledAt = this.lastTrouble.get(node) ?? -Infinity;
-      if (troubledAt > now - CONTACT_MS - BOUND_MS || node.down) continue;
+      const faultAt = this.lastFaultAt.get(node) ?? -Infinity;
+      if (faultAt > now - CONTACT_MS - BOUND_MS || node.down) continue;
       const seen = node.backendStates.get(id);
       if (seen?.state === 'ready' && seen.at <= at)
-        this.late.push(`${id} ${state} at ${Math.round(at)}: ${node.id} takes it for ready`);
+        this.late.push(`${id} ${state} at ${Math.round(at)}: ${node.id} still considers it ready`);
     }
   }
 }
 
-describe('leavings beside drawn troubles', () => {
-  it('are known in time to every daemon in contact', () => {
-    const fresh = Array.from({ length: SEEDS }, (_unused, i) => FIRST_SEED + i);
-    for (const seed of [...KEPT_SEEDS, ...fresh]) {
-      const day = new Day(seed);
-      day.play();
-      expect(day.late, `seed ${seed}`).to.deep.equal([]);
+describe('back ends that leave during random faults', () => {
+  it('are known in time to be leaving at every daemon in contact with the store', () => {
+    const newSeeds = Array.from({ length: SEEDS }, (_unused, i) => FIRST_SEED + i);
+    for (const seed of [...REGRESSION_SEEDS, ...newSeeds]) {
+      const scenario = new Scenario(seed);
+      scenario.run();
+      expect(scenario.late, `seed ${seed}`).to.deep.equal([]);
     }
-  }).timeout((KEPT_SEEDS.length + SEEDS) * 10_000);
+  }).timeout((REGRESSION_SEEDS.length + SEEDS) * 10_000);
 });
--- a/test/leaving-signals.test.ts
+++ b/test/leaving-signals.test.ts
@@ -1,35 +1,35 @@
-/** Back ends that say in their answers that they leave, whatever their records in the store say. */
+/** Back ends that signal in their answers that they are leaving, whatever their records in the store say. */
 import { expect } from 'chai';
 import { SignalSite } from '../simulation/signal-site.js';
 
 const SEED = 20261203;
 const LOAD = { '/a/x': 120 };
-/** All daemons act on a leaving that one of them was told within this time. Milliseconds. */
-const TOLD_ALL_MS = 1500;
+/** All daemons act on a leaving signal that one of them received within this time. Milliseconds. */
+const PROPAGATION_MS = 1500;
 
 function startSite(daemons = 9, backends = 6, engines = false): SignalSite {
   return new SignalSite({ daemons, backends, seed: SEED, engines });
 }
 
-describe('back ends that say they leave', () => {
-  it('get no requests any more, though the store says that they are ready', () => {
+describe('back ends that signal that they are leaving', () => {
+  it('get no more requests although their records say that they are ready', () => {
     const site = startSite();
     site.load(LOAD, 20_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLeaving(id);
-    site.run(TOLD_ALL_MS);
+    site.run(PROPAGATION_MS);
     const since = site.fleet.time.now();
     site.run(10_000);
     for (const id of ['b0', 'b1']) expect(site.countSince(id, since), id).to.equal(0);
     expect(site.findRefusals()).to.deep.equal([]);
   });
 
-  it('get none where their records are written anew, or lapse and come back', () => {
+  it('get none when their records are written again, or expire and are added again', () => {
     const site = startSite();
     site.load(LOAD, 30_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLeaving(id);
-    site.run(TOLD_ALL_MS);
+    site.run(PROPAGATION_MS);
     site.writeBackend(0, 'ready');
     site.writeBackend(1, 'gone');
     site.fleet.time.after(1500, () => site.writeBackend(1, 'ready'));
@@ -49,7 +49,7 @@
     expect(site.countSince('b0', site.fleet.time.now() - 15_000)).to.equal(0);
   });
 
-  it('get no hand-over of computed prompts', () => {
+  it('get no computed prompts handed over', () => {
     const site = startSite(9, 8, true);
     const parts = [{ id: 'own', tokens: 2000 }];
     const prompt = { model: 'm', parts, promptTokens: 2000, maximumOutputTokens: 10 };
@@ -60,7 +60,7 @@
     expect(site.findLateToLeaving()).to.deep.equal([]);
   });
 
-  it('get work again as another incarnation at the same address', () => {
+  it('get requests again as another incarnation at the same address', () => {
     const site = startSite();
     site.load(LOAD, 20_000);
     site.writeBackend(0, 'ready', 1);
--- a/test/lost-back-ends.test.ts
+++ b/test/lost-back-ends.test.ts
@@ -1,4 +1,4 @@
-/** What follows from back ends that fall silent or are gone for good, for the requests there and for their region. */
+/** Effects of back ends that become silent or disappear for good on the requests there and on their region. */
 import { expect } from 'chai';
 import { labBackend, labRoute } from '../lab/forwarding-site.js';
 import { findCutOffRegions } from '../src/forwarding/backends/region-contact.js';
@@ -7,28 +7,28 @@
 import { Forwarding, PLAIN } from './forwarding-harness.js';
 
 const DEADLINE_MS = 5000;
-/** A request without an answer is moved after this time, twice its target and a tick. Milliseconds. */
+/** A request without an answer is sent elsewhere after this time: twice its target and a tick. Milliseconds. */
 const STALLED_MS = 840;
 
-describe('back ends that are lost', () => {
-  it('all requests that wait at a back end that fell silent are moved at once', () => {
+describe('lost back ends', () => {
+  it('all requests that wait at a back end that became silent are sent elsewhere at the same time', () => {
     const route = labRoute({ kind: 'idempotent', timeoutMs: DEADLINE_MS, targetLatencyMs: 400 });
     const site = new Forwarding([route], PLAIN);
     for (let count = 0; count < 9; count += 1) site.begin({ id: `r${count}`, callerDeadlineMs: DEADLINE_MS });
     const started = site.starts();
-    const dark = started[0].backend.id;
-    const waiting = started.filter(({ backend }) => backend.id === dark);
+    const silent = started[0].backend.id;
+    const waiting = started.filter(({ backend }) => backend.id === silent);
     expect(waiting.length).to.be.greaterThan(1);
     for (const { requestId, attemptId, backend } of started)
-      if (backend.id !== dark)
+      if (backend.id !== silent)
         site.manager.attemptEvent(requestId, attemptId, { kind: 'whole', status: 200 }, 20);
     site.manager.tick(STALLED_MS);
     const moved = site.starts().slice(started.length);
     expect(moved).to.have.length(waiting.length);
-    expect(moved.map(({ backend }) => backend.id)).not.to.include(dark);
+    expect(moved.map(({ backend }) => backend.id)).not.to.include(silent);
   });
 
-  it('two back ends that are gone for good do not cut their region off for good', () => {
+  it('two back ends that disappear for good do not cut off their region for good', () => {
     const far = Array.from({ length: 8 }, (_, index) => ({
       ...labBackend(`far${index}`, `10.0.0.2:${index}`),
       zone: 'zone-c',
@@ -44,7 +44,7 @@
     expect(findAt(6000)).to.deep.equal([]);
   });
 
-  it('one peer that stood still says nothing of the link to its region', () => {
+  it('one slow answer of a paused peer does not raise the round-trip time of its region', () => {
     const roundTrips = new RoundTrips(DEFAULT_DISTANCE_SETTINGS.roundTripMs);
     for (let count = 0; count < 10; count += 1) roundTrips.addSample('r1', 'sameZone', 2);
     roundTrips.addSample('r1', 'sameZone', 3000);
--- a/test/pace-book.test.ts
+++ b/test/pace-book.test.ts
@@ -1,4 +1,4 @@
-/** The speed of each back end beside its group's, learned from samples that fade. */
+/** The pace of each back end relative to its group, learned from samples with decaying weights. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import {
@@ -13,41 +13,41 @@
 const TOKENS_PER_MS = 112;
 const FIXED_MS = 5;
 
-/** Engines whose answers spread by about half of their mean. */
+/** Engines whose answer times deviate by about half of their mean. */
 class Engines {
   readonly speeds = new Map<string, number>();
   private now = 0;
 
   constructor(
-    readonly book: PaceTracker,
+    readonly tracker: PaceTracker,
     private readonly random: RandomSource,
   ) {}
 
-  /** Each engine answers so many times, one round an interval. */
+  /** Each engine answers once per round, `intervalMs` apart. */
   answer(rounds: number, intervalMs: number, ids: Iterable<string> = [...this.speeds.keys()]): void {
-    const among = [...ids];
+    const answering = [...ids];
     for (let round = 0; round < rounds; round += 1) {
       this.now += intervalMs;
-      this.book.tick(this.now);
-      for (const id of among) this.answerOnce(id);
+      this.tracker.tick(this.now);
+      for (const id of answering) this.answerOnce(id);
     }
   }
 
-  /** Time passes without answers. */
+  /** Lets time pass without answers. */
   wait(ms: number): void {
     this.now += ms;
-    this.book.tick(this.now);
+    this.tracker.tick(this.now);
   }
 
   factor(id: string): number {
-    return this.book.get(id).factor();
+    return this.tracker.get(id).factor();
   }
 
   private answerOnce(id: string): void {
     const tokens = 1000 + this.random.below(20_000);
     const noise = 0.2 + 1.6 * this.random.next();
     const ms = (FIXED_MS + tokens / TOKENS_PER_MS) * (this.speeds.get(id) ?? 1) * noise;
-    this.book.get(id).addSample(GROUP, tokens, ms);
+    this.tracker.get(id).addSample(GROUP, tokens, ms);
   }
 }
 
@@ -60,11 +60,11 @@
   return engines;
 }
 
-const TWO_THIRDS_AVERAGE = Array.from({ length: 27 }, (_, index) => (index % 3 === 2 ? 1.3 : 1));
+const TWO_SPEEDS = Array.from({ length: 27 }, (_, index) => (index % 3 === 2 ? 1.3 : 1));
 
 describe('paces of back ends', () => {
-  it('tells two groups 1.3 apart after twenty samples an engine, 400 ms apart', () => {
-    const engines = makeEngines(TWO_THIRDS_AVERAGE);
+  it('separates two speeds that differ by a factor of 1.3 after twenty samples an engine, 400 ms apart', () => {
+    const engines = makeEngines(TWO_SPEEDS);
     engines.answer(20, 400);
     const mean = (speed: number) => {
       const ids = [...engines.speeds].filter(([, own]) => own === speed).map(([id]) => id);
@@ -73,44 +73,44 @@
     expect(mean(1.3) / mean(1)).to.be.within(1.12, 1.35);
   });
 
-  it('takes engines of one speed for nearly equal, however much their answers spread', () => {
+  it('estimates engines of one speed as nearly equal although their answer times vary widely', () => {
     const engines = makeEngines(Array<number>(27).fill(1));
     for (let step = 0; step < 20; step += 1) {
       engines.answer(5, 400);
       for (const id of engines.speeds.keys()) expect(engines.factor(id)).to.be.within(0.65, 1.45);
     }
-    expect(engines.book.takeChanges()).to.deep.equal([]);
+    expect(engines.tracker.takeChanges()).to.deep.equal([]);
   });
 
-  it('finds an engine that turns five times slower within six samples, and sound again within eight', () => {
+  it('detects an engine that becomes five times slower within six samples, and its recovery within eight', () => {
     const engines = makeEngines(Array<number>(27).fill(1));
     engines.answer(40, 400);
     engines.speeds.set('engine-3', 5);
     engines.answer(6, 400);
     expect(engines.factor('engine-3')).to.be.at.least(2);
-    expect(engines.book.takeChanges().map(({ id, slow }) => ({ id, slow }))).to.deep.equal([
+    expect(engines.tracker.takeChanges().map(({ id, slow }) => ({ id, slow }))).to.deep.equal([
       { id: 'engine-3', slow: true },
     ]);
     engines.speeds.set('engine-3', 1);
     engines.answer(8, 400);
     expect(engines.factor('engine-3')).to.be.below(1.5);
-    expect(engines.book.takeChanges().map(({ id, slow }) => ({ id, slow }))).to.deep.equal([
+    expect(engines.tracker.takeChanges().map(({ id, slow }) => ({ id, slow }))).to.deep.equal([
       { id: 'engine-3', slow: false },
     ]);
   });
 
-  it('tells no engine as slow when all take longer than before', () => {
+  it('reports no engine as slow when all take longer than before', () => {
     const engines = makeEngines(Array<number>(9).fill(1));
     engines.answer(40, 400);
     for (let step = 0; step < 5; step += 1)
-      for (const id of engines.speeds.keys()) engines.book.get(id).applySamples(12, 3);
+      for (const id of engines.speeds.keys()) engines.tracker.get(id).applySamples(12, 3);
     for (const id of engines.speeds.keys()) expect(engines.factor(id)).to.be.at.least(2);
-    expect(engines.book.takeChanges()).to.deep.equal([]);
-    engines.book.get('engine-3').applySamples(800, 100);
-    expect(engines.book.takeChanges().map(({ id }) => id)).to.deep.equal(['engine-3']);
+    expect(engines.tracker.takeChanges()).to.deep.equal([]);
+    engines.tracker.get('engine-3').applySamples(800, 100);
+    expect(engines.tracker.takeChanges().map(({ id }) => id)).to.deep.equal(['engine-3']);
   });
 
-  it('lets a sixth of the engines turn slow without taking the others for faster than twice', () => {
+  it('does not estimate the others as more than twice as fast when 4 of 28 engines become slow', () => {
     const engines = makeEngines(Array<number>(28).fill(1));
     engines.answer(40, 400);
     for (const index of [1, 8, 15, 22]) engines.speeds.set(`engine-${index}`, 5);
@@ -119,7 +119,7 @@
     expect(engines.factor('engine-0')).to.be.within(0.5, 1.2);
   });
 
-  it('tries a slow engine again that gets no work: it counts as nearly average after 20 s', () => {
+  it('returns a slow engine that gets no work to nearly average within 20 s, so that it is tried again', () => {
     const engines = makeEngines(Array<number>(27).fill(1));
     engines.speeds.set('engine-3', 5);
     engines.answer(40, 400);
@@ -129,59 +129,57 @@
     expect(engines.factor('engine-3')).to.be.below(1.5);
   });
 
-  it('counts an engine that has not answered when it was given up', () => {
+  it('adds a sample for an engine that had not answered when its work was aborted', () => {
     const engines = makeEngines(Array<number>(5).fill(1));
     engines.answer(20, 400);
-    for (let count = 0; count < 4; count += 1) engines.book.get('engine-0').addUnanswered(GROUP, 10_000, 800);
+    for (let count = 0; count < 4; count += 1)
+      engines.tracker.get('engine-0').addUnanswered(GROUP, 10_000, 800);
     expect(engines.factor('engine-0')).to.be.at.least(2);
     const before = engines.factor('engine-1');
-    engines.book.get('engine-1').addUnanswered(GROUP, 10_000, 5);
+    engines.tracker.get('engine-1').addUnanswered(GROUP, 10_000, 5);
     expect(engines.factor('engine-1')).to.equal(before);
   });
 
-  it('starts another engine from the prior', () => {
+  it('starts a replaced engine from the prior', () => {
     const engines = makeEngines(Array<number>(5).fill(1));
     engines.speeds.set('engine-3', 5);
     engines.answer(40, 400);
-    engines.book.remove('engine-3');
+    engines.tracker.remove('engine-3');
     expect(engines.factor('engine-3')).to.equal(1);
   });
 
-  it('makes the same of samples that other daemons took', () => {
-    const [teller, hearer] = [
-      makeEngines(TWO_THIRDS_AVERAGE),
-      new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS),
-    ];
-    for (const id of teller.speeds.keys()) hearer.get(id);
+  it('gives nearly the same estimates from the samples of other daemons', () => {
+    const [sender, receiver] = [makeEngines(TWO_SPEEDS), new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS)];
+    for (const id of sender.speeds.keys()) receiver.get(id);
     for (let step = 0; step < 40; step += 1) {
-      teller.answer(1, 400);
-      hearer.applySamples(teller.book.takeSamples());
-      hearer.tick((step + 1) * 400);
+      sender.answer(1, 400);
+      receiver.applySamples(sender.tracker.takeSamples());
+      receiver.tick((step + 1) * 400);
     }
-    for (const id of teller.speeds.keys())
-      expect(hearer.get(id).factor()).to.be.closeTo(teller.factor(id), 0.12);
-    expect(teller.book.takeSamples()).to.deep.equal([]);
-    hearer.applySamples([['unknown', 3, 1]]);
-    expect(hearer.getFactors().map(({ id }) => id)).not.to.include('unknown');
+    for (const id of sender.speeds.keys())
+      expect(receiver.get(id).factor()).to.be.closeTo(sender.factor(id), 0.12);
+    expect(sender.tracker.takeSamples()).to.deep.equal([]);
+    receiver.applySamples([['unknown', 3, 1]]);
+    expect(receiver.getFactors().map(({ id }) => id)).not.to.include('unknown');
   });
 
-  it('is finite, positive and bounded whatever was measured or told', () => {
+  it('is finite, positive and bounded whatever is measured or received from peers', () => {
     const { maximumRatio } = DEFAULT_PACE_TRACKER_SETTINGS;
     const figure = fc.oneof(
       fc.double(),
       fc.integer({ min: -10, max: 100_000 }),
       fc.constantFrom(0, NaN, Infinity, -Infinity, 1e300),
     );
-    const step = fc.tuple(fc.constantFrom('sample', 'unanswered', 'told', 'tick'), figure, figure);
+    const step = fc.tuple(fc.constantFrom('sample', 'unanswered', 'fromPeer', 'tick'), figure, figure);
     fc.assert(
       fc.property(fc.array(step, { maxLength: 80 }), (steps) => {
-        const book = new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS);
-        const pace = book.get('engine');
+        const tracker = new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS);
+        const pace = tracker.get('engine');
         for (const [kind, left, right] of steps) {
           if (kind === 'sample') pace.addSample(GROUP, left, right);
           else if (kind === 'unanswered') pace.addUnanswered(GROUP, left, right);
-          else if (kind === 'told') book.applySamples([['engine', left, right]]);
-          else book.tick(left);
+          else if (kind === 'fromPeer') tracker.applySamples([['engine', left, right]]);
+          else tracker.tick(left);
           expect(pace.factor()).to.be.within(1 / maximumRatio, maximumRatio);
         }
       }),
@@ -189,7 +187,7 @@
     );
   });
 
-  it('ignores senseless figures', () => {
+  it('ignores invalid values', () => {
     const engines = makeEngines([1, 1]);
     engines.answer(20, 400);
     const before = engines.factor('engine-0');
@@ -201,8 +199,8 @@
       [Infinity, 10],
       [10, Infinity],
     ])
-      engines.book.get('engine-0').addSample(GROUP, load, ms);
-    engines.book.applySamples([
+      engines.tracker.get('engine-0').addSample(GROUP, load, ms);
+    engines.tracker.applySamples([
       ['engine-0', NaN, 1],
       ['engine-0', 1, NaN],
       ['engine-0', 5, 0],
--- a/test/peer-loads.test.ts
+++ b/test/peer-loads.test.ts
@@ -1,4 +1,4 @@
-/** Sums of the loads that peers tell. */
+/** Sums of the loads that peers report. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import type { BackendLoad } from '../src/forwarding/backends/peer-loads.js';
@@ -17,24 +17,24 @@
 const step = fc.record({ peer: fc.constantFrom('p', 'q', 'r', 's'), loads, afterMs: fc.nat({ max: 900 }) });
 
 describe('loads of peers', () => {
-  it('the sums are those of the digests that still count, whatever came before', () => {
+  it('the sums are those of the unexpired digests, after any sequence of digests', () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
         const peers = new PeerLoads();
         const digests = new Map<string, { loads: readonly BackendLoad[]; at: number }>();
         let now = 0;
-        for (const { peer, loads: told, afterMs } of steps) {
+        for (const { peer, loads: reported, afterMs } of steps) {
           now += afterMs;
-          peers.applyDigest(peer, told, now);
-          digests.set(peer, { loads: told, at: now });
+          peers.applyDigest(peer, reported, now);
+          digests.set(peer, { loads: reported, at: now });
           peers.removeOld(now);
         }
         for (const id of ['a', 'b', 'c']) {
-          const counted = [...digests.values()].filter(({ at }) => now - at <= LIFETIME_MS);
-          const told = counted.flatMap((digest) => digest.loads.filter((entry) => entry[0] === id));
-          expect(peers.getInFlight(id)).to.equal(told.reduce((sum, entry) => sum + entry[1], 0));
-          expect(peers.getPendingTokens(id)).to.equal(told.reduce((sum, entry) => sum + entry[2], 0));
-          expect(peers.isEjectedByPeers(id)).to.equal(told.reduce((sum, entry) => sum + entry[3], 0) >= 2);
+          const unexpired = [...digests.values()].filter(({ at }) => now - at <= LIFETIME_MS);
+          const entries = unexpired.flatMap((digest) => digest.loads.filter((entry) => entry[0] === id));
+          expect(peers.getInFlight(id)).to.equal(entries.reduce((sum, entry) => sum + entry[1], 0));
+          expect(peers.getPendingTokens(id)).to.equal(entries.reduce((sum, entry) => sum + entry[2], 0));
+          expect(peers.isEjectedByPeers(id)).to.equal(entries.reduce((sum, entry) => sum + entry[3], 0) >= 2);
         }
       }),
       { seed: SEED, numRuns: 300 },
--- a/test/prompt-pace.test.ts
+++ b/test/prompt-pace.test.ts
@@ -1,4 +1,4 @@
-/** How long engines take over prompts, learned from samples. */
+/** The time that engines take for prompts, learned from samples. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { DEFAULT_PROMPT_PACE_SETTINGS, PromptPace } from '../src/forwarding/pace/prompt-pace.js';
@@ -6,7 +6,7 @@
 const SEED = 20261205;
 
 describe('pace of prompts', () => {
-  it('finds the fixed time and the time for each token, for engines of 30 to 400 tokens a millisecond', () => {
+  it('learns the fixed time and the time per token of engines with 30 to 400 tokens a millisecond', () => {
     for (const tokensPerMs of [30, 60, 300, 400]) {
       const pace = new PromptPace(DEFAULT_PROMPT_PACE_SETTINGS);
       for (let count = 1; count <= 60; count += 1) {
@@ -17,7 +17,7 @@
     }
   });
 
-  it('predicts nothing before it has seen enough', () => {
+  it('predicts nothing before it has the minimum number of samples', () => {
     const pace = new PromptPace(DEFAULT_PROMPT_PACE_SETTINGS);
     for (let count = 1; count < DEFAULT_PROMPT_PACE_SETTINGS.minimumSamples; count += 1)
       pace.addSample(100, 10);
@@ -39,7 +39,7 @@
     expect(pace.getExpectedMs(4000)).to.be.closeTo(200, 10);
   });
 
-  it('is finite, never negative, and never falls with more tokens, whatever was measured', () => {
+  it('is finite, not negative and does not decrease with more tokens, whatever is measured', () => {
     const figure = fc.oneof(fc.double(), fc.integer({ min: -10, max: 100_000 }), fc.constant(0));
     fc.assert(
       fc.property(fc.array(fc.tuple(figure, figure), { maxLength: 60 }), (samples) => {
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -1,4 +1,4 @@
-/** A fleet over several regions: how far places are apart, what distance costs, and how much it weighs in each choice. */
+/** A fleet over several regions: distances between places, the cost of distance, and its effect on each choice. */
 import { expect } from 'chai';
 import { labBackend, labRoute } from '../lab/forwarding-site.js';
 import { DistanceCost, type EngineLinks } from '../src/places/distance-cost.js';
@@ -10,7 +10,7 @@
 import { engine, Forwarding, prompt } from './forwarding-harness.js';
 
 const REGIONS = { 'zone-a': 'r1', 'zone-b': 'r1', 'zone-c': 'r2', 'zone-d': 'r2', 'zone-e': 'r3' };
-/** 18 KB a token and 370 Gbit/s: 13,300 tokens are 245 MB. */
+/** 18 KB a token and 370 Gbit/s, so that 13,300 tokens are 245 MB. */
 const LINKS: EngineLinks = { tokenBytes: 18_432, linkMbps: 370_000 };
 const SLACK = 50;
 const LONG = prompt(2000, 8000);
@@ -21,7 +21,7 @@
   return new DistanceCost(DEFAULT_DISTANCE_SETTINGS, new Places(regionByZone), roundTrips);
 }
 
-function at(zone: string, id: string, stage?: EngineStage): BackendRecord {
+function makeRecord(zone: string, id: string, stage?: EngineStage): BackendRecord {
   const record = stage ? engine(id, stage) : labBackend(id, '');
   return { ...record, zone, address: `10.0.0.1:${id}` };
 }
@@ -35,7 +35,7 @@
   );
 }
 
-/** Puts work of other requests on a back end. */
+/** Adds load of other requests to a back end. */
 function addLoad(site: Forwarding, id: string, requests: number, tokens = 0): void {
   for (let count = 0; count < requests; count += 1)
     site.directory.get(id)?.addAttempt(`${id}/${count}`, tokens / requests, 0);
@@ -45,11 +45,11 @@
   return site.starts().at(-1)?.backend.id;
 }
 
-/** When regions are looked at: soon after back ends were lost. Milliseconds. */
-const LOOKED_AT_MS = 50;
+/** Time at which cut-off regions are looked for: soon after back ends were lost. Milliseconds. */
+const CHECKED_AT_MS = 50;
 
 describe('places', () => {
-  it('are one zone, one region or two regions apart', () => {
+  it('are in the same zone, in the same region or in different regions', () => {
     const places = new Places(REGIONS);
     expect(places.getDistance('zone-a', 'zone-a')).to.equal('sameZone');
     expect(places.getDistance('zone-a', 'zone-b')).to.equal('sameRegion');
@@ -57,27 +57,27 @@
     expect(places.getOtherRegions('zone-a')).to.deep.equal(['r2', 'r3']);
   });
 
-  it('that the settings do not name lie in the region', () => {
+  it('that the settings do not list count as in the same region', () => {
     const places = new Places(REGIONS);
     expect(places.getDistance('zone-a', 'zone-new')).to.equal('sameRegion');
     expect(places.getDistance('zone-a', 'constructor')).to.equal('sameRegion');
   });
 
-  it('of one region, or of none named, are no fleet of several regions', () => {
+  it('of one region, or of none listed, are no fleet of several regions', () => {
     expect(new Places({}).hasSeveralRegions()).to.equal(false);
     expect(new Places({ 'zone-a': 'r1', 'zone-b': 'r1' }).hasSeveralRegions()).to.equal(false);
   });
 });
 
 describe('cost of distance', () => {
-  it('of a call is the round trip and what its bytes are worth', () => {
+  it('of a call is the round trip and the price of its bytes', () => {
     const cost = makeCost();
     expect(cost.getCall('zone-a', 'zone-a', 17_000).costMs).to.equal(0);
     expect(cost.getCall('zone-a', 'zone-b', 17_000)).to.deep.equal({ timeMs: 2, costMs: 10.5 });
     expect(cost.getCall('zone-a', 'zone-c', 17_000)).to.deep.equal({ timeMs: 16, costMs: 50 });
   });
 
-  it('of a copy is its time on the link that is there, and what its bytes are worth', () => {
+  it('of a copy is its time on the link between the zones and the price of its bytes', () => {
     const cost = makeCost();
     const copyMs = (zone: string) => cost.getMove('zone-a', zone, 13_300, LINKS).timeMs;
     expect(copyMs('zone-a')).to.be.closeTo(5.3, 0.1);
@@ -86,14 +86,14 @@
     expect(cost.getMove('zone-a', 'zone-c', 13_300, undefined).costMs).to.equal(0);
   });
 
-  it('in one region is the round trip alone, whatever bytes', () => {
+  it('in one region is the round trip alone, for any number of bytes', () => {
     const cost = makeCost({ 'zone-a': 'r1', 'zone-b': 'r1' });
     expect(cost.getCall('zone-a', 'zone-b', 17_000)).to.deep.equal({ timeMs: 2, costMs: 2 });
   });
 });
 
 describe('round trips', () => {
-  it('follow a link between regions that turns slow within 30 probes, and back', () => {
+  it('follow a link between regions that becomes slow within 30 probes, and its recovery within 10', () => {
     const roundTrips = new RoundTrips(DEFAULT_DISTANCE_SETTINGS.roundTripMs);
     const feed = (region: string, ms: number, times: number) => {
       for (let count = 0; count < times; count += 1) roundTrips.addSample(region, 'otherRegion', ms);
@@ -105,7 +105,7 @@
     expect(roundTrips.getMs('r2', 'otherRegion')).to.be.closeTo(16, 1);
   });
 
-  it('ignore senseless samples', () => {
+  it('ignore invalid samples', () => {
     const roundTrips = new RoundTrips(DEFAULT_DISTANCE_SETTINGS.roundTripMs);
     for (const ms of [NaN, -1, Infinity]) roundTrips.addSample('r2', 'otherRegion', ms);
     expect(roundTrips.getMs('r2', 'otherRegion')).to.equal(16);
@@ -113,8 +113,12 @@
 });
 
 describe('choice of a back end among regions', () => {
-  it('plain: the own zone while it has room, then the own region, another one only when a request would wait for long', () => {
-    const site = makeSite(at('zone-a', 'near'), at('zone-b', 'next'), at('zone-c', 'far'));
+  it('plain: the own zone while it has capacity, then the own region, another one only to avoid a long wait', () => {
+    const site = makeSite(
+      makeRecord('zone-a', 'near'),
+      makeRecord('zone-b', 'next'),
+      makeRecord('zone-c', 'far'),
+    );
     site.begin({ id: 'r1' });
     expect(lastBackend(site)).to.equal('near');
     addLoad(site, 'near', 9);
@@ -136,7 +140,7 @@
     ];
     const zones = ['zone-b', 'zone-c'];
     const site = makeSite(
-      ...zones.flatMap((zone) => stages.map(([id, stage]) => at(zone, `${id}-${zone}`, stage))),
+      ...zones.flatMap((zone) => stages.map(([id, stage]) => makeRecord(zone, `${id}-${zone}`, stage))),
     );
     addLoad(site, 'p-zone-b', 1, 4000);
     site.begin({ id: 'r1', prompt: LONG, bodyBytes: 10_000, callerDeadlineMs: 5000 });
@@ -147,21 +151,21 @@
     site.begin({ id: 'r2', prompt: LONG, bodyBytes: 10_000, callerDeadlineMs: 5000 });
     expect(lastBackend(site)).to.equal('p-zone-c');
     site.event({ kind: 'prefilled', handle: 'h' }, 200);
-    expect(lastBackend(site), 'the whole way stays there').to.equal('d-zone-c');
+    expect(lastBackend(site), 'both stages in the same region').to.equal('d-zone-c');
   });
 
   it('short prompts: a decode engine of the own region', () => {
-    const site = makeSite(at('zone-b', 'near', 'decode'), at('zone-c', 'far', 'decode'));
+    const site = makeSite(makeRecord('zone-b', 'near', 'decode'), makeRecord('zone-c', 'far', 'decode'));
     addLoad(site, 'near', 6);
     site.begin({ prompt: SHORT });
     expect(lastBackend(site)).to.equal('near');
   });
 
-  it('copies: from the nearest of those that keep as much', () => {
+  it('copies: from the nearest of the engines that keep most of the prompt', () => {
     const site = makeSite(
-      at('zone-c', 'far', 'decode'),
-      at('zone-b', 'near', 'decode'),
-      at('zone-a', 'p', 'prefill'),
+      makeRecord('zone-c', 'far', 'decode'),
+      makeRecord('zone-b', 'near', 'decode'),
+      makeRecord('zone-a', 'p', 'prefill'),
     );
     for (const id of ['far', 'near']) site.kvIndex.addComputed(id, LONG, 100_000);
     site.begin({ prompt: LONG });
@@ -171,10 +175,14 @@
   it('homes: a shared part has one in each region, the same for all its daemons', () => {
     const zones = ['zone-a', 'zone-b', 'zone-c', 'zone-d'];
     const engines = zones.flatMap((zone) => [
-      at(zone, `p1-${zone}`, 'prefill'),
-      at(zone, `p2-${zone}`, 'prefill'),
+      makeRecord(zone, `p1-${zone}`, 'prefill'),
+      makeRecord(zone, `p2-${zone}`, 'prefill'),
     ]);
-    const site = makeSite(...engines, at('zone-a', 'd1', 'decode'), at('zone-c', 'd2', 'decode'));
+    const site = makeSite(
+      ...engines,
+      makeRecord('zone-a', 'd1', 'decode'),
+      makeRecord('zone-c', 'd2', 'decode'),
+    );
     const reasons = ['one', 'two', 'three', 'four', 'five', 'six'].map((key) => {
       site.begin({ id: key, prompt: prompt(2000, 8000, key) });
       expect(lastBackend(site)).to.match(/zone-[ab]$/);
@@ -187,7 +195,7 @@
   });
 
   it('a region whose back ends are all lost uses those of another one', () => {
-    const site = makeSite(at('zone-a', 'near'), at('zone-c', 'far'));
+    const site = makeSite(makeRecord('zone-a', 'near'), makeRecord('zone-c', 'far'));
     site.directory.get('near')?.health.onUnreachable(0);
     site.begin();
     expect(lastBackend(site)).to.equal('far');
@@ -195,9 +203,9 @@
 
   it('a region without prefill engines has prompts computed by another one', () => {
     const site = makeSite(
-      at('zone-a', 'near', 'decode'),
-      at('zone-c', 'far', 'prefill'),
-      at('zone-c', 'd', 'decode'),
+      makeRecord('zone-a', 'near', 'decode'),
+      makeRecord('zone-c', 'far', 'prefill'),
+      makeRecord('zone-c', 'd', 'decode'),
     );
     site.begin({ prompt: LONG, bodyBytes: 10_000 });
     expect(site.starts()[0]).to.include({ prefillOnly: true });
@@ -207,53 +215,53 @@
   });
 
   it('a region without decode engines generates in another one', () => {
-    const site = makeSite(at('zone-a', 'p', 'prefill'), at('zone-c', 'd', 'decode'));
+    const site = makeSite(makeRecord('zone-a', 'p', 'prefill'), makeRecord('zone-c', 'd', 'decode'));
     site.begin({ prompt: LONG });
     expect(lastBackend(site)).to.equal('p');
     site.event({ kind: 'prefilled', handle: 'h' }, 100);
     expect(lastBackend(site)).to.equal('d');
   });
 
-  it('a region that is cut off: nothing goes there or is copied from there, and all is as before once it is heard again', () => {
-    const far = ['f1', 'f2', 'f3'].map((id) => at('zone-c', id, 'decode'));
-    const site = makeSite(at('zone-a', 'p', 'prefill'), at('zone-a', 'd', 'decode'), ...far);
+  it('a region that is cut off: it gets no requests and nothing is copied from it until contact is regained', () => {
+    const far = ['f1', 'f2', 'f3'].map((id) => makeRecord('zone-c', id, 'decode'));
+    const site = makeSite(makeRecord('zone-a', 'p', 'prefill'), makeRecord('zone-a', 'd', 'decode'), ...far);
     site.kvIndex.addComputed('f3', LONG, 100_000);
-    const look = () =>
-      site.distance.setCutOff(findCutOffRegions(site.directory.all(), site.distance, LOOKED_AT_MS));
+    const checkRegions = () =>
+      site.distance.setCutOff(findCutOffRegions(site.directory.all(), site.distance, CHECKED_AT_MS));
     const copyFrom = (id: string) => {
       site.begin({ id, prompt: LONG });
       return site.starts().at(-1)?.copyFrom;
     };
-    look();
+    checkRegions();
     expect(copyFrom('r1')).to.equal('10.0.0.1:f3');
     site.directory.get('f1')?.health.onUnreachable(10);
-    look();
+    checkRegions();
     expect(copyFrom('r2'), 'one engine lost').to.equal('10.0.0.1:f3');
     site.directory.get('f2')?.health.onUnreachable(20);
-    look();
-    expect(copyFrom('r3'), 'two engines lost, the keeper not tried').to.equal(undefined);
+    checkRegions();
+    expect(copyFrom('r3'), 'two engines lost, the one with the KV cache not tried').to.equal(undefined);
     addLoad(site, 'd', 40);
     site.begin({ id: 'r4', prompt: SHORT }, 30);
     expect(lastBackend(site)).to.equal('d');
     site.directory.get('f1')?.health.onProbeAnswered(40);
-    look();
+    checkRegions();
     expect(copyFrom('r5')).to.equal('10.0.0.1:f3');
     site.begin({ id: 'r6', prompt: SHORT }, 50);
     expect(lastBackend(site)).to.be.oneOf(['f1', 'f3']);
   });
 
-  it('a region whose way is lost is still tried when no other back end is left', () => {
-    const site = makeSite(at('zone-c', 'f1'), at('zone-c', 'f2'));
+  it('a region that is cut off is still tried when no other back end is left', () => {
+    const site = makeSite(makeRecord('zone-c', 'f1'), makeRecord('zone-c', 'f2'));
     for (const id of ['f1', 'f2']) site.directory.get(id)?.health.onUnreachable(10);
-    site.distance.setCutOff(findCutOffRegions(site.directory.all(), site.distance, LOOKED_AT_MS));
+    site.distance.setCutOff(findCutOffRegions(site.directory.all(), site.distance, CHECKED_AT_MS));
     site.begin({}, 20);
     expect(site.starts()).to.have.length(1);
   });
 
-  it('a link between regions of 200 ms: work stays at home until it would wait longer than that', () => {
-    const site = makeSite(at('zone-a', 'near', 'decode'), at('zone-c', 'far', 'decode'));
+  it('a link between regions of 200 ms: requests stay in the own region until they would wait longer than that', () => {
+    const site = makeSite(makeRecord('zone-a', 'near', 'decode'), makeRecord('zone-c', 'far', 'decode'));
     for (let count = 0; count < 40; count += 1) site.roundTrips.addSample('r2', 'otherRegion', 400);
-    // 30,000 tokens are 333 ms on the way in at 90 a millisecond, twice that on a decode engine.
+    // At 90 tokens a millisecond, 30,000 tokens are computed in 333 ms, and in twice that on a decode engine.
     addLoad(site, 'near', 4, 12_000);
     site.begin({ id: 'r1', prompt: SHORT });
     expect(lastBackend(site)).to.equal('near');
@@ -262,10 +270,10 @@
     expect(lastBackend(site)).to.equal('far');
   });
 
-  it('every attempt tells the distance in its log line; in one region none does', () => {
-    const several = makeSite(at('zone-c', 'far'));
+  it('the log line of each attempt has the distance; in a fleet of one region none has', () => {
+    const several = makeSite(makeRecord('zone-c', 'far'));
     several.begin();
-    const one = new Forwarding([labRoute({})], [at('zone-c', 'far')]);
+    const one = new Forwarding([labRoute({})], [makeRecord('zone-c', 'far')]);
     one.begin();
     const distances = [several, one].map((site) =>
       site.effects.flatMap((effect) =>
@@ -275,14 +283,14 @@
     expect(distances).to.deep.equal([['otherRegion'], [undefined]]);
   });
 
-  it('an attempt that leaves its region tells what it costs there and would have cost at home', () => {
-    const site = makeSite(at('zone-a', 'near'), at('zone-c', 'far'));
+  it('the log line of an attempt in another region has its cost there and the cost in the own region', () => {
+    const site = makeSite(makeRecord('zone-a', 'near'), makeRecord('zone-c', 'far'));
     addLoad(site, 'near', 40);
     site.begin();
     const lines = site.effects.flatMap((effect) =>
       effect.kind === 'decision' && effect.event === 'request.attempt' ? [effect.fields] : [],
     );
-    // 20 ms of work, with 33 requests more than the 8 slots (4.125 times) and a quarter of the load of 5.
+    // 20 ms of work, times 1 + 4.125 (33 requests in excess of the 8 slots) + 1.25 (a quarter of the load of 5).
     expect(lines[0]).to.include({ backend: 'far', distance: 'otherRegion', ownRegionMs: 128, costMs: 39 });
   });
 });
--- a/test/restarted-back-ends.test.ts
+++ b/test/restarted-back-ends.test.ts
@@ -1,4 +1,4 @@
-/** A back end that starts again under its old id: everything known of the incarnation before is forgotten. */
+/** A back end that restarts under its id: all state of its previous incarnation is dropped. */
 import { expect } from 'chai';
 import { labBackend } from '../lab/forwarding-site.js';
 import {
@@ -17,8 +17,8 @@
   return { ...labBackend('b1', '10.0.0.1:80'), bornMs };
 }
 
-/** What a replica tells while records of one back end come in. */
-function tellOf(records: readonly BackendRecord[]): string[] {
+/** Kinds of the back-end changes that a replica reports while it receives these records of one back end. */
+function getChangeKinds(records: readonly BackendRecord[]): string[] {
   const effects: FleetEffect[] = [];
   const fleet = new FleetReplica(
     DEFAULT_FLEET_REPLICA_SETTINGS,
@@ -42,19 +42,22 @@
   );
 }
 
-describe('a back end that starts again under its id', () => {
-  it('is removed and added anew; an entry that changes otherwise is not', () => {
+describe('a back end that restarts under its id', () => {
+  it('is removed and added again; one whose record changes otherwise is not', () => {
     const changed = { ...bornAt(BORN_MS), state: 'draining' as const };
-    expect(tellOf([bornAt(BORN_MS), changed])).to.deep.equal(['backendChanged', 'backendChanged']);
-    expect(tellOf([bornAt(BORN_MS), bornAt(BORN_MS + 5000)])).to.deep.equal([
+    expect(getChangeKinds([bornAt(BORN_MS), changed])).to.deep.equal(['backendChanged', 'backendChanged']);
+    expect(getChangeKinds([bornAt(BORN_MS), bornAt(BORN_MS + 5000)])).to.deep.equal([
       'backendChanged',
       'backendRemoved',
       'backendChanged',
     ]);
-    expect(tellOf([bornAt(undefined), bornAt(BORN_MS)])).to.deep.equal(['backendChanged', 'backendChanged']);
+    expect(getChangeKinds([bornAt(undefined), bornAt(BORN_MS)])).to.deep.equal([
+      'backendChanged',
+      'backendChanged',
+    ]);
   });
 
-  it('has neither the failures nor the work of the one before', () => {
+  it('has neither the failures nor the attempts of the previous incarnation', () => {
     const site = new Forwarding([], PLAIN);
     const [record] = PLAIN;
     const before = site.directory.get(record.id);
@@ -68,7 +71,7 @@
     expect(before?.takesWork()).to.equal(false);
   });
 
-  it('is told from the one before by the time of its start', () => {
+  it('is distinguished from the previous incarnation by its start time', () => {
     expect(getIncarnation(bornAt(BORN_MS))).not.to.equal(getIncarnation(bornAt(BORN_MS + 1)));
     expect(getIncarnation(bornAt(undefined))).to.equal('b1');
   });
--- a/test/unequal-engines.test.ts
+++ b/test/unequal-engines.test.ts
@@ -1,4 +1,7 @@
-/** Work goes by the pace of each back end: plain ones, engines that compute prompts, and engines that generate. */
+/**
+ * Load is distributed by the pace of each back end: plain ones, engines that compute prompts, and engines that
+ * generate.
+ */
 import { expect } from 'chai';
 import { labRoute } from '../lab/forwarding-site.js';
 import type { ForwardAttemptEvent, AttemptStart } from '../src/forwarding/forward-messages.js';
@@ -11,34 +14,34 @@
 const SLOW = 5;
 const WORK_MS = 40;
 
-/** Requests asked at the same time. */
+/** Requests that are sent at the same time. */
 const WAVE = 8;
 
-/** A site that is asked in waves, each answered before the next. */
+/** A site that gets requests in waves, each answered before the next. */
 class Waves {
   private now = 0;
   private count = 0;
-  /** How many times slower a back end is. */
-  readonly slower = new Map<string, number>();
+  /** Factor by which a back end is slower, by id. */
+  readonly slowdowns = new Map<string, number>();
 
   constructor(
     readonly site: Forwarding,
     private readonly makeRequest: (count: number) => Partial<ForwardRequest>,
   ) {}
 
-  /** Asks so many waves; how many requests went to each back end first. */
-  ask(waves: number): Map<string, number> {
-    const taken = new Map<string, number>();
+  /** Sends `waves` waves. Returns the number of first attempts at each back end. */
+  send(waves: number): Map<string, number> {
+    const sent = new Map<string, number>();
     for (let wave = 0; wave < waves; wave += 1) {
       this.now += 20;
       this.site.directory.paces.tick(this.now);
       this.site.effects.length = 0;
       for (let index = 0; index < WAVE; index += 1) this.begin();
       const starts = this.site.starts();
-      for (const { backend } of starts) taken.set(backend.id, (taken.get(backend.id) ?? 0) + 1);
+      for (const { backend } of starts) sent.set(backend.id, (sent.get(backend.id) ?? 0) + 1);
       this.answerAll(starts);
     }
-    return taken;
+    return sent;
   }
 
   factor(id: string): number {
@@ -51,12 +54,12 @@
     this.site.begin({ id, callerDeadlineMs: 5000, ...this.makeRequest(this.count) }, this.now);
   }
 
-  /** Prompts computed apart are computed one after the other, everything else at the same time. */
+  /** Answers all attempts: prefill engines compute one prompt after the other, everything else runs in parallel. */
   private answerAll(starts: readonly AttemptStart[]): void {
     const begunAt = this.now;
     const busy = new Map<string, number>();
     const answers = starts.map((start) => {
-      const ms = WORK_MS * (this.slower.get(start.backend.id) ?? 1);
+      const ms = WORK_MS * (this.slowdowns.get(start.backend.id) ?? 1);
       const waited = start.prefillOnly ? (busy.get(start.backend.id) ?? 0) : 0;
       busy.set(start.backend.id, waited + ms);
       return { start, at: begunAt + waited + ms };
@@ -68,7 +71,7 @@
   private answer(start: AttemptStart, at: number): void {
     this.now = Math.max(this.now, at);
     if (start.prefillOnly) {
-      this.tell(start, { kind: 'prefilled', handle: 'h' }, at);
+      this.sendEvent(start, { kind: 'prefilled', handle: 'h' }, at);
       const generating = this.site
         .starts()
         .filter(({ requestId }) => requestId === start.requestId)
@@ -76,39 +79,45 @@
       this.answer(generating as AttemptStart, at + 1);
       return;
     }
-    const gapMs = (WORK_MS * (this.slower.get(start.backend.id) ?? 1)) / 10;
+    const gapMs = (WORK_MS * (this.slowdowns.get(start.backend.id) ?? 1)) / 10;
     if (start.stream) {
-      this.tell(start, { kind: 'streamStarted' }, at);
+      this.sendEvent(start, { kind: 'streamStarted' }, at);
       for (let event = 0; event < 4; event += 1)
-        this.tell(start, { kind: 'streamProgress', lastEventId: undefined }, at + event * gapMs);
+        this.sendEvent(start, { kind: 'streamProgress', lastEventId: undefined }, at + event * gapMs);
     }
-    this.tell(start, { kind: 'whole', status: 200 }, at + (start.stream ? 4 * gapMs : 0));
+    this.sendEvent(start, { kind: 'whole', status: 200 }, at + (start.stream ? 4 * gapMs : 0));
   }
 
-  private tell({ requestId, attemptId }: AttemptStart, event: ForwardAttemptEvent, at: number): void {
+  private sendEvent({ requestId, attemptId }: AttemptStart, event: ForwardAttemptEvent, at: number): void {
     this.now = Math.max(this.now, at);
     this.site.manager.attemptEvent(requestId, attemptId, event, at);
   }
 }
 
-/** A back end that takes its part before takes at most 0.6 of it afterwards: one request of a wave. */
-function expectAvoided(waves: Waves, id: string, foundFactor: number): void {
-  const before = waves.ask(20).get(id) ?? 0;
+/**
+ * Checks that a back end with its share of the load gets at most 0.6 of it, one request of a wave, after it has
+ * become slow.
+ */
+function expectAvoided(waves: Waves, id: string, minimumFactor: number): void {
+  const before = waves.send(20).get(id) ?? 0;
   expect(before).to.be.at.least(WAVE * 3);
-  waves.slower.set(id, SLOW);
-  waves.ask(5);
-  expect(waves.factor(id)).to.be.at.least(foundFactor);
-  expect(waves.ask(20).get(id) ?? 0).to.be.at.most(before * 0.6);
+  waves.slowdowns.set(id, SLOW);
+  waves.send(5);
+  expect(waves.factor(id)).to.be.at.least(minimumFactor);
+  expect(waves.send(20).get(id) ?? 0).to.be.at.most(before * 0.6);
 }
 
 const SLACK = 50;
-/** Factor that a slow back end is believed to have after five waves: over several regions it gets no work as soon as it is below 2. */
+/**
+ * Least estimated factor of a slow back end after five waves. With several regions it already gets no more work, and
+ * so no more samples, at a factor below 2.
+ */
 const PLACES = {
-  'one region': { regionByZone: {}, foundFactor: 2 },
-  'several regions': { regionByZone: { 'zone-a': 'r1', 'zone-b': 'r2' }, foundFactor: 1.3 },
+  'one region': { regionByZone: {}, minimumFactor: 2 },
+  'several regions': { regionByZone: { 'zone-a': 'r1', 'zone-b': 'r2' }, minimumFactor: 1.3 },
 };
 
-for (const [places, { regionByZone, foundFactor }] of Object.entries(PLACES))
+for (const [places, { regionByZone, minimumFactor }] of Object.entries(PLACES))
   describe(`back ends of unequal speed, ${places}`, () => {
     const plain = () => new Waves(new Forwarding([labRoute({})], PLAIN, SLACK, regionByZone), () => ({}));
     const prefill = () =>
@@ -122,50 +131,50 @@
 
     it('a plain back end that is five times slower gets little work', () => {
       const waves = plain();
-      expectAvoided(waves, 'b2', foundFactor);
+      expectAvoided(waves, 'b2', minimumFactor);
     });
 
     it('an engine that computes prompts five times slower gets few of them', () => {
       const waves = prefill();
-      expectAvoided(waves, 'p2', foundFactor);
+      expectAvoided(waves, 'p2', minimumFactor);
     });
 
     it('an engine that generates five times slower gets few requests', () => {
       const waves = decode();
-      expectAvoided(waves, 'd1', foundFactor);
+      expectAvoided(waves, 'd1', minimumFactor);
     });
 
-    it('one that recovers is found sound again, and gets its part', () => {
+    it('one that recovers is detected as normal again and gets its share', () => {
       const waves = plain();
-      expectAvoided(waves, 'b2', foundFactor);
-      waves.slower.delete('b2');
-      waves.ask(300);
+      expectAvoided(waves, 'b2', minimumFactor);
+      waves.slowdowns.delete('b2');
+      waves.send(300);
       expect(waves.factor('b2')).to.be.below(1.5);
-      expect(waves.ask(20).get('b2') ?? 0).to.be.at.least(WAVE * 4);
+      expect(waves.send(20).get('b2') ?? 0).to.be.at.least(WAVE * 4);
     });
 
-    it('one that is replaced at another address starts as an average one', () => {
+    it('one that is replaced at another address starts as average', () => {
       const waves = plain();
-      waves.slower.set('b2', SLOW);
-      waves.ask(10);
-      expect(waves.factor('b2')).to.be.at.least(foundFactor);
+      waves.slowdowns.set('b2', SLOW);
+      waves.send(10);
+      expect(waves.factor('b2')).to.be.at.least(minimumFactor);
       waves.site.directory.put({ ...PLAIN[1], address: '10.0.0.9:9' });
       expect(waves.factor('b2')).to.equal(1);
     });
 
-    it('one that is removed and comes back starts as an average one', () => {
+    it('one that is removed and added again starts as average', () => {
       const waves = plain();
-      waves.slower.set('b2', SLOW);
-      waves.ask(10);
+      waves.slowdowns.set('b2', SLOW);
+      waves.send(10);
       waves.site.directory.remove('b2');
       waves.site.directory.put(PLAIN[1]);
       expect(waves.factor('b2')).to.equal(1);
       expect(waves.site.directory.get('b2')?.pace.factor()).to.equal(1);
     });
 
-    it('a request that is not answered by its deadline counts against its back end', () => {
+    it('a request that is not answered by its deadline raises the factor of its back end', () => {
       const waves = plain();
-      waves.ask(10);
+      waves.send(10);
       const { site } = waves;
       site.effects.length = 0;
       const at = 100_000;
