--- a/src/forwarding/backends/backend-view.ts
+++ b/src/forwarding/backends/backend-view.ts
@@ -1,7 +1,7 @@
 /// One incarnation of a back end as this daemon sees it. Owns its record, this daemon's attempts there and
 /// their uncomputed prompt tokens; its health has a class of its own (backend-health.ts). Relies on the
 /// peers' digests for the load of the other daemons.
-import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type EnginePace} from "../pace/pace-book.js"
+import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type BackendPace} from "../pace/pace-book.js"
 import type {AdvertisedLimit} from "./advertised-limit.js"
 import {BackendHealth, type BackendHealthSettings} from "./backend-health.js"
 import type {PeerLoads} from "./peer-loads.js"
@@ -36,7 +36,7 @@
     healthSettings: BackendHealthSettings,
     private readonly peers: PeerLoads,
     /// Its speed relative to its group.
-    readonly pace: EnginePace = new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS).get(record.id),
+    readonly pace: BackendPace = new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS).get(record.id),
     /// The signals of its current incarnation.
     public signals = new SignalState()
   ) {
--- a/src/forwarding/choose/backend-picker-settings.ts
+++ b/src/forwarding/choose/backend-picker-settings.ts
@@ -27,7 +27,7 @@
   /// A prompt counts as overdue unless it is expected within this share of the time left. Default 0.6.
   readonly onTimeShare: number
   /// An overdue prompt is accepted while, with it, at most this share of the engine's KV cache and slots is
-  /// in use: an engine that runs out of memory discards prompts that it has begun to compute. Default 0.7.
+  /// in use: an engine that runs out of memory requeues prompts that it has begun to compute. Default 0.7.
   readonly overdueCapacityShare: number
   /// Settings of the pace tracker.
   readonly pace: PaceTrackerSettings
--- a/src/forwarding/pace/attempt-pace.ts
+++ b/src/forwarding/pace/attempt-pace.ts
@@ -29,7 +29,7 @@
 }
 
 /// Adds a sample for a complete stream, or for a complete answer of a plain back end.
-export function addWholeSample(attempt: LiveAttempt, now: number): void {
+export function addCompletedSample(attempt: LiveAttempt, now: number): void {
   const {choice, startedAt, firstEventAt, events, load} = attempt
   const {record, pace} = choice.backend
   if (record.stage === undefined) {
--- a/src/forwarding/pace/pace-book.ts
+++ b/src/forwarding/pace/pace-book.ts
@@ -77,7 +77,7 @@
 const MAXIMUM_COUNT = 1000
 
 /// The pace of one back end.
-export class EnginePace {
+export class BackendPace {
   private weight = 0
   private ratioSum = 0
   private outliers = 0
@@ -202,7 +202,7 @@
 /// milliseconds.
 export class PaceTracker {
   private readonly lines = new Map<string, PromptPace>()
-  private readonly engines = new Map<string, EnginePace>()
+  private readonly engines = new Map<string, BackendPace>()
   private decayedAt: number | undefined
   private readonly getLine = (group: string): PromptPace => {
     let line = this.lines.get(group)
@@ -213,9 +213,9 @@
   constructor(private readonly settings: PaceTrackerSettings) {}
 
   /// The pace of this incarnation of a back end.
-  get(id: string): EnginePace {
+  get(id: string): BackendPace {
     let pace = this.engines.get(id)
-    if (!pace) this.engines.set(id, (pace = new EnginePace(this.settings, this.getLine)))
+    if (!pace) this.engines.set(id, (pace = new BackendPace(this.settings, this.getLine)))
     return pace
   }
 
--- a/src/forwarding/permits/permit-manager.ts
+++ b/src/forwarding/permits/permit-manager.ts
@@ -41,7 +41,7 @@
   readonly random: RandomSource
   readonly getFleet: () => FleetView
   /// Called when a request of the service may get a permit, or no longer has to wait for one.
-  readonly onSettled: (service: string, now: number) => void
+  readonly onDecision: (service: string, now: number) => void
   readonly emit: EffectSink<{
     readonly kind: "sendPeer"
     readonly address: string
@@ -197,7 +197,7 @@
     this.asked.set(askId, view)
     const need = {requestId: askId, tokens: 1, priority, decideBy: this.now + ASK_TIMEOUT_MS}
     const decision = this.buckets.take(state.key, need, this.now)
-    if (decision) this.settle(askId, decision)
+    if (decision) this.applyDecision(askId, decision)
   }
 
   private getState(view: BackendView): PermitState {
@@ -224,11 +224,11 @@
       return
     }
     const view = this.asked.get(effect.requestId)
-    this.settle(effect.requestId, effect.decision)
-    if (view) this.dependencies.onSettled(view.record.service, this.now)
+    this.applyDecision(effect.requestId, effect.decision)
+    if (view) this.dependencies.onDecision(view.record.service, this.now)
   }
 
-  private settle(askId: string, decision: QuotaDecision): void {
+  private applyDecision(askId: string, decision: QuotaDecision): void {
     const view = this.asked.get(askId)
     const state = view && this.states.get(view)
     this.asked.delete(askId)
--- a/src/forwarding/retry/attempt-outcomes.ts
+++ b/src/forwarding/retry/attempt-outcomes.ts
@@ -2,7 +2,7 @@
 /// sent again (who may is decided in retry-policy.ts), answered or finished.
 import type {EffectSink} from "../../shared/effect-sink.js"
 import {FIRST_SERVER_ERROR_STATUS} from "../../shared/http-status.js"
-import {addFirstEventSample, addUnansweredSample, addWholeSample} from "../pace/attempt-pace.js"
+import {addFirstEventSample, addUnansweredSample, addCompletedSample} from "../pace/attempt-pace.js"
 import type {AttemptSender} from "./attempt-sender.js"
 import type {BackendPicker} from "../choose/backend-picker.js"
 import type {SignalReport} from "../backends/backend-signals.js"
@@ -180,7 +180,7 @@
     const failed = status >= FIRST_SERVER_ERROR_STATUS
     if (failed) backend.health.addFailure(now)
     else backend.health.addSuccess(now)
-    if (!failed) addWholeSample(attempt, now)
+    if (!failed) addCompletedSample(attempt, now)
     if (!failed) this.dependencies.picker.addAnswerSample(attempt.choice, now - attempt.startedAt)
     if (failed && this.dependencies.retryPolicy.tryRetryRun(session, now)) {
       this.dependencies.answers.logDecision("request.attempt-failed", session, {
--- a/test/leaving-back-ends.test.ts
+++ b/test/leaving-back-ends.test.ts
@@ -9,8 +9,8 @@
  *
  * Measured in virtual time, with the reader without access for some 5 to 7 s: removals were known after 2,046 to
  * 2,822 ms with a bound of 2,000 in 5 of 60 runs (30 daemons), and with 16 daemons after 3,039 to 3,428 ms of 3,000
- * in 5 of 500 and 4,044 to 4,163 ms of 4,000 in 2 of 500, at nearly all daemons at once. Announced leavings were known
- * in time in all runs.
+ * in 5 of 500 and 4,044 to 4,163 ms of 4,000 in 2 of 500, at nearly all daemons at once. Announced departures were
+ * known in time in all runs.
  */
 import { expect } from 'chai';
 import type { ForwardingFleet, StoreAccess } from '../simulation/forwarding-fleet.js';
@@ -56,7 +56,7 @@
 }
 
 describe('back ends that leave while daemons have no access to the store', () => {
-  it('the first reader loses and regains access: all daemons know of each leaving in time, announced or not', () => {
+  it('the first reader loses and regains access: all daemons know of each departure in time, announced or not', () => {
     for (const access of ['refuses', 'silent'] as const)
       for (let leavesMs = 0; leavesMs < 2000; leavesMs += 250)
         for (let backMs = 0; backMs < 1500; backMs += 250) runLostContact(access, leavesMs, backMs);
--- a/test/leaving-hunt.test.ts
+++ b/test/leaving-hunt.test.ts
@@ -1,6 +1,6 @@
 /**
  * Random faults of daemons, links and the store while back ends leave: each daemon that is in contact with the store
- * knows of each leaving within the bound. `LEAVING_HUNT_SEEDS=N` runs N scenarios besides those of known faults.
+ * knows of each departure within the bound. `LEAVING_HUNT_SEEDS=N` runs N scenarios besides those of known faults.
  */
 import { expect } from 'chai';
 import type { ForwardingFleet, FleetNode } from '../simulation/forwarding-fleet.js';
@@ -28,7 +28,7 @@
 const MAXIMUM_FAULT_MS = 8000;
 const BACKENDS = Array.from({ length: 12 }, (_unused, i) => `b${i}`);
 
-interface Leaving {
+interface Departure {
   readonly id: string;
   readonly state: 'draining' | 'gone';
   readonly at: number;
@@ -45,7 +45,7 @@
   private readonly silencedNodes = new Set<FleetNode>();
   private readonly readLostAt = new Map<FleetNode, number>();
   private readonly states = new Map(BACKENDS.map((id) => [id, 'ready' as string]));
-  private readonly leavings: Leaving[] = [];
+  private readonly departures: Departure[] = [];
 
   constructor(seed: number) {
     this.random = new SeededRandom(seed);
@@ -61,7 +61,7 @@
       this.endFaults();
       if (this.random.next() < CHANGE_PROBABILITY) this.changeBackend();
       if (this.random.next() < FAULT_PROBABILITY) this.startFault();
-      this.checkLeavings();
+      this.checkDepartures();
     }
   }
 
@@ -76,7 +76,7 @@
     const next = state === 'ready' ? leaves : state === 'draining' ? 'gone' : 'ready';
     this.states.set(id, next);
     this.fleet.write(makeBackendRecord(id, next));
-    if (state === 'ready') this.leavings.push({ id, state: leaves, at: this.fleet.time.now() });
+    if (state === 'ready') this.departures.push({ id, state: leaves, at: this.fleet.time.now() });
   }
 
   /** Some daemons lose access to the store, restart, are cut off from the others, or have a connection go silent. */
@@ -100,7 +100,7 @@
    * Makes a connection go silent, unless a read of the daemon was lost shortly before. One lost read must do no harm.
    * With two in a row, two connections went silent within the time in which contact has to be regained, and nothing
    * is guaranteed for the daemon until then: in seed 5661, two reads of the first reader were lost in a row, and a
-   * leaving was known after 2,339 ms.
+   * departure was known after 2,339 ms.
    */
   private silenceConnection(node: FleetNode, now: number): void {
     if (now - (this.readLostAt.get(node) ?? -Infinity) <= CONTACT_MS + BOUND_MS) return;
@@ -134,15 +134,15 @@
     }
   }
 
-  private checkLeavings(): void {
+  private checkDepartures(): void {
     const now = this.fleet.time.now();
-    while (this.leavings.length > 0 && this.leavings[0].at + BOUND_MS <= now) {
-      const leaving = this.leavings.shift();
-      if (leaving) this.checkLeaving(leaving, now);
+    while (this.departures.length > 0 && this.departures[0].at + BOUND_MS <= now) {
+      const departure = this.departures.shift();
+      if (departure) this.checkDeparture(departure, now);
     }
   }
 
-  private checkLeaving({ id, state, at }: Leaving, now: number): void {
+  private checkDeparture({ id, state, at }: Departure, now: number): void {
     for (const node of this.fleet.nodes) {
       const faultAt = this.lastFaultAt.get(node) ?? -Infinity;
       if (faultAt > now - CONTACT_MS - BOUND_MS || node.down) continue;
