--- a/src/adapters/attempt-handler.ts
+++ b/src/adapters/attempt-handler.ts
@@ -148,7 +148,7 @@
     this.status = status;
     const head = this.dialect.answerHead(status, raw, this.request.head, this.start.prefillOnly);
     if (head.kind === 'foreign') {
-      this.fail({ kind: 'broken', reason: head.reason, isForeign: true });
+      this.fail({ kind: 'broken', reason: head.reason, isInvalidAnswer: true });
       return;
     }
     this.signals = this.dialect.signals(status, raw);
@@ -170,7 +170,7 @@
     else {
       this.keptBytes += chunk.length;
       if (this.keptBytes > MAXIMUM_KEPT_BYTES)
-        this.fail({ kind: 'broken', reason: 'the answer is too long', isForeign: true });
+        this.fail({ kind: 'broken', reason: 'the answer is too long', isInvalidAnswer: true });
       else this.chunks.push(Buffer.from(chunk));
     }
   }
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -109,7 +109,7 @@
 
   /** Requests in hand. */
   requestsInHand(): number {
-    return this.machines.manager.active();
+    return this.machines.manager.getActiveCount();
   }
 
   /** The version of the configuration in force; -1 before the first. */
@@ -153,13 +153,13 @@
         this.machines.replica.receive(event.collection, event.result, now);
         break;
       case 'submit':
-        this.machines.manager.begin(event.request, now);
+        this.machines.manager.receiveRequest(event.request, now);
         break;
       case 'cancel':
         this.machines.manager.cancel(event.requestId, now);
         break;
       case 'attempt':
-        this.machines.manager.attemptEvent(event.requestId, event.attemptId, event.event, now);
+        this.machines.manager.receiveAttemptEvent(event.requestId, event.attemptId, event.event, now);
         break;
       case 'beginDrain':
         this.beginDrain(now);
@@ -192,7 +192,7 @@
   }
 
   private resumeAfterPause(now: number): void {
-    this.machines.manager.resumeAfterPause(now);
+    this.machines.manager.onProcessResumed(now);
     for (const part of this.machines.parts) part.ownPauseEnded?.(now);
   }
 
--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -104,7 +104,7 @@
   const signals = createSignalMachines(context, {
     directory,
     membership,
-    resumeWaiting: (service, at) => manager.resumeWaiting(service, at),
+    resumeWaiting: (service, at) => manager.sendWaiting(service, at),
     sendSoon: (at) => exchange.sendSoon(at),
   });
   const { permits } = signals;
@@ -176,11 +176,11 @@
   return new ForwardManager(
     context.settings.forward,
     {
-      routes: () => context.routes(),
+      getRoutes: () => context.routes(),
       tenants: context.tenants,
       configurationMayBeStale: (at) => replica.configurationMayBeStale(at),
-      outageMs: (at) => replica.getOutageMs('configuration', at),
-      daemons: () => context.daemons(),
+      getOutageMs: (at) => replica.getOutageMs('configuration', at),
+      getDaemonCount: () => context.daemons(),
       permits,
       ...createRequestHooks(getParts),
     },
@@ -205,14 +205,14 @@
   const learnPlacement = (placement: PartPlacement): void => {
     const service = directory.get(placement[0])?.record.service;
     if (service === undefined) return;
-    const capacityTokens = context.routes()?.service(service)?.engine?.kvCapacityTokens;
-    if (capacityTokens !== undefined) kvIndex.applyPlacement(placement, capacityTokens);
+    const capacityTokens = context.routes()?.getService(service)?.engine?.kvCapacityTokens;
+    if (capacityTokens !== undefined) kvIndex.applyPeerPlacement(placement, capacityTokens);
   };
   return new PeerExchange(
     settings.exchange,
     replica,
     directory,
-    { placements: { take: () => kvIndex.takeRecent(), learn: learnPlacement }, ...signals },
+    { placements: { take: () => kvIndex.takeRecentPlacements(), learn: learnPlacement }, ...signals },
     {
       selfAddress: identity.address,
       zone: identity.zone,
--- a/src/daemon/interval-reports.ts
+++ b/src/daemon/interval-reports.ts
@@ -58,7 +58,7 @@
   private logRetries(now: number): void {
     if (now - this.retriesLoggedAt < RETRIES_USED_INTERVAL_MS) return;
     this.retriesLoggedAt = now;
-    const uses = this.context.retries.takeUse(this.context.daemons(), now);
+    const uses = this.context.retries.takeUsage(this.context.daemons(), now);
     for (const use of uses) this.context.logChange('retries.used', { ...use });
   }
 }
--- a/src/forwarding/admit/forward-limits.ts
+++ b/src/forwarding/admit/forward-limits.ts
@@ -13,11 +13,11 @@
 /// What the limits depend on.
 export interface LimitContext {
   /// The routes in force; undefined before the first configuration.
-  routes(): RouteTable | undefined
+  getRoutes(): RouteTable | undefined
   /// How long the store has not answered about the configuration; 0 when it does. Milliseconds.
-  outageMs(now: number): number
+  getOutageMs(now: number): number
   /// Daemons that share back ends and the retry budget.
-  daemons(): number
+  getDaemonCount(): number
 }
 
 /// The limits of one daemon. Times are monotonic milliseconds.
@@ -29,14 +29,14 @@
 
   /// What the engines of the service have in common; undefined for services that are no engines.
   getEngine(service: string): EngineTraits | undefined {
-    return this.context.routes()?.service(service)?.engine
+    return this.context.getRoutes()?.getService(service)?.engine
   }
 
   /// Requests that this daemon may have on one back end. A back end takes so many connections from all
   /// daemons together.
   getMaximumInFlight(service: string): number {
-    const maximum = this.context.routes()?.service(service)?.maximumConnections ?? Infinity
-    const share = (maximum * this.settings.connectionUse) / this.context.daemons()
+    const maximum = this.context.getRoutes()?.getService(service)?.maximumConnections ?? Infinity
+    const share = (maximum * this.settings.connectionUse) / this.context.getDaemonCount()
     return Math.max(1, Math.floor(share))
   }
 
--- a/src/forwarding/admit/quarantine-gate.ts
+++ b/src/forwarding/admit/quarantine-gate.ts
@@ -8,11 +8,11 @@
   /// How long a request is still to be kept from back ends; undefined when it may run. Milliseconds.
   getQuarantineMs(key: string, now: number): number | undefined
   /// The caller whose requests may all run at one and the same back end only; undefined for most.
-  getConfinedCaller(key: string, now: number): string | undefined
+  getIsolatedCaller(key: string, now: number): string | undefined
   /// The connection of a run ended before the answer was whole.
-  onRunBroken(key: string, backend: BackendRecord, startedAt: number, now: number): void
+  onAttemptBroken(key: string, backend: BackendRecord, startedAt: number, now: number): void
   /// A back end gave a whole answer, good or not.
-  onRunAnswered(key: string, now: number): void
+  onAttemptAnswered(key: string, now: number): void
 }
 
 /// The gate of one daemon. Times are monotonic milliseconds.
@@ -25,19 +25,19 @@
   }
 
   /// The caller to whose one back end the request is confined; undefined for most requests.
-  getConfinedCaller({key}: Session, now: number): string | undefined {
-    return key === undefined ? undefined : this.context.getConfinedCaller(key, now)
+  getIsolatedCaller({key}: Session, now: number): string | undefined {
+    return key === undefined ? undefined : this.context.getIsolatedCaller(key, now)
   }
 
   /// The connection of an attempt ended before the answer was whole. A call that only has the prompt computed
   /// runs nothing.
-  addBreak({key}: Session, {choice, startedAt}: LiveAttempt, now: number): void {
+  addBrokenAttempt({key}: Session, {choice, startedAt}: LiveAttempt, now: number): void {
     if (key === undefined || choice.prefillOnly) return
-    this.context.onRunBroken(key, choice.backend.record, startedAt, now)
+    this.context.onAttemptBroken(key, choice.backend.record, startedAt, now)
   }
 
   /// The answer of an attempt is whole.
   addAnswer({key}: Session, now: number): void {
-    if (key !== undefined) this.context.onRunAnswered(key, now)
+    if (key !== undefined) this.context.onAttemptAnswered(key, now)
   }
 }
--- a/src/forwarding/admit/quota-gate.ts
+++ b/src/forwarding/admit/quota-gate.ts
@@ -31,7 +31,7 @@
   constructor(private readonly context: QuotaContext) {}
 
   /// Asks for a request that has just been admitted.
-  enter(session: Session, now: number): QuotaAnswer {
+  checkQuota(session: Session, now: number): QuotaAnswer {
     const {request, route, tenant} = session
     if (!tenant?.quota) return GRANTED
     session.quotaCost = getQuotaCost(request, tenant)
@@ -43,13 +43,13 @@
   }
 
   /// The request goes to one more back end.
-  addSend({tenant, quotaCost, mayHaveRun}: Session, now: number): void {
+  addSend({tenant, quotaCost, mayHaveExecuted: mayHaveRun}: Session, now: number): void {
     if (tenant && quotaCost > 0 && mayHaveRun) this.context.chargeQuota(tenant, quotaCost, now)
   }
 
   /// The request is over.
-  leave(session: Session, now: number): void {
-    const {request, tenant, quotaCost, quotaState, mayHaveRun, wasStopped} = session
+  onRequestFinished(session: Session, now: number): void {
+    const {request, tenant, quotaCost, quotaState, mayHaveExecuted: mayHaveRun, wasStopped} = session
     if (!tenant || quotaCost === 0) return
     if (quotaState === "waiting") this.context.removeQuotaRequest(request.id)
     else if (quotaState === "decided" && !mayHaveRun && !wasStopped)
--- a/src/forwarding/admit/request-admission.ts
+++ b/src/forwarding/admit/request-admission.ts
@@ -53,13 +53,13 @@
   admit({host, path, keyDigest}: ForwardRequest, now: number): Admission {
     if (this.closed)
       return {kind: "refused", failure: "stopping", retryAfterMs: this.retryAfter.getStoppingMs()}
-    const routes = this.context.routes()
+    const routes = this.context.getRoutes()
     if (!routes) return this.refuse("no-configuration", now)
-    const route = routes.match(host, path)
+    const route = routes.findRoute(host, path)
     if (!route) return this.deny(STATUS_NOT_FOUND, "no-route", now)
-    const caller = this.context.tenants.identify(route, keyDigest)
+    const caller = this.context.tenants.findCaller(route, keyDigest)
     if (!caller) return this.deny(STATUS_UNAUTHORIZED, "unknown-key", now)
-    const service = this.split.next(route)
+    const service = this.split.pickService(route)
     if (service === undefined) return this.deny(STATUS_NOT_FOUND, "no-route", now)
     const {version: configurationVersion} = routes.configuration
     return {kind: "admitted", route, service, tenant: caller.tenant, configurationVersion}
--- a/src/forwarding/choose/prompt-picker.ts
+++ b/src/forwarding/choose/prompt-picker.ts
@@ -9,7 +9,7 @@
 import type {BackendPickerSettings} from "./backend-picker-settings.js"
 import {getCallBytes, type BackendChoice, type BackendQuery, type ChoiceReason} from "./backend-choice.js"
 import type {BackendView} from "../backends/backend-view.js"
-import {sharedKey, sharedTokens, type PromptOutline} from "../forward-request.js"
+import {getSharedKey, getSharedTokens, type PromptOutline} from "../forward-request.js"
 import type {KvIndex} from "../kv-cache/kv-index.js"
 import {PromptTransfers, type CacheHolder} from "./prompt-transfers.js"
 import type {EngineTraits} from "../routes/route.js"
@@ -123,7 +123,7 @@
     cacheHolders: readonly CacheHolder[]
   ): PromptWork {
     const {minimumCopyTokens, minimumAffinityTokens, recomputeFactor, copyFactor} = this.settings
-    const shared = sharedTokens(prompt)
+    const shared = getSharedTokens(prompt)
     const keptTokens = this.kvIndex.getKeptTokens(backend.record.id, prompt)
     const cacheHolder = transfers ? transfers.pickCacheHolder(cacheHolders, backend) : cacheHolders[0]
     const missingTokens = (cacheHolder?.tokens ?? 0) - keptTokens
@@ -198,7 +198,7 @@
     service: string,
     eligible: readonly BackendView[]
   ): string | undefined {
-    if (sharedTokens(prompt) < this.settings.minimumAffinityTokens) return undefined
+    if (getSharedTokens(prompt) < this.settings.minimumAffinityTokens) return undefined
     const {stage} = eligible[0].record
     const views = this.directory
       .ofService(service)
@@ -207,7 +207,7 @@
       ? views.filter(view => this.distance.getDistance(view) !== "otherRegion")
       : []
     const ids = (local.length > 0 ? local : views).map(view => view.record.id)
-    return pickByRendezvous(sharedKey(prompt), ids)
+    return pickByRendezvous(getSharedKey(prompt), ids)
   }
 
   /// Time of a prompt token there, relative to a prefill engine.
--- a/src/forwarding/finish/request-finisher.ts
+++ b/src/forwarding/finish/request-finisher.ts
@@ -57,8 +57,8 @@
 
   /// The time is over.
   finishAtDeadline(session: Session, now: number): void {
-    const notRun = !session.attempt && !session.mayHaveRun
-    if (session.attempt && !session.attempt.answering) judgeUnanswered(session.attempt, now)
+    const notRun = !session.attempt && !session.mayHaveExecuted
+    if (session.attempt && !session.attempt.streaming) judgeUnanswered(session.attempt, now)
     this.stopAttempt(session, now)
     if (notRun)
       this.finishFailed(session, STATUS_UNAVAILABLE, "deadline", this.retryAfter.getNotServedMs(), now)
@@ -88,7 +88,7 @@
     retryAfterMs = this.retryAfter.getNotServedMs(),
     reasons: DecisionFields = {}
   ): void {
-    if (session.mayHaveRun) this.finishFailed(session, STATUS_BROKEN, failure, undefined, now, reasons)
+    if (session.mayHaveExecuted) this.finishFailed(session, STATUS_BROKEN, failure, undefined, now, reasons)
     else this.finishFailed(session, STATUS_UNAVAILABLE, failure, retryAfterMs, now, reasons)
   }
 
@@ -124,7 +124,7 @@
 
   private finish(session: Session, now: number): void {
     this.removeKv(session)
-    this.quotaGate.leave(session, now)
+    this.quotaGate.onRequestFinished(session, now)
     this.sessions.delete(session.request.id)
   }
 }
--- a/src/forwarding/forward-manager.ts
+++ b/src/forwarding/forward-manager.ts
@@ -56,13 +56,13 @@
     private readonly allowance: RetryAllowance,
     emit: EffectSink<ForwardEffect>
   ) {
-    const retryAfter = new RetryAfter(settings, now => context.outageMs(now))
+    const retryAfter = new RetryAfter(settings, now => context.getOutageMs(now))
     const limits = new ForwardLimits(settings, context)
     const answers = new ForwardAnswers(emit)
     const quotaGate = new QuotaGate(context)
     const quarantineGate = new QuarantineGate(context)
     const finisher = new RequestFinisher(retryAfter, this.sessions, answers, quotaGate, emit)
-    const retryPolicy = new RetryPolicy({settings, allowance, getDaemons: () => context.daemons()})
+    const retryPolicy = new RetryPolicy({settings, allowance, getDaemons: () => context.getDaemonCount()})
     const shared = {retryPolicy, picker, limits, answers, finisher, quarantineGate, emit}
     const sender = new AttemptSender({...shared, settings, quotaGate, retryAfter, permits: context.permits})
     this.quotaGate = quotaGate
@@ -81,7 +81,7 @@
   }
 
   /// Requests in hand.
-  active(): number {
+  getActiveCount(): number {
     return this.sessions.size
   }
 
@@ -91,7 +91,7 @@
   }
 
   /// Takes a whole request from a caller.
-  begin(request: ForwardRequest, now: number): void {
+  receiveRequest(request: ForwardRequest, now: number): void {
     const admission = this.admission.admit(request, now)
     switch (admission.kind) {
       case "refused":
@@ -114,7 +114,7 @@
 
   /// Permits of back ends of the service were granted or refused: the most urgent requests that wait for one
   /// come first, then the oldest.
-  resumeWaiting(service: string, now: number): void {
+  sendWaiting(service: string, now: number): void {
     const waiting = [...this.sessions.values()].filter(
       session => session.awaitsPermit && session.service === service
     )
@@ -129,7 +129,7 @@
   }
 
   /// Takes what became of an attempt. Events of attempts that are no longer live are dropped.
-  attemptEvent(requestId: string, attemptId: string, event: ForwardAttemptEvent, now: number): void {
+  receiveAttemptEvent(requestId: string, attemptId: string, event: ForwardAttemptEvent, now: number): void {
     const session = this.sessions.get(requestId)
     const attempt = session?.attempt
     if (!session || attempt?.attemptId !== attemptId) return
@@ -139,7 +139,7 @@
 
   /// This process stood still until now. Its timers run before what waits in its sockets is read, so silence
   /// until now is nobody's.
-  resumeAfterPause(now: number): void {
+  onProcessResumed(now: number): void {
     this.resumedAt = now
     this.picker.onProcessResumed(now)
   }
@@ -164,7 +164,7 @@
       tenant: tenant?.name,
       configuration: configurationVersion
     })
-    const answer = this.quotaGate.enter(session, now)
+    const answer = this.quotaGate.checkQuota(session, now)
     if (answer.kind !== "waiting") this.onQuotaDecided(session, answer, now)
   }
 
--- a/src/forwarding/forward-messages.ts
+++ b/src/forwarding/forward-messages.ts
@@ -55,7 +55,7 @@
   | {readonly kind: "whole"; readonly status: number; readonly signals?: BackendSignals}
   /// The answer broke off or was not the back end's: it may have run. `isForeign`: what came was no answer to
   /// it, on a connection that stood.
-  | {readonly kind: "broken"; readonly reason: string; readonly isForeign?: boolean}
+  | {readonly kind: "broken"; readonly reason: string; readonly isInvalidAnswer?: boolean}
 
 /// Why a request gets an answer of the daemon's own.
 export type ForwardFailure =
--- a/src/forwarding/forward-request.ts
+++ b/src/forwarding/forward-request.ts
@@ -41,12 +41,12 @@
 }
 
 /// Tokens of the parts that other requests may share: all but the last, which is the request's own.
-export function sharedTokens(prompt: PromptOutline): number {
+export function getSharedTokens(prompt: PromptOutline): number {
   return prompt.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0)
 }
 
 /// A key that requests with the same shared parts have in common; empty when nothing is shared.
-export function sharedKey(prompt: PromptOutline): string {
+export function getSharedKey(prompt: PromptOutline): string {
   return prompt.parts
     .slice(0, -1)
     .map(part => part.id)
--- a/src/forwarding/forward-session.ts
+++ b/src/forwarding/forward-session.ts
@@ -15,13 +15,13 @@
   readonly bornMs: number | undefined
   lastEventAt: number
   /// A stream has begun to arrive.
-  answering: boolean
+  streaming: boolean
   /// When another back end was last looked for.
-  lookedAt?: number
+  lastSearchAt?: number
   /// Its connection passes nothing, though its back end answers on others.
   connectionSilent?: boolean
   /// Requests of all daemons at the back end before this one.
-  readonly load: number
+  readonly inFlightBefore: number
   /// Prompt tokens of all daemons that were to be computed there before this one's.
   readonly pendingTokens: number
   /// When the first events of a stream came; undefined before.
@@ -48,15 +48,15 @@
   sends: number
   /// Arrivals at back ends, as the retry budget counts them.
   arrivals: number
-  runs: number
+  executions: number
   /// Calls that had the prompt computed apart and that an engine may have taken up. Each after the first
   /// counts as a run.
   prefills: number
-  mayHaveRun: boolean
+  mayHaveExecuted: boolean
   /// The head of a stream has been passed on.
   relaying: boolean
   /// It has been counted for its tenant.
-  counted: boolean
+  countedForTenant: boolean
   lastEventId: string | undefined
   kvSource: KvSource | undefined
   /// The caller has left; a back end may finish what it has begun, and nothing is sent again.
@@ -92,11 +92,11 @@
     attempt: undefined,
     sends: 0,
     arrivals: 0,
-    runs: 0,
+    executions: 0,
     prefills: 0,
-    mayHaveRun: false,
+    mayHaveExecuted: false,
     relaying: false,
-    counted: false,
+    countedForTenant: false,
     lastEventId: undefined,
     kvSource: undefined,
     abandoned: false,
@@ -125,8 +125,8 @@
     startedAt: now,
     bornMs: choice.backend.record.bornMs,
     lastEventAt: now,
-    answering: false,
-    load: choice.backend.inFlight(),
+    streaming: false,
+    inFlightBefore: choice.backend.inFlight(),
     pendingTokens: choice.backend.pendingTokens(),
     firstEventAt: undefined,
     lastProgressAt: now,
@@ -135,7 +135,7 @@
 }
 
 /// Events of the stream have come.
-export function countProgress(attempt: LiveAttempt, now: number): void {
+export function addProgress(attempt: LiveAttempt, now: number): void {
   if (attempt.firstEventAt === undefined) attempt.firstEventAt = now
   else attempt.events += 1
   attempt.lastProgressAt = now
@@ -168,7 +168,7 @@
 
 /// How urgent an attempt is for its engine. Prompts are computed in turn, so a long one would hold up many
 /// short ones.
-export function urgencyOf(session: Session, choice: BackendChoice, settings: ForwardSettings): number {
+export function getUrgency(session: Session, choice: BackendChoice, settings: ForwardSettings): number {
   if (choice.overdue) return OVERDUE_RANK
   const long = choice.prefillOnly && choice.promptTokens > settings.longPromptTokens
   return getPriority(session) * RANKS_PER_PRIORITY + (long ? 1 : 0)
--- a/src/forwarding/kv-cache/kv-index.ts
+++ b/src/forwarding/kv-cache/kv-index.ts
@@ -39,7 +39,7 @@
   private recent: PartPlacement[] = []
 
   /// This daemon had a prompt computed at the engine. Its own part is of use to nobody else.
-  addComputed(engineId: string, prompt: PromptOutline, capacityTokens: number): void {
+  addComputedPrompt(engineId: string, prompt: PromptOutline, capacityTokens: number): void {
     for (const {hash, tokens} of this.getSharedParts(prompt)) {
       if (tokens >= MINIMUM_TOLD_TOKENS) this.recent.push([engineId, hash, tokens])
       this.setTokens(this.getParts(engineId), hash, tokens, capacityTokens)
@@ -48,7 +48,7 @@
   }
 
   /// A peer had such a part computed.
-  applyPlacement([engineId, hash, tokens]: PartPlacement, capacityTokens: number): void {
+  applyPeerPlacement([engineId, hash, tokens]: PartPlacement, capacityTokens: number): void {
     const engine = this.getParts(engineId)
     if (!engine.followed) this.setTokens(engine, hash, tokens, capacityTokens)
   }
@@ -64,7 +64,7 @@
   }
 
   /// What this daemon had computed since the last call.
-  takeRecent(): PartPlacement[] {
+  takeRecentPlacements(): PartPlacement[] {
     const {recent} = this
     this.recent = []
     return recent
--- a/src/forwarding/pace/attempt-pace.ts
+++ b/src/forwarding/pace/attempt-pace.ts
@@ -30,7 +30,7 @@
 
 /// Adds a sample for a complete stream, or for a complete answer of a plain back end.
 export function addCompletedSample(attempt: LiveAttempt, now: number): void {
-  const {choice, startedAt, firstEventAt, events, load} = attempt
+  const {choice, startedAt, firstEventAt, events, inFlightBefore: load} = attempt
   const {record, pace} = choice.backend
   if (record.stage === undefined) {
     pace.addSample(getPaceGroup(record, "answer"), getExcess(load, record.slots), now - startedAt)
@@ -41,7 +41,10 @@
 }
 
 /// Adds a sample for an attempt that is aborted without an answer.
-export function addUnansweredSample({choice, startedAt, answering, load}: LiveAttempt, now: number): void {
+export function addUnansweredSample(
+  {choice, startedAt, streaming: answering, inFlightBefore: load}: LiveAttempt,
+  now: number
+): void {
   const {record, pace} = choice.backend
   if (answering || choice.overdue || choice.copyFrom) return
   const ms = now - startedAt
--- a/src/forwarding/retry/attempt-outcomes.ts
+++ b/src/forwarding/retry/attempt-outcomes.ts
@@ -10,7 +10,7 @@
 import {type ForwardAnswers, STATUS_BROKEN} from "../finish/forward-answers.js"
 import type {ForwardLimits} from "../admit/forward-limits.js"
 import type {ForwardAttemptEvent, ForwardEffect, ForwardFailure} from "../forward-messages.js"
-import {countProgress, removeAttempt, type LiveAttempt, type Session} from "../forward-session.js"
+import {addProgress, removeAttempt, type LiveAttempt, type Session} from "../forward-session.js"
 import type {KvIndex} from "../kv-cache/kv-index.js"
 import type {QuarantineGate} from "../admit/quarantine-gate.js"
 import type {RequestFinisher} from "../finish/request-finisher.js"
@@ -59,7 +59,7 @@
         break
       case "streamProgress":
         attempt.choice.backend.onAnswering(attempt.attemptId, now)
-        countProgress(attempt, now)
+        addProgress(attempt, now)
         if (event.lastEventId !== undefined) session.lastEventId = event.lastEventId
         break
       case "connectionSilent":
@@ -69,7 +69,7 @@
         this.onWhole(session, attempt, event.status, now)
         break
       case "broken":
-        if (!event.isForeign) this.dependencies.quarantineGate.addBreak(session, attempt, now)
+        if (!event.isInvalidAnswer) this.dependencies.quarantineGate.addBrokenAttempt(session, attempt, now)
         this.onBroken(session, attempt, event.reason, now)
         break
     }
@@ -90,8 +90,8 @@
   /// has a retry for it.
   onStalled(session: Session, attempt: LiveAttempt, now: number): void {
     const {retryPolicy, sender} = this.dependencies
-    if (now - (attempt.lookedAt ?? -Infinity) < LOOK_AGAIN_MS) return
-    attempt.lookedAt = now
+    if (now - (attempt.lastSearchAt ?? -Infinity) < LOOK_AGAIN_MS) return
+    attempt.lastSearchAt = now
     if (!retryPolicy.hasRetryLeft(session, now) || !sender.hasAlternative(session, attempt, now)) return
     addUnansweredSample(attempt, now)
     this.dependencies.emit({kind: "abortAttempt", attemptId: attempt.attemptId})
@@ -138,7 +138,7 @@
       status,
       wrongIncarnation
     })
-    const mayRetry = this.dependencies.retryPolicy.tryRetryNotRun(session, now)
+    const mayRetry = this.dependencies.retryPolicy.tryRetryNotExecuted(session, now)
     this.sendAgainOrFinish(session, mayRetry, "turned-away", now)
   }
 
@@ -159,10 +159,10 @@
   }
 
   private onStreamStarted(session: Session, attempt: LiveAttempt, now: number): void {
-    attempt.answering = true
+    attempt.streaming = true
     attempt.choice.backend.onAnswering(attempt.attemptId, now)
     session.relaying = true
-    session.mayHaveRun = true
+    session.mayHaveExecuted = true
     this.addBegun(session, now)
     this.dependencies.answers.logDecision("request.streaming", session, {
       backend: attempt.choice.backend.record.id,
@@ -182,7 +182,7 @@
     else backend.health.addSuccess(now)
     if (!failed) addCompletedSample(attempt, now)
     if (!failed) this.dependencies.picker.addAnswerSample(attempt.choice, now - attempt.startedAt)
-    if (failed && this.dependencies.retryPolicy.tryRetryRun(session, now)) {
+    if (failed && this.dependencies.retryPolicy.tryRetryExecuted(session, now)) {
       this.dependencies.answers.logDecision("request.attempt-failed", session, {
         backend: backend.record.id,
         status
@@ -194,7 +194,7 @@
     }
     // A failure in place of the rest of a stream that the caller has part of: its end must not look like the
     // stream's.
-    if (session.relaying && !attempt.answering) {
+    if (session.relaying && !attempt.streaming) {
       this.dropAnswer(attempt)
       this.dependencies.finisher.finishFailed(session, STATUS_BROKEN, "broken", undefined, now)
     } else this.dependencies.finisher.finishAnswered(session, attempt, status, now)
@@ -227,7 +227,8 @@
     }
     this.addRun(session, attempt)
     session.kvSource = undefined
-    if (this.dependencies.retryPolicy.tryRetryRun(session, now)) this.dependencies.sender.send(session, now)
+    if (this.dependencies.retryPolicy.tryRetryExecuted(session, now))
+      this.dependencies.sender.send(session, now)
     else this.dependencies.finisher.finishFailed(session, STATUS_BROKEN, "broken", undefined, now)
   }
 
@@ -235,7 +236,7 @@
     removeAttempt(session, attempt)
     session.arrivals += 1
     session.prefills += 1
-    const mayRetry = this.dependencies.retryPolicy.tryRetryNotRun(session, now)
+    const mayRetry = this.dependencies.retryPolicy.tryRetryNotExecuted(session, now)
     this.sendAgainOrFinish(session, mayRetry, "turned-away", now)
   }
 
@@ -249,15 +250,15 @@
   private addRun(session: Session, attempt: LiveAttempt): void {
     removeAttempt(session, attempt)
     session.arrivals += 1
-    session.runs += 1
-    session.mayHaveRun = true
+    session.executions += 1
+    session.mayHaveExecuted = true
     this.addBegun(session, attempt.startedAt)
   }
 
   /// A back end has begun to run the request, at `at` as far as that is known.
   private addBegun(session: Session, at: number): void {
-    if (session.counted || !session.tenant) return
-    session.counted = true
+    if (session.countedForTenant || !session.tenant) return
+    session.countedForTenant = true
     this.dependencies.onRequestBegan(session.tenant.name, at)
   }
 
@@ -265,7 +266,8 @@
     const {prompt} = session.request
     if (!prompt) return
     const engine = this.dependencies.limits.getEngine(session.service)
-    if (engine) this.dependencies.kvIndex.addComputed(backend.record.id, prompt, engine.kvCapacityTokens)
+    if (engine)
+      this.dependencies.kvIndex.addComputedPrompt(backend.record.id, prompt, engine.kvCapacityTokens)
   }
 }
 
--- a/src/forwarding/retry/attempt-sender.ts
+++ b/src/forwarding/retry/attempt-sender.ts
@@ -7,7 +7,7 @@
 import type {ForwardAnswers} from "../finish/forward-answers.js"
 import type {ForwardLimits} from "../admit/forward-limits.js"
 import type {ForwardEffect} from "../forward-messages.js"
-import {createAttempt, getPriority, urgencyOf, type LiveAttempt, type Session} from "../forward-session.js"
+import {createAttempt, getPriority, getUrgency, type LiveAttempt, type Session} from "../forward-session.js"
 import type {ForwardSettings} from "../forward-settings.js"
 import type {QuarantineGate} from "../admit/quarantine-gate.js"
 import {getLongestWaitMs, type QuotaGate} from "../admit/quota-gate.js"
@@ -123,7 +123,7 @@
     return {
       service,
       prompt: request.prompt,
-      isolatedCaller: quarantineGate.getConfinedCaller(session, now),
+      isolatedCaller: quarantineGate.getIsolatedCaller(session, now),
       prefilled: session.kvSource !== undefined,
       prefilledAt: session.kvSource?.address,
       bodyBytes: request.bodyBytes,
@@ -180,7 +180,7 @@
         kvSource: session.kvSource,
         copyFrom: choice.copyFrom?.address,
         remainingMs: Math.max(1, Math.floor(session.deadlineAt - now)),
-        urgency: urgencyOf(session, choice, this.dependencies.settings),
+        urgency: getUrgency(session, choice, this.dependencies.settings),
         stream: route.kind === "stream",
         once: !choice.prefillOnly && !isRepeatable(route),
         resumeAfter: session.lastEventId
--- a/src/forwarding/retry/retry-allowance.ts
+++ b/src/forwarding/retry/retry-allowance.ts
@@ -91,16 +91,16 @@
   }
 
   /// Takes one repeat if the allowance has one; `daemons` share the slack.
-  tryRepeat(service: string, daemons: number, now: number): boolean {
+  tryTakeRetry(service: string, daemons: number, now: number): boolean {
     const account = this.accountOf(service)
-    const allowed = this.getLeft(service, daemons, now) >= 1
+    const allowed = this.getRetriesLeft(service, daemons, now) >= 1
     if (allowed) takeRepeat(account, now)
     else account.refused += 1
     return allowed
   }
 
   /// Repeats left now.
-  getLeft(service: string, daemons: number, now: number): number {
+  getRetriesLeft(service: string, daemons: number, now: number): number {
     const account = this.accountOf(service)
     const slack = this.getSlack(daemons, now)
     const inWindow = SAFE_SHARE * this.settings.ratio * account.requests.count(now) + slack
@@ -110,7 +110,7 @@
   }
 
   /// What was done since the last call, by service; empty when no repeat was asked for.
-  takeUse(daemons: number, now: number): readonly RetryUse[] {
+  takeUsage(daemons: number, now: number): readonly RetryUse[] {
     const used = [...this.accounts].filter(([, {taken, refused}]) => taken + refused > 0)
     used.sort(([, left], [, right]) => right.taken - left.taken)
     const told = used
@@ -121,7 +121,7 @@
         refused,
         requests: requests.count(now),
         repeats: repeats.count(now),
-        left: this.getLeft(service, daemons, now),
+        left: this.getRetriesLeft(service, daemons, now),
         daemons
       }))
     for (const [, account] of used) account.taken = account.refused = 0
--- a/src/forwarding/retry/retry-policy.ts
+++ b/src/forwarding/retry/retry-policy.ts
@@ -35,19 +35,19 @@
   }
 
   /// Takes one retry of the budget for a request that has not run. Returns whether it is sent again.
-  tryRetryNotRun(session: Session, now: number): boolean {
+  tryRetryNotExecuted(session: Session, now: number): boolean {
     return !this.isExhausted(session, now) && this.tryTakeRetry(session, now)
   }
 
   /// Takes one retry of the budget for a request that may have run. Returns whether it is sent again.
-  tryRetryRun(session: Session, now: number): boolean {
-    return mayRunAgain(session) && this.tryRetryNotRun(session, now)
+  tryRetryExecuted(session: Session, now: number): boolean {
+    return mayExecuteAgain(session) && this.tryRetryNotExecuted(session, now)
   }
 
   /// Whether the budget has a retry left for the request. Takes nothing.
   hasRetryLeft({service}: Session, now: number): boolean {
     const {allowance, getDaemons} = this.dependencies
-    return allowance.getLeft(service, getDaemons(), now) >= 1
+    return allowance.getRetriesLeft(service, getDaemons(), now) >= 1
   }
 
   /// Whether the prompt may be computed at an engine of its own, apart from the run. Computed once more it is
@@ -71,9 +71,9 @@
     const {minimumStallMs, stallGaps, stallTargetShare} = this.dependencies.settings
     const {targetGapMs, targetLatencyMs} = session.route
     const {backend, prefillOnly} = attempt.choice
-    if (!prefillOnly && !mayRunAgain(session)) return false
+    if (!prefillOnly && !mayExecuteAgain(session)) return false
     const quietMs = now - Math.max(attempt.lastEventAt, resumedAt)
-    if (attempt.answering) return quietMs > targetGapMs * stallGaps
+    if (attempt.streaming) return quietMs > targetGapMs * stallGaps
     if (attempt.connectionSilent && backend.record.stage === undefined) return true
     const limitMs = Math.max(minimumStallMs, targetLatencyMs * stallTargetShare)
     return quietMs > limitMs && backend.health.isSilent(now)
@@ -86,7 +86,7 @@
 
   private tryTakeRetry({service}: Session, now: number): boolean {
     const {allowance, getDaemons} = this.dependencies
-    return allowance.tryRepeat(service, getDaemons(), now)
+    return allowance.tryTakeRetry(service, getDaemons(), now)
   }
 }
 
@@ -96,21 +96,21 @@
 }
 
 /// Whether the request may run at one more back end.
-function mayRunAgain(session: Session): boolean {
+function mayExecuteAgain(session: Session): boolean {
   const {route} = session
   return isRepeatable(route) && countAttempts(session) < route.maximumAttempts
 }
 
 /// Back ends that count against the attempts of the route. The first separate computation of the prompt is
 /// free.
-function countAttempts({runs, prefills}: Pick<Session, "runs" | "prefills">): number {
+function countAttempts({executions: runs, prefills}: Pick<Session, "runs" | "prefills">): number {
   return runs + Math.max(0, prefills - 1)
 }
 
 /// Whether the separate computation of the prompt and the run after it are both within the route's attempts.
-function hasAttemptsForPrefill({route, prefills, runs}: Session): boolean {
+function hasAttemptsForPrefill({route, prefills, executions: runs}: Session): boolean {
   if (prefills === 0) return true
-  return countAttempts({prefills: prefills + 1, runs: runs + 1}) <= route.maximumAttempts
+  return countAttempts({prefills: prefills + 1, executions: runs + 1}) <= route.maximumAttempts
 }
 
 /// Whether an engine has taken up the prompt before, and what it computed cannot be used any more.
--- a/src/forwarding/routes/route-table.ts
+++ b/src/forwarding/routes/route-table.ts
@@ -21,7 +21,7 @@
 
   /// The route with the longest prefix of `path` on `host`; a port in `host` and a query in `path` are
   /// ignored.
-  match(host: string, path: string): Route | undefined {
+  findRoute(host: string, path: string): Route | undefined {
     const routes = this.byHost.get(withoutPort(host).toLowerCase())
     if (!routes) return undefined
     const query = path.indexOf("?")
@@ -30,7 +30,7 @@
   }
 
   /// The service of this name.
-  service(name: string): BackendService | undefined {
+  getService(name: string): BackendService | undefined {
     return this.services.get(name)
   }
 }
--- a/src/forwarding/routes/tenant-directory.ts
+++ b/src/forwarding/routes/tenant-directory.ts
@@ -28,7 +28,7 @@
 
   /// Who the caller of a request on `route` is; undefined when the route asks for a key and this one is not
   /// valid.
-  identify(route: Route, keyDigest: string | undefined): Caller | undefined {
+  findCaller(route: Route, keyDigest: string | undefined): Caller | undefined {
     if (!this.needsKeys || route.isPublic) return ANYBODY
     return keyDigest === undefined ? undefined : this.byKeyDigest.get(keyDigest)
   }
--- a/src/forwarding/routes/weighted-choice.ts
+++ b/src/forwarding/routes/weighted-choice.ts
@@ -7,7 +7,7 @@
   private readonly credits = new Map<string, Map<string, number>>()
 
   /// The service for the next request of `route`; undefined when the route has no target with a weight.
-  next(route: Route): string | undefined {
+  pickService(route: Route): string | undefined {
     const targets = route.targets.filter(target => target.weight > 0)
     if (targets.length <= 1) return targets[0]?.service
     const credits = this.creditsOf(route.name, targets)
--- a/src/parts/backend-signal-part.ts
+++ b/src/parts/backend-signal-part.ts
@@ -113,7 +113,7 @@
     const heardAt = this.confirmedAt.get(view) ?? view.limit.getChangedAt()
     if (now - heardAt < CONFIRM_INTERVAL_MS || !permits.isOwner(view, now)) return
     this.confirmedAt.set(view, now)
-    const healthPath = routes()?.service(view.record.service)?.healthPath
+    const healthPath = routes()?.getService(view.record.service)?.healthPath
     if (healthPath !== undefined) emit({kind: "probeBackend", probe: {backend: view.record}, healthPath})
   }
 }
--- a/src/parts/health-part.ts
+++ b/src/parts/health-part.ts
@@ -11,7 +11,7 @@
     super()
     const {directory, routes, emit} = surroundings
     this.prober = new HealthProber(directory, probe => {
-      const healthPath = routes()?.service(probe.backend.service)?.healthPath
+      const healthPath = routes()?.getService(probe.backend.service)?.healthPath
       if (healthPath !== undefined) emit({kind: "probeBackend", probe, healthPath})
     })
   }
--- a/src/parts/kv-part.ts
+++ b/src/parts/kv-part.ts
@@ -20,7 +20,7 @@
       settings.kvFollower,
       {
         countMembers: () => members().length,
-        capacityTokens: service => routes()?.service(service)?.engine?.kvCapacityTokens
+        capacityTokens: service => routes()?.getService(service)?.engine?.kvCapacityTokens
       },
       directory,
       kvIndex,
--- a/test/attempt-arrivals.test.ts
+++ b/test/attempt-arrivals.test.ts
@@ -81,7 +81,7 @@
       fc.property(cases, ({ draws, engines, ...route }) => {
         const site = makeSite(route, engines);
         const seen = play(site, draws, engines);
-        const charged = site.retries.takeUse(1, 1000).reduce((sum, { taken }) => sum + taken, 0);
+        const charged = site.retries.takeUsage(1, 1000).reduce((sum, { taken }) => sum + taken, 0);
         expect(charged).to.be.at.least(seen);
       }),
       { seed: SEED, numRuns: 2000 },
--- a/test/drawn-day.ts
+++ b/test/drawn-day.ts
@@ -331,7 +331,7 @@
     if (draw < 0.02) return tell(3, { kind: 'notExecuted', status: 503, wrongIncarnation: false });
     if (draw < 0.03) return tell(3, { kind: 'notExecuted', status: 421, wrongIncarnation: true });
     if (draw < 0.05) return tell(workMs, { kind: 'broken', reason: 'UND_ERR_SOCKET' });
-    if (draw < 0.06) return tell(workMs, { kind: 'broken', reason: 'garbled', isForeign: true });
+    if (draw < 0.06) return tell(workMs, { kind: 'broken', reason: 'garbled', isInvalidAnswer: true });
     if (draw < 0.07) return tell(workMs, { kind: 'connectionSilent' });
     if (draw < 0.08) return;
     if (start.prefillOnly) return tell(workMs, { kind: 'prefilled', handle: `kv ${attemptId}` });
--- a/test/forwarding-harness.ts
+++ b/test/forwarding-harness.ts
@@ -78,16 +78,16 @@
     this.manager = new ForwardManager(
       DEFAULT_FORWARD_SETTINGS,
       {
-        routes: () => table,
+        getRoutes: () => table,
         tenants: this.tenants,
         configurationMayBeStale: () => this.stale,
-        outageMs: () => 0,
-        daemons: () => 1,
+        getOutageMs: () => 0,
+        getDaemonCount: () => 1,
         onRequestBegan: (tenant, at) => this.begun.push([tenant, at]),
         getQuarantineMs: () => undefined,
-        getConfinedCaller: () => undefined,
-        onRunBroken: () => undefined,
-        onRunAnswered: () => undefined,
+        getIsolatedCaller: () => undefined,
+        onAttemptBroken: () => undefined,
+        onAttemptAnswered: () => undefined,
         onSignals: () => undefined,
         permits: this.permits,
         takeQuota: (request) => this.takeQuota(request),
@@ -102,7 +102,7 @@
   }
 
   begin(fields: Partial<ForwardRequest> = {}, now = 0): void {
-    this.manager.begin(
+    this.manager.receiveRequest(
       {
         id: 'r1',
         callerId: 'c1',
@@ -123,7 +123,7 @@
 
   event(event: ForwardAttemptEvent, now: number): void {
     const last = this.starts().at(-1) as AttemptStart;
-    this.manager.attemptEvent(last.requestId, last.attemptId, event, now);
+    this.manager.receiveAttemptEvent(last.requestId, last.attemptId, event, now);
   }
 
   failures(): (number | 'broken')[] {
@@ -133,7 +133,7 @@
     });
   }
 
-  of(kind: ForwardEffect['kind']): ForwardEffect[] {
+  getEffects(kind: ForwardEffect['kind']): ForwardEffect[] {
     return this.effects.filter((effect) => effect.kind === kind);
   }
 }
--- a/test/forwarding.test.ts
+++ b/test/forwarding.test.ts
@@ -20,10 +20,10 @@
         labRoute({ name: 'other', host: 'other.example', pathPrefix: '/' }),
       ]),
     );
-    expect(table.match('SITE.example:80', '/a/b/c?x=/')?.name).to.equal('long');
-    expect(table.match('site.example', '/a/c')?.name).to.equal('short');
-    expect(table.match('site.example', '/a')).to.equal(undefined);
-    expect(table.match('other.example', '/a/b/')?.name).to.equal('other');
+    expect(table.findRoute('SITE.example:80', '/a/b/c?x=/')?.name).to.equal('long');
+    expect(table.findRoute('site.example', '/a/c')?.name).to.equal('short');
+    expect(table.findRoute('site.example', '/a')).to.equal(undefined);
+    expect(table.findRoute('other.example', '/a/b/')?.name).to.equal('other');
   });
 
   it('a split gives each target its exact share in every whole round', () => {
@@ -35,7 +35,7 @@
         const counts = new Map<string, number>();
         const round = weights.reduce((sum, weight) => sum + weight, 0);
         for (let step = 0; step < round; step += 1) {
-          const service = choice.next(route) as string;
+          const service = choice.pickService(route) as string;
           counts.set(service, (counts.get(service) ?? 0) + 1);
         }
         weights.forEach((weight, index) => expect(counts.get(`s${index}`)).to.equal(weight));
@@ -68,7 +68,7 @@
     site.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 10);
     expect(site.starts()).to.have.length(1);
     expect(site.failures()).to.deep.equal([503]);
-    const [refusal] = site.of('replyFailure');
+    const [refusal] = site.getEffects('replyFailure');
     expect(refusal).to.have.property('retryAfterMs').that.is.greaterThan(0);
   });
 
@@ -88,7 +88,7 @@
     expect(site.failures()).to.deep.equal([]);
     site.manager.tick(500);
     expect(site.failures()).to.deep.equal([504]);
-    expect(site.of('abortAttempt')).to.have.length(1);
+    expect(site.getEffects('abortAttempt')).to.have.length(1);
   });
 
   it('a back end gets no more time than the caller and the route leave', () => {
@@ -102,8 +102,8 @@
     const site = new Forwarding([labRoute({})], PLAIN);
     site.begin();
     site.manager.cancel('r1', 10);
-    expect(site.of('abortAttempt')).to.have.length(1);
-    expect(site.manager.active()).to.equal(0);
+    expect(site.getEffects('abortAttempt')).to.have.length(1);
+    expect(site.manager.getActiveCount()).to.equal(0);
     expect([...site.directory.all()].reduce((sum, view) => sum + view.inFlight(), 0)).to.equal(0);
   });
 
@@ -169,7 +169,7 @@
     site.begin({ callerDeadlineMs: 9000 });
     site.event({ kind: 'streamStarted' }, 10);
     for (let now = 20; now < 200; now += 20) site.manager.tick(now);
-    site.manager.resumeAfterPause(1800);
+    site.manager.onProcessResumed(1800);
     site.manager.tick(1800);
     site.event({ kind: 'streamProgress', lastEventId: '2' }, 1801);
     for (let now = 1820; now < 2000; now += 20) site.manager.tick(now);
@@ -196,7 +196,7 @@
     site.event({ kind: 'broken', reason: 'reset' }, 30);
     site.event({ kind: 'whole', status: 500 }, 40);
     expect(site.failures()).to.deep.equal(['broken']);
-    expect(site.of('replyWhole')).to.have.length(0);
+    expect(site.getEffects('replyWhole')).to.have.length(0);
   });
 
   it('a stream that may not be resumed is broken off, never finished by another run', () => {
@@ -224,7 +224,7 @@
     site.begin({ prompt: prompt(3000, 13_000) });
     site.event({ kind: 'prefilled', handle: 'h1' }, 100);
     site.manager.cancel('r1', 110);
-    expect(site.of('freeKv')).to.have.length(1);
+    expect(site.getEffects('freeKv')).to.have.length(1);
   });
 
   it('a prompt that is computed again costs the retry budget as much as the run after it', () => {
--- a/test/kv-index.test.ts
+++ b/test/kv-index.test.ts
@@ -43,7 +43,7 @@
     tell('and the whole first');
     index.applyChange('e1', change('subject', 0), CAPACITY);
     tell('the second is gone');
-    index.addComputed('e1', PROMPT, CAPACITY);
+    index.addComputedPrompt('e1', PROMPT, CAPACITY);
     tell('computed there again');
     index.removeEngine('e1');
     tell('the engine has lost its cache');
@@ -52,14 +52,14 @@
 
   it('what peers say counts only for an engine that is not followed', () => {
     const teller = new KvIndex();
-    teller.addComputed('e1', PROMPT, CAPACITY);
-    const placements = teller.takeRecent();
-    expect(teller.takeRecent()).to.deep.equal([]);
+    teller.addComputedPrompt('e1', PROMPT, CAPACITY);
+    const placements = teller.takeRecentPlacements();
+    expect(teller.takeRecentPlacements()).to.deep.equal([]);
     const [followed, unfollowed] = [new KvIndex(), new KvIndex()];
     followed.setFollowed('e1', true);
     for (const placement of placements) {
-      followed.applyPlacement(placement, CAPACITY);
-      unfollowed.applyPlacement(placement, CAPACITY);
+      followed.applyPeerPlacement(placement, CAPACITY);
+      unfollowed.applyPeerPlacement(placement, CAPACITY);
     }
     expect(followed.getKeptTokens('e1', PROMPT)).to.equal(0);
     expect(unfollowed.getKeptTokens('e1', PROMPT)).to.equal(5000);
@@ -146,7 +146,7 @@
     expect(site.calls).to.have.length(1);
     site.follower.tick(1000);
     expect(site.calls).to.have.length(2);
-    site.index.applyPlacement(['e1', 1, 100], CAPACITY);
+    site.index.applyPeerPlacement(['e1', 1, 100], CAPACITY);
   });
 
   it('each engine is followed by every daemon, or by none where it would not hold a call for each', () => {
--- a/test/lost-back-ends.test.ts
+++ b/test/lost-back-ends.test.ts
@@ -21,7 +21,7 @@
     expect(waiting.length).to.be.greaterThan(1);
     for (const { requestId, attemptId, backend } of started)
       if (backend.id !== silent)
-        site.manager.attemptEvent(requestId, attemptId, { kind: 'whole', status: 200 }, 20);
+        site.manager.receiveAttemptEvent(requestId, attemptId, { kind: 'whole', status: 200 }, 20);
     site.manager.tick(STALLED_MS);
     const moved = site.starts().slice(started.length);
     expect(moved).to.have.length(waiting.length);
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -52,7 +52,7 @@
     beginMany(site, 10, 30_000);
     const urgent = site.starts().filter((start) => start.urgency < LAST_RANK);
     for (const { requestId, attemptId } of urgent)
-      site.manager.attemptEvent(requestId, attemptId, { kind: 'prefilled', handle: 'h' }, 30_120);
+      site.manager.receiveAttemptEvent(requestId, attemptId, { kind: 'prefilled', handle: 'h' }, 30_120);
     site.begin({ id: 'later', prompt: prompt(4000, 0, 'later'), callerDeadlineMs: CALLER_MS }, 30_130);
     expect(site.starts().at(-1)).to.include({ requestId: 'later', prefillOnly: true });
     expect(site.starts().at(-1)?.urgency).to.be.lessThan(LAST_RANK);
@@ -86,7 +86,7 @@
   it('are copied from there when the keeper is busy, and not read again', () => {
     const site = learnedSite();
     const shared = prompt(1000, 13_000, 'subject');
-    site.kvIndex.addComputed('p1', shared, 440_000);
+    site.kvIndex.addComputedPrompt('p1', shared, 440_000);
     site.begin({ id: 'r1', prompt: shared, callerDeadlineMs: CALLER_MS }, 30_000);
     site.begin({ id: 'r2', prompt: shared, callerDeadlineMs: CALLER_MS }, 30_000);
     const [first, second] = site.starts();
@@ -100,7 +100,7 @@
   it('are not copied from an engine that cannot be reached', () => {
     const site = learnedSite();
     const shared = prompt(1000, 13_000, 'subject');
-    site.kvIndex.addComputed('p1', shared, 440_000);
+    site.kvIndex.addComputedPrompt('p1', shared, 440_000);
     site.directory.get('p1')?.health.onUnreachable(30_000);
     site.begin({ id: 'r1', prompt: shared, callerDeadlineMs: CALLER_MS }, 30_000);
     expect(site.starts()[0]).to.include({ copyFrom: undefined });
--- a/test/quota-requests.test.ts
+++ b/test/quota-requests.test.ts
@@ -54,7 +54,7 @@
     const daemon = forwarding(REFUSED);
     begin(daemon);
     expect(daemon.starts()).to.deep.equal([]);
-    expect(daemon.of('replyFailure')).to.deep.include({
+    expect(daemon.getEffects('replyFailure')).to.deep.include({
       kind: 'replyFailure',
       requestId: 'r1',
       status: 429,
@@ -170,7 +170,7 @@
       quota: { ratePerSecond, burst: 1, countsTokens: true, plainCost: 1 },
     });
     for (const rate of [5, 7]) directory.apply([mary(rate)]);
-    expect(directory.identify(labRoute({}), 'd')?.tenant?.quota?.ratePerSecond).to.equal(7);
+    expect(directory.findCaller(labRoute({}), 'd')?.tenant?.quota?.ratePerSecond).to.equal(7);
   });
 
   it('count both numbers of a request, whatever else it says', () => {
--- a/test/regions-cut.test.ts
+++ b/test/regions-cut.test.ts
@@ -46,11 +46,11 @@
     loseRegion(site, 100);
     site.event({ kind: 'broken', reason: 'reset' }, 110);
     expect(site.starts().map(({ backend }) => backend.id)[1]).to.equal('near');
-    site.manager.attemptEvent(first.requestId, first.attemptId, { kind: 'whole', status: 200 }, 120);
-    expect(site.of('replyWhole'), 'the answer of an attempt that was given up').to.have.length(0);
+    site.manager.receiveAttemptEvent(first.requestId, first.attemptId, { kind: 'whole', status: 200 }, 120);
+    expect(site.getEffects('replyWhole'), 'the answer of an attempt that was given up').to.have.length(0);
     site.event({ kind: 'whole', status: 200 }, 150);
-    expect(site.of('replyWhole')).to.have.length(1);
-    expect(site.manager.active()).to.equal(0);
+    expect(site.getEffects('replyWhole')).to.have.length(1);
+    expect(site.manager.getActiveCount()).to.equal(0);
   });
 
   it('what may run once is not sent again', () => {
@@ -66,7 +66,7 @@
     loseRegion(site, 100);
     site.manager.tick(DEADLINE_MS + 1);
     expect(site.failures()).to.deep.equal([504]);
-    expect(site.manager.active()).to.equal(0);
+    expect(site.manager.getActiveCount()).to.equal(0);
   });
 
   it('a KV cache that lies there is given up, and the prompt computed at home', () => {
@@ -79,10 +79,10 @@
     expect(site.starts()[1]).to.deep.include({ kvSource: { address: '10.0.0.1:fp', handle: 'h' } });
     expect(site.starts()[1].backend.id, 'not an engine of the lost region').to.equal('d');
     site.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 200);
-    expect(site.of('freeKv')).to.have.length(1);
-    expect(site.manager.active() + site.failures().length, 'under way or answered').to.equal(1);
+    expect(site.getEffects('freeKv')).to.have.length(1);
+    expect(site.manager.getActiveCount() + site.failures().length, 'under way or answered').to.equal(1);
     site.manager.tick(DEADLINE_MS + 1);
-    expect(site.manager.active()).to.equal(0);
+    expect(site.manager.getActiveCount()).to.equal(0);
   });
 
   it('heals: its back ends take work again once one of them answers a probe', () => {
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -167,7 +167,7 @@
       makeRecord('zone-b', 'near', 'decode'),
       makeRecord('zone-a', 'p', 'prefill'),
     );
-    for (const id of ['far', 'near']) site.kvIndex.addComputed(id, LONG, 100_000);
+    for (const id of ['far', 'near']) site.kvIndex.addComputedPrompt(id, LONG, 100_000);
     site.begin({ prompt: LONG });
     expect(site.starts()[0].copyFrom).to.equal('10.0.0.1:near');
   });
@@ -225,7 +225,7 @@
   it('a region that is cut off: it gets no requests and nothing is copied from it until contact is regained', () => {
     const far = ['f1', 'f2', 'f3'].map((id) => makeRecord('zone-c', id, 'decode'));
     const site = makeSite(makeRecord('zone-a', 'p', 'prefill'), makeRecord('zone-a', 'd', 'decode'), ...far);
-    site.kvIndex.addComputed('f3', LONG, 100_000);
+    site.kvIndex.addComputedPrompt('f3', LONG, 100_000);
     const checkRegions = () =>
       site.distance.setCutOff(findCutOffRegions(site.directory.all(), site.distance, CHECKED_AT_MS));
     const copyFrom = (id: string) => {
--- a/test/retry-allowance.test.ts
+++ b/test/retry-allowance.test.ts
@@ -28,7 +28,7 @@
           if (!repeat) {
             daemons[daemon].addRequest('s', now);
             requests.push(now);
-          } else if (daemons[daemon].tryRepeat('s', daemons.length, now)) repeats.push(now);
+          } else if (daemons[daemon].tryTakeRetry('s', daemons.length, now)) repeats.push(now);
         }
         for (const end of repeats) {
           const inside = (at: number): boolean => at > end - settings.windowMs && at <= end;
@@ -82,7 +82,7 @@
       if (now >= killAt) {
         killAt += killGapMs * (0.5 + random.next());
         for (const place of pickVictims()) {
-          while (place.life?.tryRepeat('s', daemons, now)) repeats.push(now);
+          while (place.life?.tryTakeRetry('s', daemons, now)) repeats.push(now);
           if (place.life) place.downUntil = now + downMs;
           place.life = undefined;
         }
@@ -96,7 +96,7 @@
         requests.push(now);
         life.addRequest('s', now);
         for (let wished = 0; failing && wished < 2; wished += 1)
-          if (life.tryRepeat('s', daemons, now)) repeats.push(now);
+          if (life.tryTakeRetry('s', daemons, now)) repeats.push(now);
       }
     }
     return { requests, repeats };
--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -44,7 +44,7 @@
         const last = versions.at(-1) ?? null;
         for (const digest of digests) {
           const owner = last?.find(({ keyDigests }) => keyDigests.includes(digest));
-          const caller = directory.identify(ROUTE, digest);
+          const caller = directory.findCaller(ROUTE, digest);
           if (last === null) expect(caller).to.deep.equal({ tenant: undefined });
           else expect(caller?.tenant?.name).to.equal(owner?.name);
         }
--- a/test/true-refusals.test.ts
+++ b/test/true-refusals.test.ts
@@ -116,7 +116,9 @@
     const [first] = site.starts();
     site.event({ kind: 'whole', status: 500 }, 10);
     expect(site.starts()).to.have.length(2);
-    expect(site.of('abortAttempt')).to.deep.equal([{ kind: 'abortAttempt', attemptId: first.attemptId }]);
+    expect(site.getEffects('abortAttempt')).to.deep.equal([
+      { kind: 'abortAttempt', attemptId: first.attemptId },
+    ]);
   });
 
   it('let go of a failure in place of the rest of a stream', () => {
@@ -129,6 +131,8 @@
     site.event({ kind: 'broken', reason: 'reset' }, 20);
     const [, second] = site.starts();
     site.event({ kind: 'whole', status: 500 }, 30);
-    expect(site.of('abortAttempt')).to.deep.equal([{ kind: 'abortAttempt', attemptId: second.attemptId }]);
+    expect(site.getEffects('abortAttempt')).to.deep.equal([
+      { kind: 'abortAttempt', attemptId: second.attemptId },
+    ]);
   });
 });
--- a/test/unequal-engines.test.ts
+++ b/test/unequal-engines.test.ts
@@ -90,7 +90,7 @@
 
   private sendEvent({ requestId, attemptId }: AttemptStart, event: ForwardAttemptEvent, at: number): void {
     this.now = Math.max(this.now, at);
-    this.site.manager.attemptEvent(requestId, attemptId, event, at);
+    this.site.manager.receiveAttemptEvent(requestId, attemptId, event, at);
   }
 }
 
