--- a/src/forwarding/permits/permit-manager.ts
+++ b/src/forwarding/permits/permit-manager.ts
@@ -144,7 +144,7 @@
 
   /// A message was received from another daemon, so it is running.
   onContact(fromId: string, now: number): void {
-    this.buckets.hear(fromId, now)
+    this.buckets.onContact(fromId, now)
   }
 
   /// Applies a message about permits.
@@ -156,7 +156,7 @@
   /// This process was paused until now: permits granted before are out of date.
   onProcessResumed(now: number): void {
     for (const view of this.states.keys()) view.permits = 0
-    this.buckets.resumeAfterPause(now)
+    this.buckets.onProcessResumed(now)
   }
 
   /// Advances timers.
