--- a/src/fleet/peer-exchange.ts
+++ b/src/fleet/peer-exchange.ts
@@ -64,8 +64,8 @@
 /// What goes along with the loads.
 interface ExchangedNews {
   readonly placements: PlacementExchange
-  readonly limits: Pick<BackendLimits, "getTold" | "applyTold">
-  readonly leaving: Pick<LeavingBackends, "getTold" | "applyTold">
+  readonly limits: Pick<BackendLimits, "getForPeers" | "applyFromPeer">
+  readonly leaving: Pick<LeavingBackends, "getForPeers" | "applyFromPeer">
 }
 
 /// A message to a peer.
