--- a/src/configuration/configuration-replica.ts
+++ b/src/configuration/configuration-replica.ts
@@ -136,7 +136,7 @@
    * The clock stood still for a time that it has not counted: what is known is older than it seems.
    * Milliseconds.
    */
-  resumeAfterSuspension(forMs: number): void {
+  onMachineSuspended(forMs: number): void {
     this.confirmedAt -= forMs;
     this.outageHeardAt -= forMs;
   }
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -133,7 +133,7 @@
         break;
       case 'clockStoodStill':
         this.machines.cells.resumeAfterSuspension(now);
-        this.machines.configuration.resumeAfterSuspension(event.forMs);
+        this.machines.configuration.onMachineSuspended(event.forMs);
         break;
       case 'peerMessage':
         this.receivePeer(event.fromId, event.fromAddress, event.message, now);
