--- a/src/allocation/stage-coordinator.ts
+++ b/src/allocation/stage-coordinator.ts
@@ -110,7 +110,7 @@
     this.setDue(situation.shouldLead && steps.length > 0, now);
     this.lease.tick(now, this.hasBeenDue(situation.patienceMs ?? 0, now));
     if (!situation.shouldLead) this.release(now);
-    const held = this.lease.current(now);
+    const held = this.lease.getHeldLease(now);
     if (!held || now < this.ordersFrom) return;
     for (let next = steps; next.length > 0; next = this.planSteps(situation, now))
       if (!next.some((step) => this.startChange(situation, step, now))) return;
@@ -145,7 +145,7 @@
 
   /** This process's clock stood still for a time that nobody here has counted. */
   resumeAfterSuspension(): void {
-    this.lease.resumeAfterSuspension();
+    this.lease.onMachineSuspended();
   }
 
   /** Gives the lease back, unless an order is on its way. */
@@ -162,7 +162,7 @@
   receiveStatus(backendId: string, status: EngineStatus | undefined, now: number): void {
     const pending = this.pending.get(backendId);
     if (!pending || pending.ordered) return;
-    const held = this.lease.current(now);
+    const held = this.lease.getHeldLease(now);
     if (!status || status.changing || status.stage === pending.stage || !held) {
       this.pending.delete(backendId);
       return;
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -86,7 +86,7 @@
 
   /** Revision of the configuration in force here; -1 before the first. */
   configurationRevision(): number {
-    return this.machines.configuration.revision();
+    return this.machines.configuration.getRevision();
   }
 
   /** Daemons in contact and daemons known, as the majority rule counts them. */
@@ -96,7 +96,7 @@
 
   /** Writes to the table still to be confirmed; a stopping process waits for them a while. */
   writesInHand(): number {
-    return this.machines.ledger.waiting();
+    return this.machines.ledger.countPending();
   }
 
   /** What `status` shows. */
@@ -110,7 +110,7 @@
       ready,
       draining: this.draining,
       reason,
-      configurationRevision: configuration.revision(),
+      configurationRevision: configuration.getRevision(),
       configurationAgeMs: freshness.kind === 'never' ? -1 : Math.round(freshness.ageMs),
       members: membership.all().map(({ id, address, zone, state }) => ({ id, address, zone, state })),
       engines: directory.summary(),
@@ -122,7 +122,7 @@
         applicationCalls: applications.active(),
       },
       roleChanges: cells.roleChanges(),
-      services: configuration.services(),
+      services: configuration.getServices(),
     };
   }
 
@@ -278,6 +278,6 @@
 
   private freshness(now: number): Freshness {
     const { configuration, membership } = this.machines;
-    return configuration.freshness(now, getPeerContact(membership, now));
+    return configuration.getFreshness(now, getPeerContact(membership, now));
   }
 }
--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -99,7 +99,7 @@
   const cellParts = { directory, membership, configuration, applications, demand };
   const cells = new CellManager(identity, settings, cellParts, emit);
   const editor = new ServiceEditor(createEditorSink(emit));
-  const freshness = (at: number): Freshness => configuration.freshness(at, getPeerContact(membership, at));
+  const freshness = (at: number): Freshness => configuration.getFreshness(at, getPeerContact(membership, at));
   const slots = limits.holder;
   const admissionParts = { configuration, slots, completions, applications, demand, freshness };
   const admission: Admission = new Admission(admissionParts, emit);
--- a/src/daemon/limit-manager.ts
+++ b/src/daemon/limit-manager.ts
@@ -40,26 +40,26 @@
     this.ownership = new SlotOwnership(identity.id, membership);
     this.owner = new SlotOwner(
       settings,
-      (service) => configuration.service(service),
+      (service) => configuration.getService(service),
       (effect) => this.send(effect.daemonId, effect.message),
       now,
     );
     this.holder = new SlotHolder(
       settings,
-      (service) => this.ownership.ownerOf(service),
+      (service) => this.ownership.getOwner(service),
       (effect) => this.onHolder(effect),
     );
   }
 
   /** Services whose limits are owned here, and slots in use, for status pages. */
-  getInUse(): ReturnType<SlotOwner['inUse']> {
-    return this.owner.inUse();
+  getInUse(): ReturnType<SlotOwner['getUsage']> {
+    return this.owner.getUsage();
   }
 
   /** Advances timers. */
   tick(now: number): void {
     this.owner.tick(now);
-    this.holder.tick(now, (id) => this.ownership.isUp(id));
+    this.holder.tick(now, (id) => this.ownership.isAlive(id));
   }
 
   /** Takes a message of another daemon, or of this one. */
@@ -81,13 +81,13 @@
 
   /** Takes that daemons have joined or left; `deadId` is one that is believed dead. */
   applyMembership(deadId: string | undefined, now: number): void {
-    this.owner.applyMembership(now);
-    if (deadId !== undefined) this.owner.removeDaemon(deadId);
+    this.owner.onMembershipChanged(now);
+    if (deadId !== undefined) this.owner.removeWaitingOf(deadId);
   }
 
   /** Tells the successors what is held by whom: this daemon leaves. */
   handOver(): void {
-    this.owner.handOver((service) => this.ownership.successorOf(service));
+    this.owner.handOver((service) => this.ownership.getSuccessor(service));
   }
 
   private send(daemonId: string, message: LimitMessage): void {
--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -241,7 +241,7 @@
     body: Uint8Array,
     now: number,
   ): void {
-    if (body.byteLength > MAXIMUM_RECORDED_BODY_BYTES) this.ledger.abandon(requestId);
+    if (body.byteLength > MAXIMUM_RECORDED_BODY_BYTES) this.ledger.abandonClaim(requestId);
     else
       this.ledger.recordOutcome(
         requestId,
@@ -268,7 +268,7 @@
   private settleClaim(session: CallSession, now: number): void {
     if (session.row.repeatable || session.stage === 'claiming') return;
     if (notRunOf(session) === 'true') this.ledger.releaseClaim(session.call.requestId, now);
-    else this.ledger.abandon(session.call.requestId);
+    else this.ledger.abandonClaim(session.call.requestId);
   }
 
   private fail(session: CallSession, error: PulleyledgeError): void {
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -41,7 +41,7 @@
   }
 
   holds(): boolean {
-    return this.lease.current(this.now()) !== undefined;
+    return this.lease.getHeldLease(this.now()) !== undefined;
   }
 
   private perform(effect: LeaseEffect): void {
@@ -100,7 +100,7 @@
     }
     expect(second.holds()).to.equal(true);
     expect(first.holds(), 'by its own clock alone').to.equal(true);
-    first.lease.resumeAfterSuspension();
+    first.lease.onMachineSuspended();
     expect(first.holds()).to.equal(false);
     first.holdsAnswers = false;
     first.takeAnswers();
@@ -126,7 +126,7 @@
     }
     second.behindMs += SUSPENDED_MS;
     now(SUSPENDED_MS);
-    second.lease.resumeAfterSuspension();
+    second.lease.onMachineSuspended();
     second.takeAnswers();
     expect(second.holds()).to.equal(false);
   });
