--- a/src/configuration/configuration-replica.ts
+++ b/src/configuration/configuration-replica.ts
@@ -73,7 +73,7 @@
 /** A pull without an answer for so many intervals of pulls is given up. */
 const PULL_TIMEOUT_INTERVALS = 1.5;
 /** A daemon that has no configuration yet pulls so many times as often. */
-const FIRST_PULLS_FACTOR = 8;
+const INITIAL_PULL_RATE_FACTOR = 8;
 /** Pulls without an answer after which a daemon that is no poller reads the table itself. */
 const UNANSWERED_PULLS_BEFORE_POLL = 2;
 /**
@@ -81,7 +81,7 @@
  * which it must have been in contact with peers to go on through an outage. Half leaves as long for the read
  * as went by before it.
  */
-const STALENESS_SHARE = 0.5;
+const FALLBACK_STALENESS_SHARE = 0.5;
 
 /** The configuration state machine of one daemon. Times are monotonic milliseconds. */
 export class ConfigurationReplica {
@@ -92,7 +92,7 @@
   private nextPullAt: number;
   private pollSentAt: number | undefined;
   private tableDownSince: number | undefined;
-  private outageHeardAt = -Infinity;
+  private outageConfirmedAt = -Infinity;
   private pullSequence = 0;
   private pull: { sequence: number; sentAt: number } | undefined;
   private unansweredPulls = 0;
@@ -138,7 +138,7 @@
    */
   onMachineSuspended(forMs: number): void {
     this.confirmedAt -= forMs;
-    this.outageHeardAt -= forMs;
+    this.outageConfirmedAt -= forMs;
   }
 
   /** How current the configuration is known to be. */
@@ -146,10 +146,11 @@
     if (this.currentRevision < 0) return { kind: 'never' };
     const ageMs = now - this.confirmedAt;
     if (ageMs <= this.settings.maximumStalenessMs) return { kind: 'confirmed', ageMs };
-    const outageKnown = now - this.outageHeardAt <= this.settings.maximumStalenessMs;
-    const inContact = now - contact.lastContactAt <= this.settings.maximumStalenessMs * STALENESS_SHARE;
-    const majority = contact.alive * 2 > contact.known;
-    return outageKnown && inContact && majority
+    const hasRecentOutage = now - this.outageConfirmedAt <= this.settings.maximumStalenessMs;
+    const hasPeerContact =
+      now - contact.lastContactAt <= this.settings.maximumStalenessMs * FALLBACK_STALENESS_SHARE;
+    const hasMajority = contact.alive * 2 > contact.known;
+    return hasRecentOutage && hasPeerContact && hasMajority
       ? { kind: 'majorityInOutage', ageMs }
       : { kind: 'stale', ageMs };
   }
@@ -157,12 +158,12 @@
   /** Advances timers. `members` are the active daemons, itself included. */
   tick(now: number, ownZone: string, members: readonly Member[]): void {
     const zoneMembers = members.filter((member) => member.zone === ownZone);
-    const pollers = this.pollersOf(zoneMembers);
+    const pollers = this.pickPollers(zoneMembers);
     const isPoller = pollers.some((member) => member.id === this.selfId);
-    const fallback =
-      now - this.confirmedAt > this.settings.maximumStalenessMs * STALENESS_SHARE ||
+    const needsFallbackPoll =
+      now - this.confirmedAt > this.settings.maximumStalenessMs * FALLBACK_STALENESS_SHARE ||
       this.unansweredPulls >= UNANSWERED_PULLS_BEFORE_POLL;
-    if ((isPoller || fallback) && now >= this.nextPollAt && this.pollSentAt === undefined)
+    if ((isPoller || needsFallbackPoll) && now >= this.nextPollAt && this.pollSentAt === undefined)
       this.pollTable(now);
     if (isPoller && !this.isTableDown()) return;
     // In an outage pollers ask whoever there is; a zone's only daemon asks those of other zones.
@@ -193,17 +194,17 @@
       this.nextPollAt = Math.max(this.nextPollAt, now + result.retryAfterMs);
     } else {
       this.tableDownSince ??= now;
-      this.outageHeardAt = Math.max(this.outageHeardAt, sentAt);
+      this.outageConfirmedAt = Math.max(this.outageConfirmedAt, sentAt);
     }
   }
 
   /** Takes a message from the replica at `address`. */
   receive(address: string, message: ConfigurationMessage, now: number): void {
-    if (message.kind === 'configurationPull') this.answerPull(address, message, now);
+    if (message.kind === 'configurationPull') this.sendRows(address, message, now);
     else this.receiveRows(message, now);
   }
 
-  private answerPull(
+  private sendRows(
     address: string,
     message: Extract<ConfigurationMessage, { kind: 'configurationPull' }>,
     now: number,
@@ -238,10 +239,10 @@
     this.apply(message.revision, message.rows);
     if (message.ageMs >= 0)
       this.confirmedAt = Math.max(this.confirmedAt, Math.min(now, sentAt - message.ageMs));
-    if (message.tableDown) this.outageHeardAt = Math.max(this.outageHeardAt, sentAt);
+    if (message.tableDown) this.outageConfirmedAt = Math.max(this.outageConfirmedAt, sentAt);
   }
 
-  private pollersOf(zoneMembers: readonly Member[]): Member[] {
+  private pickPollers(zoneMembers: readonly Member[]): Member[] {
     const ids = zoneMembers.map((member) => member.id);
     const chosen = new Set(rankByRendezvous('configuration-poller', ids, this.settings.pollersPerZone));
     return zoneMembers.filter((member) => chosen.has(member.id));
@@ -264,7 +265,7 @@
     this.nextPullAt =
       now +
       (this.currentRevision < 0
-        ? this.settings.pullIntervalMs / FIRST_PULLS_FACTOR
+        ? this.settings.pullIntervalMs / INITIAL_PULL_RATE_FACTOR
         : this.settings.pullIntervalMs);
     this.pullSequence += 1;
     this.pull = { sequence: this.pullSequence, sentAt: now };
--- a/src/lease/cell-lease.ts
+++ b/src/lease/cell-lease.ts
@@ -63,7 +63,7 @@
 /** Revision of a row that was never written. */
 const FIRST_REVISION = 0;
 /** A write without an answer is sent again after this share of `renewIntervalMs`. */
-const REPEAT_SHARE = 0.25;
+const RETRY_INTERVAL_SHARE = 0.25;
 
 /** The lease state machine of one daemon and one cell. */
 export class CellLease {
@@ -74,7 +74,7 @@
   private nextActionAt: number;
   private writeCount = 0;
   /** Epochs up to this one lapsed here: they are never taken up again, a new epoch is written instead. */
-  private lapsedThrough = 0;
+  private lastExpiredEpoch = 0;
   private readonly startedAt: number;
 
   constructor(
@@ -90,7 +90,7 @@
 
   /** The authority at time `now`, if any. Callers must ask before each order and must not keep the answer. */
   getHeldLease(now: number): HeldLease | undefined {
-    if (this.held && now >= this.held.validUntil) this.lose();
+    if (this.held && now >= this.held.validUntil) this.dropLease();
     return this.held;
   }
 
@@ -103,13 +103,13 @@
    * Advances timers. `shouldHold` says whether this daemon should hold the lease. It leaves one that has
    * become free to others for `patienceMs`.
    */
-  tick(now: number, shouldHold: boolean, patienceMs = 0): void {
+  tick(now: number, shouldHold: boolean, standbyDelayMs = 0): void {
     this.getHeldLease(now);
     if (this.requestInFlight || now < this.nextActionAt) return;
     this.nextActionAt = now + this.settings.renewIntervalMs;
     if (this.pendingWrite) this.sendWrite(this.pendingWrite);
     else if (this.held) this.renew(now);
-    else if (shouldHold && this.mayAcquire(now, patienceMs)) this.acquire(now);
+    else if (shouldHold && this.mayAcquire(now, standbyDelayMs)) this.acquire(now);
     else if (shouldHold) this.read();
   }
 
@@ -117,13 +117,13 @@
   release(now: number): void {
     if (!this.held || !this.observed || this.pendingWrite) return;
     const value: LeaseValue = { holder: '', epoch: this.held.epoch, durationMs: this.settings.durationMs };
-    this.lose();
+    this.dropLease();
     this.write(now, value);
   }
 
   /** Ends the authority here at once: somebody else was seen to have a later one. */
   onSuperseded(): void {
-    this.lose();
+    this.dropLease();
   }
 
   /**
@@ -131,8 +131,8 @@
    * another, and a write on its way counts from a moment that lies further back than it seems.
    */
   onMachineSuspended(): void {
-    this.lose();
-    this.lapsedThrough = Math.max(this.lapsedThrough, this.pendingWrite?.value.epoch ?? 0);
+    this.dropLease();
+    this.lastExpiredEpoch = Math.max(this.lastExpiredEpoch, this.pendingWrite?.value.epoch ?? 0);
   }
 
   /** Takes the answer to a `leaseTable` effect. */
@@ -140,11 +140,11 @@
     this.requestInFlight = false;
     switch (result.kind) {
       case 'committed':
-        this.writeSucceeded(result.revision, now);
+        this.onWriteCommitted(result.revision, now);
         break;
       case 'conflict':
         this.pendingWrite = undefined;
-        this.lose();
+        this.dropLease();
         this.observe(result.rows.find((row) => row.key === this.cell) ?? null, now);
         break;
       case 'row':
@@ -155,14 +155,17 @@
         break;
       case 'noAnswer':
         // The write may have taken effect; the same write id is sent again until the table answers.
-        this.nextActionAt = Math.min(this.nextActionAt, now + this.settings.renewIntervalMs * REPEAT_SHARE);
+        this.nextActionAt = Math.min(
+          this.nextActionAt,
+          now + this.settings.renewIntervalMs * RETRY_INTERVAL_SHARE,
+        );
         break;
       case 'changes':
         break;
     }
   }
 
-  private writeSucceeded(revision: number, now: number): void {
+  private onWriteCommitted(revision: number, now: number): void {
     const write = this.pendingWrite;
     if (!write) return;
     this.pendingWrite = undefined;
@@ -170,9 +173,9 @@
     if (write.value.holder !== this.selfId) return;
     const validUntil = write.firstSentAt + this.settings.durationMs - this.settings.marginMs;
     const renewed = this.held?.epoch === write.value.epoch;
-    const stillCounts = this.held !== undefined || write.value.epoch > this.lapsedThrough;
-    if (now >= validUntil || !stillCounts) {
-      this.lapsedThrough = Math.max(this.lapsedThrough, write.value.epoch);
+    const isStillValid = this.held !== undefined || write.value.epoch > this.lastExpiredEpoch;
+    if (now >= validUntil || !isStillValid) {
+      this.lastExpiredEpoch = Math.max(this.lastExpiredEpoch, write.value.epoch);
       this.nextActionAt = now;
       return;
     }
@@ -188,12 +191,12 @@
     if (!value || value.holder === '' || value.holder === this.selfId) this.nextActionAt = now;
   }
 
-  private mayAcquire(now: number, patienceMs: number): boolean {
+  private mayAcquire(now: number, standbyDelayMs: number): boolean {
     if (!this.observed) return false;
     const { value, since } = this.observed;
     if (!value || value.holder === this.selfId) return true;
     const freeFrom = value.holder === '' ? since : since + value.durationMs;
-    return now >= freeFrom + patienceMs;
+    return now >= freeFrom + standbyDelayMs;
   }
 
   private acquire(now: number): void {
@@ -231,11 +234,11 @@
     });
   }
 
-  private lose(): void {
+  private dropLease(): void {
     if (!this.held) return;
     const { epoch } = this.held;
     this.held = undefined;
-    this.lapsedThrough = Math.max(this.lapsedThrough, epoch);
+    this.lastExpiredEpoch = Math.max(this.lastExpiredEpoch, epoch);
     this.emit({ kind: 'leaseLost', cell: this.cell, epoch });
   }
 }
--- a/src/ledger/once-ledger.ts
+++ b/src/ledger/once-ledger.ts
@@ -65,8 +65,8 @@
 interface Batch {
   readonly writeId: string;
   readonly entries: readonly Entry[];
-  awaiting: boolean;
-  repeatAt: number;
+  isInFlight: boolean;
+  retryAt: number;
 }
 
 /** The ledger state machine of one daemon. Times are monotonic milliseconds. */
@@ -130,7 +130,7 @@
   tick(now: number): void {
     this.refuseOverdue(now);
     if (this.batch) {
-      if (!this.batch.awaiting && now >= this.batch.repeatAt) this.send(this.batch);
+      if (!this.batch.isInFlight && now >= this.batch.retryAt) this.send(this.batch);
     } else if (this.queue.length > 0) {
       this.startBatch();
     }
@@ -140,12 +140,12 @@
   receiveTableResult(result: TableResult, now: number): void {
     const batch = this.batch;
     if (!batch) return;
-    batch.awaiting = false;
+    batch.isInFlight = false;
     switch (result.kind) {
       case 'committed':
         this.unavailableSince = undefined;
         this.batch = undefined;
-        for (const entry of batch.entries) this.entryCommitted(entry, result.revision, now);
+        for (const entry of batch.entries) this.onEntryCommitted(entry, result.revision, now);
         break;
       case 'conflict':
         this.unavailableSince = undefined;
@@ -160,11 +160,11 @@
         );
         break;
       case 'rateLimited':
-        batch.repeatAt = now + result.retryAfterMs;
+        batch.retryAt = now + result.retryAfterMs;
         break;
       default:
         this.unavailableSince ??= now;
-        batch.repeatAt = now + this.settings.repeatIntervalMs;
+        batch.retryAt = now + this.settings.repeatIntervalMs;
         break;
     }
     this.tick(now);
@@ -176,28 +176,28 @@
   }
 
   private startBatch(): void {
-    const taken: Entry[] = [];
+    const selected: Entry[] = [];
     const keys = new Set<string>();
-    const left: Entry[] = [];
+    const remaining: Entry[] = [];
     for (const entry of this.queue) {
-      const fits = taken.length < this.settings.writesPerCommit && !keys.has(entry.key);
-      if (fits) taken.push(entry);
-      else left.push(entry);
+      const fits = selected.length < this.settings.writesPerCommit && !keys.has(entry.key);
+      if (fits) selected.push(entry);
+      else remaining.push(entry);
       keys.add(entry.key);
     }
-    this.queue = left;
+    this.queue = remaining;
     this.batchCount += 1;
     this.batch = {
       writeId: `ledger/${this.selfId}/${this.batchCount}`,
-      entries: taken,
-      awaiting: false,
-      repeatAt: 0,
+      entries: selected,
+      isInFlight: false,
+      retryAt: 0,
     };
     this.send(this.batch);
   }
 
   private send(batch: Batch): void {
-    batch.awaiting = true;
+    batch.isInFlight = true;
     const writes: TableWrite[] = batch.entries.map((entry) => ({
       table: 'claims',
       key: entry.key,
@@ -207,7 +207,7 @@
     this.emit({ kind: 'ledgerTable', request: { kind: 'commit', writeId: batch.writeId, writes } });
   }
 
-  private entryCommitted(entry: Entry, revision: number, now: number): void {
+  private onEntryCommitted(entry: Entry, revision: number, now: number): void {
     if (entry.action !== 'claim') return;
     const { key, claimId } = entry;
     this.claimRevisions.set(entry.requestId, { key, claimId, revision });
@@ -221,26 +221,26 @@
     rows: readonly { key: string; value: ClaimValue | null; revision: number }[],
   ): void {
     const byKey = new Map(rows.map((row) => [row.key, row]));
-    const again: Entry[] = [];
+    const retries: Entry[] = [];
     for (const entry of batch.entries) {
       const row = byKey.get(entry.key);
       if (!row) {
-        if (entry.isAwaited) again.push(entry);
+        if (entry.isAwaited) retries.push(entry);
       } else if (entry.action === 'claim' && row.value === null) {
         // The row was removed: claim over the tombstone.
-        if (entry.isAwaited) again.push({ ...entry, expectedRevision: row.revision });
+        if (entry.isAwaited) retries.push({ ...entry, expectedRevision: row.revision });
       } else if (entry.action === 'claim' && entry.isAwaited) {
         this.emit({ kind: 'claimTaken', requestId: entry.requestId, outcome: row.value?.outcome });
       }
     }
-    this.queue = [...again, ...this.queue];
+    this.queue = [...retries, ...this.queue];
   }
 
   private refuseOverdue(now: number): void {
-    const overdue = (entry: Entry): boolean =>
+    const isOverdue = (entry: Entry): boolean =>
       entry.action === 'claim' && entry.isAwaited && now - entry.queuedAt > this.settings.claimTimeoutMs;
     for (const entry of [...this.queue, ...(this.batch?.entries ?? [])]) {
-      if (!overdue(entry)) continue;
+      if (!isOverdue(entry)) continue;
       entry.isAwaited = false;
       this.emit({
         kind: 'claimUnavailable',
--- a/src/limits/slot-holder.ts
+++ b/src/limits/slot-holder.ts
@@ -15,19 +15,19 @@
   /** The owner did not answer in time. */
   | { readonly kind: 'slotTimedOut'; readonly requestId: string };
 
-interface Pending {
+interface PendingRequest {
   readonly requestId: string;
   readonly service: string;
   readonly token: number;
   owner: string;
   sentAt: number;
   /** When the owner was last known to be there: by a message, or by the start of the wait. */
-  heardAt: number;
+  lastContactAt: number;
 }
 
 /** The holder state machine of one daemon. Times are monotonic milliseconds. */
 export class SlotHolder {
-  private readonly pending = new Map<number, Pending>();
+  private readonly pending = new Map<number, PendingRequest>();
   private readonly held = new Map<string, number>();
   private readonly releases = new Map<string, number>();
   private nextToken = 0;
@@ -35,7 +35,7 @@
 
   constructor(
     private readonly settings: LimitSettings,
-    private readonly ownerOf: (service: string) => string | undefined,
+    private readonly getOwner: (service: string) => string | undefined,
     private readonly emit: EffectSink<HolderEffect>,
   ) {}
 
@@ -51,7 +51,7 @@
 
   /** Asks for a slot; the answer comes as an effect. */
   acquire(requestId: string, service: string, now: number): void {
-    const owner = this.ownerOf(service);
+    const owner = this.getOwner(service);
     if (owner === undefined) {
       this.emit({ kind: 'slotTimedOut', requestId });
       return;
@@ -63,7 +63,7 @@
       token: this.nextToken,
       owner,
       sentAt: now,
-      heardAt: now,
+      lastContactAt: now,
     });
     this.emit({
       kind: 'sendLimit',
@@ -115,43 +115,47 @@
   }
 
   /** Sends releases and renewals, moves waiting requests to new owners, and ends the wait for silent ones. */
-  tick(now: number, ownerIsUp: (daemonId: string) => boolean): void {
-    this.flushReleases();
+  tick(now: number, isOwnerAlive: (daemonId: string) => boolean): void {
+    this.sendReleases();
     if (now >= this.nextRenewAt) {
       this.nextRenewAt = now + this.settings.renewIntervalMs;
-      this.renew();
+      this.sendRenewals();
     }
-    for (const pending of [...this.pending.values()]) this.checkPending(pending, now, ownerIsUp);
+    for (const pending of [...this.pending.values()]) this.checkPending(pending, now, isOwnerAlive);
   }
 
-  private checkPending(pending: Pending, now: number, ownerIsUp: (daemonId: string) => boolean): void {
-    const owner = this.ownerOf(pending.service);
+  private checkPending(
+    pending: PendingRequest,
+    now: number,
+    isOwnerAlive: (daemonId: string) => boolean,
+  ): void {
+    const owner = this.getOwner(pending.service);
     if (owner !== undefined && owner !== pending.owner) {
       pending.owner = owner;
-      pending.heardAt = now;
+      pending.lastContactAt = now;
       const message: LimitMessage = { kind: 'slotRequest', service: pending.service, token: pending.token };
       this.emit({ kind: 'sendLimit', daemonId: owner, message });
       return;
     }
-    if (ownerIsUp(pending.owner)) pending.heardAt = now;
-    if (now - pending.heardAt <= this.settings.ownerTimeoutMs) return;
+    if (isOwnerAlive(pending.owner)) pending.lastContactAt = now;
+    if (now - pending.lastContactAt <= this.settings.ownerTimeoutMs) return;
     this.pending.delete(pending.token);
     this.emit({ kind: 'slotTimedOut', requestId: pending.requestId });
   }
 
-  private flushReleases(): void {
+  private sendReleases(): void {
     this.sendByOwner([...this.releases], 'slotRelease');
     this.releases.clear();
   }
 
-  private renew(): void {
+  private sendRenewals(): void {
     this.sendByOwner([...this.held], 'slotRenew');
   }
 
   private sendByOwner(slots: readonly HeldSlots[], kind: 'slotRelease' | 'slotRenew'): void {
     const byOwner = new Map<string, HeldSlots[]>();
     for (const slot of slots) {
-      const owner = this.ownerOf(slot[0]);
+      const owner = this.getOwner(slot[0]);
       if (owner === undefined) continue;
       const list = byOwner.get(owner);
       if (list) list.push(slot);
--- a/src/limits/slot-owner.ts
+++ b/src/limits/slot-owner.ts
@@ -22,22 +22,22 @@
   readonly message: LimitMessage;
 }
 
-interface Holding {
+interface HeldCount {
   count: number;
   expiresAt: number;
 }
 
-interface Waiting {
+interface QueuedRequest {
   readonly daemonId: string;
   readonly token: number;
 }
 
 interface OwnedService {
-  readonly holders: Map<string, Holding>;
-  readonly queue: Waiting[];
+  readonly holders: Map<string, HeldCount>;
+  readonly queue: QueuedRequest[];
   /** No grants before this time. */
-  grantsFrom: number;
-  completedSince: number;
+  grantsStartAt: number;
+  completedCountedSince: number;
   completed: number;
 }
 
@@ -47,7 +47,7 @@
 
   constructor(
     private readonly settings: LimitSettings,
-    private readonly limitsOf: (service: string) => ServiceLimits | undefined,
+    private readonly getLimits: (service: string) => ServiceLimits | undefined,
     private readonly emit: EffectSink<OwnerEffect>,
     /**
      * When this daemon started to take part; services first seen within a lease of it may have had another
@@ -60,7 +60,7 @@
   getUsage(): { service: string; held: number; waiting: number }[] {
     return [...this.services].map(([service, owned]) => ({
       service,
-      held: heldCount(owned),
+      held: countHeldSlots(owned),
       waiting: owned.queue.length,
     }));
   }
@@ -76,19 +76,19 @@
   receive(fromId: string, message: LimitMessage, now: number): void {
     switch (message.kind) {
       case 'slotRequest':
-        this.request(fromId, message.service, message.token, now);
+        this.receiveRequest(fromId, message.service, message.token, now);
         break;
       case 'slotCancel':
-        this.cancel(fromId, message.service, message.token);
+        this.removeRequest(fromId, message.service, message.token);
         break;
       case 'slotRelease':
-        for (const [service, count] of message.held) this.release(fromId, service, count, now);
+        for (const [service, count] of message.held) this.applyRelease(fromId, service, count, now);
         break;
       case 'slotRenew':
-        this.renew(fromId, message.held, now);
+        this.applyRenewal(fromId, message.held, now);
         break;
       case 'slotHandover':
-        this.takeOver(message.service, message.holders, now);
+        this.applyHandover(message.service, message.holders, now);
         break;
       case 'slotGrant':
       case 'slotRefuse':
@@ -104,7 +104,7 @@
       }
       this.grantWaiting(service, owned, now);
       const idle = owned.holders.size === 0 && owned.queue.length === 0;
-      if (idle && now > owned.grantsFrom + this.settings.slotLeaseMs) this.services.delete(service);
+      if (idle && now > owned.grantsStartAt + this.settings.slotLeaseMs) this.services.delete(service);
     }
   }
 
@@ -132,24 +132,24 @@
     this.services.clear();
   }
 
-  private owned(service: string, now: number): OwnedService {
+  private getService(service: string, now: number): OwnedService {
     const known = this.services.get(service);
     if (known) return known;
-    const grantsFrom = Math.min(now, this.ownershipChangedAt) + this.settings.slotLeaseMs;
+    const grantsStartAt = Math.min(now, this.ownershipChangedAt) + this.settings.slotLeaseMs;
     const owned: OwnedService = {
       holders: new Map(),
       queue: [],
-      grantsFrom,
-      completedSince: now,
+      grantsStartAt,
+      completedCountedSince: now,
       completed: 0,
     };
     this.services.set(service, owned);
     return owned;
   }
 
-  private request(daemonId: string, service: string, token: number, now: number): void {
-    const limits = this.limitsOf(service);
-    const owned = this.owned(service, now);
+  private receiveRequest(daemonId: string, service: string, token: number, now: number): void {
+    const limits = this.getLimits(service);
+    const owned = this.getService(service, now);
     if (!limits) {
       this.refuse(daemonId, service, token, MAXIMUM_SLOT_LINE_RETRY_AFTER_MS);
       return;
@@ -159,7 +159,7 @@
       return;
     }
     if (owned.queue.length >= limits.maximumWaiting) {
-      const elapsedMs = now - owned.completedSince;
+      const elapsedMs = now - owned.completedCountedSince;
       const retryAfterMs = getSlotLineRetryAfterMs(owned.queue.length, owned.completed, elapsedMs);
       this.refuse(daemonId, service, token, retryAfterMs);
       return;
@@ -168,7 +168,7 @@
   }
 
   private mayGrant(owned: OwnedService, limits: ServiceLimits, now: number): boolean {
-    return now >= owned.grantsFrom && heldCount(owned) < limits.maximumConcurrency;
+    return now >= owned.grantsStartAt && countHeldSlots(owned) < limits.maximumConcurrency;
   }
 
   private grant(daemonId: string, service: string, token: number, owned: OwnedService, now: number): void {
@@ -183,14 +183,14 @@
     this.emit({ kind: 'sendLimit', daemonId, message: { kind: 'slotRefuse', service, token, retryAfterMs } });
   }
 
-  private cancel(daemonId: string, service: string, token: number): void {
+  private removeRequest(daemonId: string, service: string, token: number): void {
     const queue = this.services.get(service)?.queue;
     const index =
       queue?.findIndex((waiting) => waiting.daemonId === daemonId && waiting.token === token) ?? -1;
     if (index >= 0) queue?.splice(index, 1);
   }
 
-  private release(daemonId: string, service: string, count: number, now: number): void {
+  private applyRelease(daemonId: string, service: string, count: number, now: number): void {
     const owned = this.services.get(service);
     const holding = owned?.holders.get(daemonId);
     if (!owned || !holding) return;
@@ -200,17 +200,17 @@
   }
 
   private grantWaiting(service: string, owned: OwnedService, now: number): void {
-    const limits = this.limitsOf(service);
+    const limits = this.getLimits(service);
     while (limits && owned.queue.length > 0 && this.mayGrant(owned, limits, now)) {
-      const next = owned.queue.shift() as Waiting;
+      const next = owned.queue.shift() as QueuedRequest;
       this.grant(next.daemonId, service, next.token, owned, now);
     }
   }
 
   /** A renewal is believed even over the limit: the requests do run. */
-  private renew(daemonId: string, held: readonly HeldSlots[], now: number): void {
+  private applyRenewal(daemonId: string, held: readonly HeldSlots[], now: number): void {
     for (const [service, count] of held) {
-      const owned = this.owned(service, now);
+      const owned = this.getService(service, now);
       const holding = owned.holders.get(daemonId) ?? { count: 0, expiresAt: 0 };
       holding.count = Math.max(holding.count, count);
       holding.expiresAt = now + this.settings.slotLeaseMs;
@@ -218,8 +218,8 @@
     }
   }
 
-  private takeOver(service: string, holders: readonly (readonly [string, number])[], now: number): void {
-    const owned = this.owned(service, now);
+  private applyHandover(service: string, holders: readonly (readonly [string, number])[], now: number): void {
+    const owned = this.getService(service, now);
     for (const [daemonId, count] of holders) {
       const known = owned.holders.get(daemonId)?.count ?? 0;
       owned.holders.set(daemonId, {
@@ -227,11 +227,11 @@
         expiresAt: now + this.settings.slotLeaseMs,
       });
     }
-    owned.grantsFrom = now;
+    owned.grantsStartAt = now;
   }
 }
 
-function heldCount(owned: OwnedService): number {
+function countHeldSlots(owned: OwnedService): number {
   let total = 0;
   for (const holding of owned.holders.values()) total += holding.count;
   return total;
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -15,7 +15,7 @@
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'must be 1 to 63 lower-case letters, digits and hyphens');
 
 /** Every tunable of a part becomes an optional key of the same name with the part's default. */
-function tunables<Part extends object>(defaults: Part): z.ZodType<Part> {
+function createTunablesSchema<Part extends object>(defaults: Part): z.ZodType<Part> {
   const shape: Record<string, z.ZodType> = {};
   for (const [key, value] of Object.entries(defaults)) {
     if (typeof value === 'number') shape[key] = z.number().min(0).default(value);
@@ -61,17 +61,17 @@
     drainTimeoutMs: z.number().min(0).default(600_000),
     /** Interval of the state machine's timers. Milliseconds. Default: 50. */
     tickIntervalMs: z.number().min(1).default(50),
-    membership: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.membership),
-    configuration: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.configuration),
-    lease: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.lease),
-    coordinator: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.coordinator),
-    allocation: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.allocation),
-    limits: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.limits),
-    ledger: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.ledger),
-    completion: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.completion),
-    directory: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.directory),
-    picker: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.picker),
-    cells: tunables(DEFAULT_COMPLETION_DAEMON_SETTINGS.cells),
+    membership: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.membership),
+    configuration: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.configuration),
+    lease: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.lease),
+    coordinator: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.coordinator),
+    allocation: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.allocation),
+    limits: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.limits),
+    ledger: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.ledger),
+    completion: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.completion),
+    directory: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.directory),
+    picker: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.picker),
+    cells: createTunablesSchema(DEFAULT_COMPLETION_DAEMON_SETTINGS.cells),
   })
   .strict();
 
@@ -119,12 +119,12 @@
   if (equals <= 0) throw new SettingsError(override, 'an override has the form key=value');
   const path = override.slice(0, equals).split('.');
   const last = path.pop() as string;
-  let place = target;
+  let parent = target;
   for (const key of path) {
-    const next = (place[key] ??= {});
+    const next = (parent[key] ??= {});
     if (typeof next !== 'object' || next === null)
       throw new SettingsError(override, `"${key}" holds no keys`);
-    place = next as Record<string, unknown>;
+    parent = next as Record<string, unknown>;
   }
-  place[last] = parseYaml(override.slice(equals + 1)) as unknown;
+  parent[last] = parseYaml(override.slice(equals + 1)) as unknown;
 }
--- a/src/shared/rendezvous-hash.ts
+++ b/src/shared/rendezvous-hash.ts
@@ -10,16 +10,16 @@
 }
 
 /** Hashes of texts that were ranked before; ranking hashes the same few hundred ids over and over. */
-const knownHashes = new Map<string, number>();
+const hashCache = new Map<string, number>();
 /** Texts remembered at most: daemons, engines and keys of a large fleet several times over. */
-const MAXIMUM_KNOWN_HASHES = 8192;
+const MAXIMUM_CACHED_HASHES = 8192;
 
-function hashOnce(text: string): number {
-  const known = knownHashes.get(text);
+function getCachedHash(text: string): number {
+  const known = hashCache.get(text);
   if (known !== undefined) return known;
-  if (knownHashes.size >= MAXIMUM_KNOWN_HASHES) knownHashes.clear();
+  if (hashCache.size >= MAXIMUM_CACHED_HASHES) hashCache.clear();
   const hash = hashText(text);
-  knownHashes.set(text, hash);
+  hashCache.set(text, hash);
   return hash;
 }
 
@@ -27,7 +27,7 @@
  * How well a candidate suits a key: both hashes through the finalizer of MurmurHash3, which mixes every bit.
  */
 function getRendezvousScore(key: string, candidate: string): number {
-  let mixed = hashOnce(key) ^ hashOnce(candidate);
+  let mixed = getCachedHash(key) ^ getCachedHash(candidate);
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
   mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35);
   return (mixed ^ (mixed >>> 16)) >>> 0;
@@ -45,13 +45,13 @@
  * sorting.
  */
 export function getRendezvousRank(key: string, candidates: readonly string[], self: string): number {
-  const own = getRendezvousScore(key, self);
-  let place = 0;
+  const selfScore = getRendezvousScore(key, self);
+  let rank = 0;
   for (const candidate of candidates) {
     const score = getRendezvousScore(key, candidate);
-    if (score > own || (score === own && candidate < self)) place += 1;
+    if (score > selfScore || (score === selfScore && candidate < self)) rank += 1;
   }
-  return place;
+  return rank;
 }
 
 /** The best candidate for `key`, or undefined when there is none. Linear, without sorting. */
--- a/src/shared/suspension-watch.ts
+++ b/src/shared/suspension-watch.ts
@@ -9,7 +9,7 @@
  * The time of day gets ahead of the steady clock by so much only when the machine stood still or was set.
  * Milliseconds.
  */
-const NOTICEABLE_MS = 250;
+const DETECTION_THRESHOLD_MS = 250;
 
 /** The watch of one process. */
 export class SuspensionWatch {
@@ -23,6 +23,6 @@
     const offsetMs = wallMs - steadyMs;
     const gainedMs = offsetMs - (this.offsetMs ?? offsetMs);
     this.offsetMs = offsetMs;
-    return gainedMs > NOTICEABLE_MS ? gainedMs : 0;
+    return gainedMs > DETECTION_THRESHOLD_MS ? gainedMs : 0;
   }
 }
--- a/src/shared/table.ts
+++ b/src/shared/table.ts
@@ -1,7 +1,7 @@
 /** Plain tables for the terminal. */
 import Table from 'cli-table3';
 
-const BORDERLESS = {
+const BORDERLESS_CHARACTERS = {
   top: '',
   'top-mid': '',
   'top-left': '',
@@ -26,7 +26,7 @@
 ): string {
   const table = new Table({
     head: [...header],
-    chars: BORDERLESS,
+    chars: BORDERLESS_CHARACTERS,
     style: { head: [], border: [], 'padding-left': 0, 'padding-right': 0 },
   });
   for (const row of rows) table.push([...row]);
