--- a/src/configuration/configuration-replica.ts
+++ b/src/configuration/configuration-replica.ts
@@ -1,7 +1,7 @@
 /**
- * The replica of the service table that each daemon keeps. A few daemons a zone poll the table; the others
- * pull from them. Rows only move forward in revision. The replica knows how long ago its contents were
- * certainly current, by its own clock, and says when a daemon must not admit on them.
+ * The replica of the service table that each daemon keeps. A few daemons per zone poll the table; the others
+ * pull from these. The revision of a row never decreases. The replica tracks when its contents were last known
+ * to be current, by its own clock, and tells when a daemon must not admit requests on them.
  */
 import { rankByRendezvous } from '../shared/rendezvous-hash.js';
 import type { EffectSink } from '../shared/effect-sink.js';
@@ -9,15 +9,15 @@
 import type { Member } from '../membership/membership-messages.js';
 import { serviceRowSchema, type ServiceRow, type VersionedRow } from './service-row.js';
 
-/** Durations and counts of configuration spread. */
+/** Settings of the distribution of the configuration. */
 export interface ConfigurationSettings {
-  /** Interval of a poller's reads of the table. Milliseconds. Default 1000. */
+  /** Interval at which a poller reads the table. Milliseconds. Default 1000. */
   readonly pollIntervalMs: number;
-  /** Interval of the other daemons' pulls from a poller. Milliseconds. Default 3000. */
+  /** Interval at which the other daemons pull from a poller. Milliseconds. Default 3000. */
   readonly pullIntervalMs: number;
-  /** Daemons of a zone that poll the table. Default 5. */
+  /** Number of daemons per zone that poll the table. Default 5. */
   readonly pollersPerZone: number;
-  /** A configuration confirmed longer ago than this is not admitted on. Milliseconds. Default 10000. */
+  /** Maximum age of a configuration on which requests are admitted. Milliseconds. Default 10000. */
   readonly maximumStalenessMs: number;
 }
 
@@ -29,7 +29,7 @@
   maximumStalenessMs: 10_000,
 };
 
-/** A row in the short form that travels. */
+/** A row in the compact form of the messages. */
 type RowUpdate = readonly [name: string, revision: number, row: ServiceRow | null];
 
 /** Messages between replicas. */
@@ -39,47 +39,48 @@
       readonly kind: 'configurationRows';
       readonly sequence: number;
       readonly revision: number;
-      /** How long before the answer the revision was certainly current. Milliseconds; -1 for never. */
+      /** Time since the revision was last known to be current. Milliseconds; -1 when it never was. */
       readonly ageMs: number;
-      /** Whether the sender's own last read of the table failed. */
+      /** Whether the sender's last read of the table failed. */
       readonly tableDown: boolean;
       readonly rows: readonly RowUpdate[];
     };
 
-/** What the replica asks its runner to do. */
+/** Effects of the replica, for the caller to perform. */
 type ConfigurationEffect =
   | { readonly kind: 'sendConfiguration'; readonly address: string; readonly message: ConfigurationMessage }
   | { readonly kind: 'readTable'; readonly request: TableRequest }
   | { readonly kind: 'configurationChanged'; readonly revision: number };
 
-/** The daemon's contact with its peers, as membership sees it. */
+/** The daemon's contact with its peers according to the membership. */
 export interface PeerContact {
   readonly alive: number;
   readonly known: number;
-  /** When a probe was last answered, or the present time for a daemon without peers. */
+  /** When a peer last answered a probe; the current time for a daemon without peers. */
   readonly lastContactAt: number;
 }
 
-/** Why a daemon may or may not admit on its configuration. */
+/** Whether and why a daemon may admit requests on its configuration: on the first two kinds it may. */
 export type Freshness =
   | { readonly kind: 'confirmed'; readonly ageMs: number }
   /**
-   * The table is down for everybody in contact, and a majority is: no edit can have been accepted elsewhere.
+   * No daemon in contact can read the table, and a majority is in contact: no edit can have been accepted
+   * elsewhere.
    */
   | { readonly kind: 'majorityInOutage'; readonly ageMs: number }
   | { readonly kind: 'stale'; readonly ageMs: number }
   | { readonly kind: 'never' };
 
-/** A pull without an answer for so many intervals of pulls is given up. */
+/** A pull times out after this number of pull intervals. */
 const PULL_TIMEOUT_INTERVALS = 1.5;
-/** A daemon that has no configuration yet pulls so many times as often. */
+/** A daemon without a configuration pulls this many times as often. */
 const INITIAL_PULL_RATE_FACTOR = 8;
-/** Pulls without an answer after which a daemon that is no poller reads the table itself. */
+/** Number of unanswered pulls after which a daemon that is not a poller reads the table itself. */
 const UNANSWERED_PULLS_BEFORE_POLL = 2;
 /**
- * Share of `maximumStalenessMs` after which a daemon that is no poller reads the table itself, and within
- * which it must have been in contact with peers to go on through an outage. Half leaves as long for the read
- * as went by before it.
+ * Share of `maximumStalenessMs` after which a daemon that is not a poller reads the table itself, and within
+ * which it must have been in contact with peers to continue through an outage. Half leaves as much time for
+ * the read as passed before it.
  */
 const FALLBACK_STALENESS_SHARE = 0.5;
 
@@ -107,17 +108,17 @@
     this.nextPullAt = now;
   }
 
-  /** The revision in force here; -1 before the first. */
+  /** The revision in force at this daemon; -1 before the first one. */
   getRevision(): number {
     return this.currentRevision;
   }
 
-  /** The row of a service, if the configuration in force has it. */
+  /** The row of a service; undefined when the configuration in force has none. */
   getService(name: string): ServiceRow | undefined {
     return this.rows.get(name)?.row ?? undefined;
   }
 
-  /** A row with its revision. */
+  /** The row of a service with its revision, also when the row was deleted. */
   getVersioned(name: string): VersionedRow | undefined {
     return this.rows.get(name);
   }
@@ -133,8 +134,8 @@
   }
 
   /**
-   * The clock stood still for a time that it has not counted: what is known is older than it seems.
-   * Milliseconds.
+   * The machine was suspended for a time that the monotonic clock did not count: increases the age of the
+   * contents by `forMs` milliseconds.
    */
   onMachineSuspended(forMs: number): void {
     this.confirmedAt -= forMs;
@@ -155,7 +156,7 @@
       : { kind: 'stale', ageMs };
   }
 
-  /** Advances timers. `members` are the active daemons, itself included. */
+  /** Advances timers. `members` are the active daemons, including this one. */
   tick(now: number, ownZone: string, members: readonly Member[]): void {
     const zoneMembers = members.filter((member) => member.zone === ownZone);
     const pollers = this.pickPollers(zoneMembers);
@@ -166,7 +167,7 @@
     if ((isPoller || needsFallbackPoll) && now >= this.nextPollAt && this.pollSentAt === undefined)
       this.pollTable(now);
     if (isPoller && !this.isTableDown()) return;
-    // In an outage pollers ask whoever there is; a zone's only daemon asks those of other zones.
+    // In an outage pollers pull from any daemon of the zone; a zone's only daemon pulls from other zones.
     const others = (list: readonly Member[]): Member[] => list.filter((member) => member.id !== this.selfId);
     const sources = [isPoller ? zoneMembers : pollers, zoneMembers, members]
       .map(others)
@@ -174,12 +175,12 @@
     if (sources) this.pullFromPeer(now, sources);
   }
 
-  /** Reads the table as soon as the next tick, after an edit was accepted here. */
+  /** Polls the table at the next tick, after this daemon has accepted an edit. */
   pollSoon(): void {
     this.nextPollAt = 0;
   }
 
-  /** Takes the answer to a `readTable` effect. */
+  /** Handles the result of a `readTable` effect. */
   receiveTableResult(result: TableResult, now: number): void {
     const sentAt = this.pollSentAt ?? now;
     this.pollSentAt = undefined;
@@ -198,7 +199,7 @@
     }
   }
 
-  /** Takes a message from the replica at `address`. */
+  /** Handles a message from the replica at `address`. */
   receive(address: string, message: ConfigurationMessage, now: number): void {
     if (message.kind === 'configurationPull') this.sendRows(address, message, now);
     else this.receiveRows(message, now);
@@ -229,7 +230,7 @@
     now: number,
   ): void {
     if (this.pull?.sequence !== message.sequence) {
-      // An answer to an older pull: its rows are good, its age cannot be placed on this clock.
+      // An answer to an older pull: its rows are valid, but its age cannot be mapped to the local clock.
       this.apply(message.revision, message.rows);
       return;
     }
@@ -278,7 +279,7 @@
     this.emit({ kind: 'sendConfiguration', address: sources[index].address, message });
   }
 
-  /** The one place where rows change. A row is replaced only by one of a higher revision. */
+  /** The only method that changes rows. A row is replaced only by one of a higher revision. */
   private apply(revision: number, updates: readonly RowUpdate[]): void {
     let changed = false;
     for (const [name, rowRevision, row] of updates) {
@@ -301,7 +302,7 @@
   return sum % 1024;
 }
 
-/** A row that does not parse is treated as deleted: it cannot be served, and it must not stop the others. */
+/** An invalid row is treated as deleted: it cannot be served, and it must not block the other rows. */
 function toRowUpdate(name: string, revision: number, value: unknown): RowUpdate {
   if (value === null) return [name, revision, null];
   const parsed = serviceRowSchema.safeParse(value);
--- a/src/configuration/service-csv.ts
+++ b/src/configuration/service-csv.ts
@@ -1,6 +1,6 @@
 /**
- * The service table as CSV, as a spreadsheet reads and writes it. Owns the form of the cells; what a row may
- * hold is checked by service-row.ts.
+ * Reads and writes the service table as CSV for spreadsheets. Owns the text format of the cells; the values of
+ * a row are checked by service-row.ts.
  */
 import { parse } from 'csv-parse/sync';
 import { stringify } from 'csv-stringify/sync';
@@ -26,13 +26,13 @@
 ]);
 const REVISION_COLUMN = 'revision';
 
-/** A row read from a spreadsheet with the revision that the operator last saw; 0 for a new row. */
+/** A row read from CSV with the revision that the operator last saw; 0 for a new row. */
 interface ImportedRow {
   readonly row: ServiceRow;
   readonly expectedRevision: number;
 }
 
-/** Writes rows as CSV with a header line; the last column is the row's revision. */
+/** Formats rows as CSV with a header line; the last column is the row's revision. Deleted rows are left out. */
 export function formatServicesCsv(rows: readonly VersionedRow[]): string {
   const records = rows
     .filter((entry) => entry.row !== null)
@@ -45,8 +45,8 @@
 }
 
 /**
- * Turns the text of one cell into the column's type.
- * @throws RowInvalidError when the text is not of that type.
+ * Parses the text of one cell as the column's type.
+ * @throws RowInvalidError when the column is unknown or the text is not of its type.
  */
 export function parseCell(rowName: string, column: string, text: string): unknown {
   const allowed = COLUMN_RANGES[column as keyof ServiceRow];
@@ -65,8 +65,8 @@
 }
 
 /**
- * Reads CSV. Empty cells take the column's default; the whole text is refused at the first bad row.
- * @throws ValidationError when the text is not CSV; RowInvalidError for a bad cell.
+ * Parses CSV. Empty cells take the column's default; the whole text is rejected at the first invalid row.
+ * @throws ValidationError when the text is not CSV; RowInvalidError for an invalid cell or a repeated name.
  */
 export function parseServicesCsv(text: string): ImportedRow[] {
   let records: Record<string, string>[];
@@ -83,7 +83,7 @@
         imported.row.name,
         'name',
         imported.row.name,
-        'a name that stands once in the file',
+        'a name that occurs only once in the file',
       );
     }
     seen.add(imported.row.name);
--- a/src/configuration/service-row.ts
+++ b/src/configuration/service-row.ts
@@ -1,22 +1,22 @@
 /**
- * A row of the service table: what operators edit, one row a service. Owns the schema of the rows, which are
- * stored in the platform's table: names of columns stay, and a new one needs a default.
+ * A row of the service table, which operators edit: one row per service. Owns the schema of the rows. They are
+ * stored in the platform's table, so column names must not change and a new column needs a default.
  */
 import * as z from 'zod';
 import { RowInvalidError } from '../errors/index.js';
 
-/** Largest weight of a service against others. */
+/** Maximum weight of a service relative to others. */
 const MAXIMUM_WEIGHT = 1000;
-/** Most requests of a service that may run at once. */
+/** Maximum number of requests of a service that may run at once. */
 const MAXIMUM_CONCURRENCY = 100_000;
-/** Most requests of a service that may wait for a slot. */
+/** Maximum number of requests of a service that may wait for a slot. */
 const MAXIMUM_WAITING = 1_000_000;
-/** Longest duration in a row: an hour. Milliseconds. */
+/** Maximum duration in a row, one hour. Milliseconds. */
 const MAXIMUM_DURATION_MS = 3_600_000;
-/** Names have the form of a label of a host name: 63 characters at most. */
+/** Names have the form of a host name label: at most 63 characters. */
 const NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
-/** The allowed values of each column in words, for error messages and `services columns`. */
+/** Descriptions of the allowed values of each column, for error messages and `services columns`. */
 export const COLUMN_RANGES: Readonly<Record<keyof ServiceRow, string>> = {
   name: 'a name of 1 to 63 lower-case letters, digits and hyphens',
   kind: 'one of: completion, application',
@@ -36,36 +36,36 @@
 
 const optionalName = z.union([z.literal(''), z.string().regex(NAME_PATTERN)]);
 
-/** The checked form of a row. Defaults are those of a new service. */
+/** The schema of a row. The defaults are those of a new service. */
 export const serviceRowSchema = z
   .object({
-    /** The service's name; callers send it as the model name. */
+    /** Name of the service; callers send it as the model name. */
     name: z.string().regex(NAME_PATTERN),
     /** Whether calls go to model engines or to application servers. */
     kind: z.enum(['completion', 'application']).default('completion'),
     /** Base model. Empty for an application. */
     model: optionalName.default(''),
-    /** Adapter on top of the model. Empty for none. */
+    /** Adapter applied to the model. Empty for none. */
     adapter: optionalName.default(''),
     /** Version of the model. */
     version: z.number().int().min(1).max(1_000_000).default(1),
-    /** Share of the engines against other services of the same priority. */
+    /** Relative share of the engines among services of the same priority. */
     weight: z.number().min(0.001).max(MAXIMUM_WEIGHT).default(1),
-    /** Priority class; 0 goes first. */
+    /** Priority class; 0 is served first. */
     priority: z.number().int().min(0).max(9).default(5),
     /** Requests that may run at once in the whole fleet; 0 for no limit. */
     maximumConcurrency: z.number().int().min(0).max(MAXIMUM_CONCURRENCY).default(0),
     /** Requests that may wait for a slot in the whole fleet. */
     maximumWaiting: z.number().int().min(0).max(MAXIMUM_WAITING).default(1000),
-    /** A request expected to wait longer than this is refused at once. Milliseconds. */
+    /** A request with a longer expected wait is refused at once. Milliseconds. */
     maximumWaitMs: z.number().min(0).max(MAXIMUM_DURATION_MS).default(5000),
     /** Default deadline of a request. Milliseconds. */
     deadlineMs: z.number().min(1).max(MAXIMUM_DURATION_MS).default(60_000),
-    /** Target for the first token. Milliseconds. */
+    /** Target time to the first token. Milliseconds. */
     firstTokenTargetMs: z.number().min(1).max(MAXIMUM_DURATION_MS).default(2000),
     /** Target for the mean time between tokens. Milliseconds. */
     betweenTokensTargetMs: z.number().min(1).max(MAXIMUM_DURATION_MS).default(79),
-    /** False for work that may run at most once, such as a payment notice. */
+    /** Whether requests may be retried. False for work that must run at most once, such as payment notices. */
     repeatable: z.boolean().default(true),
   })
   .strict();
@@ -73,14 +73,14 @@
 /** One service. */
 export type ServiceRow = z.infer<typeof serviceRowSchema>;
 
-/** A row together with the table revision that wrote it. A deleted row has no value. */
+/** A row together with the table revision that wrote it. `row` is null when the row was deleted. */
 export interface VersionedRow {
   readonly name: string;
   readonly revision: number;
   readonly row: ServiceRow | null;
 }
 
-/** The columns in the order of the spreadsheet. */
+/** The columns in the order of the CSV file. */
 export const SERVICE_COLUMNS = Object.keys(serviceRowSchema.shape) as (keyof ServiceRow)[];
 
 /**
--- a/src/contracts/machine-list.ts
+++ b/src/contracts/machine-list.ts
@@ -1,6 +1,9 @@
-/** The platform's list of live and leaving machines, which lags. docs/PROTOCOLS.md gives the HTTP form. */
+/**
+ * The platform's list of live and leaving machines, which lags behind their actual state. docs/PROTOCOLS.md
+ * gives the HTTP form.
+ */
 
-/** What a machine runs. */
+/** The kind of server that a machine runs. */
 type MachineKind = 'engine' | 'application';
 
 /** A machine in the list. */
@@ -10,18 +13,18 @@
   /** `ip:port`. */
   readonly address: string;
   readonly zone: string;
-  /** The bounded group that is allocated together; by default the zone. */
+  /** The bounded group of machines that is allocated together; by default the zone. */
   readonly cell: string;
   readonly state: 'live' | 'leaving';
 }
 
-/** A cell and the zone that it lies in. */
+/** A cell and its zone. */
 export interface Cell {
   readonly name: string;
   readonly zone: string;
 }
 
-/** The answer to a query: every cell's name, and the machines of the cells asked for. */
+/** The answer to a query: all cells, and the machines of the requested cells. */
 export interface MachineListing {
   readonly cells: readonly Cell[];
   readonly machines: readonly Machine[];
--- a/src/contracts/table-service.ts
+++ b/src/contracts/table-service.ts
@@ -1,22 +1,22 @@
 /**
- * The platform's transactional table service as pulleyledge sees it. docs/PROTOCOLS.md gives the HTTP form.
- * Contract: a commit applies all of its writes or none. A commit repeated with the same `writeId` answers
- * what the first one answered and writes nothing more, so a lost answer is resolved by asking again.
+ * The interface of the platform's transactional table service. docs/PROTOCOLS.md gives the HTTP form.
+ * Contract: a commit applies all of its writes or none. A commit is idempotent by `writeId`: a retry returns
+ * the result of the first one and writes nothing more, so a lost answer is resolved by a retry.
  */
 
-/** Tables that pulleyledge keeps. */
+/** Tables that pulleyledge uses. */
 export type TableName = 'services' | 'leases' | 'claims' | 'usage' | 'quarantine';
 
-/** A stored row. `value` is null when the row was deleted. */
+/** A row of a table. `value` is null when the row was deleted. */
 export interface TableRow {
   readonly table: TableName;
   readonly key: string;
-  /** The commit that last wrote the row. */
+  /** The revision of the commit that last wrote the row. */
   readonly revision: number;
   readonly value: unknown;
 }
 
-/** A write that applies only when the row is still at `expectedRevision`; 0 means: does not exist. */
+/** A write that applies only while the row is at `expectedRevision`; 0 stands for a row that does not exist. */
 export interface TableWrite {
   readonly table: TableName;
   readonly key: string;
@@ -24,7 +24,7 @@
   readonly value: unknown;
 }
 
-/** A row that a commit removes, at whatever revision it is. */
+/** A row that a commit removes regardless of its revision. */
 export interface TableRemoval {
   readonly table: TableName;
   readonly key: string;
@@ -39,11 +39,11 @@
       readonly removes?: readonly TableRemoval[];
     }
   | { readonly kind: 'read'; readonly table: TableName; readonly key: string }
-  /** The rows of a table by key, from after a key on. */
+  /** Lists the rows of a table in the order of their keys, starting after the key `after`. */
   | { readonly kind: 'list'; readonly table: TableName; readonly after: string | undefined }
   | { readonly kind: 'changes'; readonly table: TableName; readonly since: number };
 
-/** The answer to a request, or the reason why there is none. */
+/** The result of a request, or the reason why there is no answer. */
 export type TableResult =
   | { readonly kind: 'committed'; readonly revision: number }
   | { readonly kind: 'conflict'; readonly rows: readonly TableRow[] }
@@ -54,7 +54,8 @@
   /** No answer: the request may or may not have taken effect. */
   | { readonly kind: 'noAnswer'; readonly reason: string };
 
-/** Performs requests. Never throws: a failure is a result. */
+/** Client of the table service. */
 export interface TableStore {
+  /** Performs a request. Never rejects: a failure is a result. */
   perform(request: TableRequest): Promise<TableResult>;
 }
--- a/src/lease/cell-lease.ts
+++ b/src/lease/cell-lease.ts
@@ -1,26 +1,26 @@
 /**
  * The lease on a cell, kept as one row of the platform's table. Its epoch is the fencing token of orders. The
  * rules:
- * - a daemon takes the lease when the row says that it is free, or has shown the same holder for its duration
- *   (`mayAcquire`), always under the next epoch;
- * - it holds the lease until `durationMs` less `marginMs` after it sent the write that the table took
- *   (`writeSucceeded`);
- * - an epoch that lapsed is never taken up again (`lapsedThrough`). No clocks are compared: a holder counts
- *   from before it sent its write, a contender from after it first saw the row unchanged, so that the holder
- *   always stops first.
+ * - a daemon acquires the lease, always under the next epoch, when the row has no holder or was unchanged for
+ *   the duration of the lease (`mayAcquire`);
+ * - it holds the lease until `durationMs` minus `marginMs` after it sent the write that the table committed
+ *   (`onWriteCommitted`);
+ * - an epoch that expired is never used again (`lastExpiredEpoch`).
+ * No clocks are compared: a holder counts from before it sent its write, a contender from after it first read
+ * the row in its present revision, so that the holder always stops first.
  */
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { TableRequest, TableResult, TableRow } from '../contracts/table-service.js';
 
 /** Durations of a lease. */
 export interface LeaseSettings {
-  /** How long a lease lasts after the write that renewed it. Milliseconds. Default 6000. */
+  /** Duration of a lease from the write that acquired or renewed it. Milliseconds. Default 6000. */
   readonly durationMs: number;
   /** Interval of renewals and of a contender's reads. Milliseconds. Default 2000. */
   readonly renewIntervalMs: number;
   /**
-   * The holder stops this long before the end, for clocks that run at different speeds. Milliseconds. Default
-   * 600.
+   * The holder stops acting this long before the lease expires, to allow for clock drift between daemons.
+   * Milliseconds. Default 600.
    */
   readonly marginMs: number;
 }
@@ -32,7 +32,7 @@
   marginMs: 600,
 };
 
-/** What the lease row holds. */
+/** The value of a lease row. */
 export interface LeaseValue {
   /** The daemon that holds the lease; empty after a release. */
   readonly holder: string;
@@ -40,13 +40,13 @@
   readonly durationMs: number;
 }
 
-/** Authority over a cell. It ends at `validUntil`, whatever happens. */
+/** Authority over a cell. It expires unconditionally at `validUntil`, in monotonic milliseconds. */
 export interface HeldLease {
   readonly epoch: number;
   readonly validUntil: number;
 }
 
-/** What the lease machine asks its runner to do. */
+/** Effects of the lease, for the caller to perform. */
 export type LeaseEffect =
   | { readonly kind: 'leaseTable'; readonly cell: string; readonly request: TableRequest }
   | { readonly kind: 'leaseAcquired'; readonly cell: string; readonly epoch: number }
@@ -56,16 +56,16 @@
   readonly writeId: string;
   readonly expectedRevision: number;
   readonly value: LeaseValue;
-  /** The first time this write was sent: its effect cannot be earlier. */
+  /** When this write was first sent, which is the earliest time at which the table can have committed it. */
   readonly firstSentAt: number;
 }
 
-/** Revision of a row that was never written. */
+/** Revision that stands for a row that was never written. */
 const FIRST_REVISION = 0;
-/** A write without an answer is sent again after this share of `renewIntervalMs`. */
+/** A request without an answer is retried after this share of `renewIntervalMs`. */
 const RETRY_INTERVAL_SHARE = 0.25;
 
-/** The lease state machine of one daemon and one cell. */
+/** The lease state machine of one daemon and one cell. Times are monotonic milliseconds. */
 export class CellLease {
   private held: HeldLease | undefined;
   private observed: { revision: number; value: LeaseValue | undefined; since: number } | undefined;
@@ -73,7 +73,7 @@
   private requestInFlight = false;
   private nextActionAt: number;
   private writeCount = 0;
-  /** Epochs up to this one lapsed here: they are never taken up again, a new epoch is written instead. */
+  /** Epochs up to this one have expired here and are never used again; a new epoch is written instead. */
   private lastExpiredEpoch = 0;
   private readonly startedAt: number;
 
@@ -88,20 +88,20 @@
     this.startedAt = now;
   }
 
-  /** The authority at time `now`, if any. Callers must ask before each order and must not keep the answer. */
+  /** The lease held at time `now`, if any. Callers must ask before each order and must not keep the result. */
   getHeldLease(now: number): HeldLease | undefined {
     if (this.held && now >= this.held.validUntil) this.dropLease();
     return this.held;
   }
 
-  /** The holder that the table last showed, for status pages. */
+  /** The value of the lease row as last read or written, for the status document. */
   getLastObserved(): LeaseValue | undefined {
     return this.observed?.value;
   }
 
   /**
-   * Advances timers. `shouldHold` says whether this daemon should hold the lease. It leaves one that has
-   * become free to others for `patienceMs`.
+   * Advances timers. `shouldHold` says whether this daemon should hold the lease. It acquires a lease that
+   * has become free only after `standbyDelayMs`, so that other daemons can acquire it first.
    */
   tick(now: number, shouldHold: boolean, standbyDelayMs = 0): void {
     this.getHeldLease(now);
@@ -113,7 +113,7 @@
     else if (shouldHold) this.read();
   }
 
-  /** Gives the lease back, so that a successor need not wait. */
+  /** Releases the lease, so that a successor need not wait for its expiry. */
   release(now: number): void {
     if (!this.held || !this.observed || this.pendingWrite) return;
     const value: LeaseValue = { holder: '', epoch: this.held.epoch, durationMs: this.settings.durationMs };
@@ -121,21 +121,22 @@
     this.write(now, value);
   }
 
-  /** Ends the authority here at once: somebody else was seen to have a later one. */
+  /** Drops the lease at once: another daemon was seen to hold a higher epoch. */
   onSuperseded(): void {
     this.dropLease();
   }
 
   /**
-   * This process's clock stood still for a time that nobody here has counted: what was held may have gone to
-   * another, and a write on its way counts from a moment that lies further back than it seems.
+   * The machine was suspended for a time that the monotonic clock did not count: another daemon may have
+   * acquired the lease, and a write in flight was sent longer ago than the clock shows. Drops the lease and
+   * counts the epoch of a pending write as expired.
    */
   onMachineSuspended(): void {
     this.dropLease();
     this.lastExpiredEpoch = Math.max(this.lastExpiredEpoch, this.pendingWrite?.value.epoch ?? 0);
   }
 
-  /** Takes the answer to a `leaseTable` effect. */
+  /** Handles the result of a `leaseTable` effect. */
   receiveTableResult(result: TableResult, now: number): void {
     this.requestInFlight = false;
     switch (result.kind) {
@@ -154,7 +155,7 @@
         this.nextActionAt = Math.min(this.nextActionAt, now + result.retryAfterMs);
         break;
       case 'noAnswer':
-        // The write may have taken effect; the same write id is sent again until the table answers.
+        // The write may have been committed; it is retried under the same write id until the table answers.
         this.nextActionAt = Math.min(
           this.nextActionAt,
           now + this.settings.renewIntervalMs * RETRY_INTERVAL_SHARE,
@@ -211,7 +212,7 @@
 
   private write(now: number, value: LeaseValue): void {
     this.writeCount += 1;
-    // The start time keeps ids apart when a daemon leaves a cell and comes back to it.
+    // The start time keeps write ids unique when a daemon leaves a cell and comes back to it.
     const writeId = `lease/${this.cell}/${this.selfId}/${this.startedAt}/${this.writeCount}`;
     const expectedRevision = this.observed?.revision ?? FIRST_REVISION;
     this.pendingWrite = { writeId, expectedRevision, value, firstSentAt: now };
--- a/src/ledger/once-ledger.ts
+++ b/src/ledger/once-ledger.ts
@@ -1,35 +1,35 @@
 /**
- * The ledger of requests that may not be repeated. A request runs only after its key was claimed in the
- * platform's table; the outcome is recorded under the same key. Claims of many requests share one commit.
- * One commit is on its way at a time and is sent again under the same write id until the table answers,
- * so a lost answer is resolved and never guessed.
+ * The ledger of requests that must be executed at most once. A request is sent to a back end only after its
+ * idempotency key was claimed in the platform's table; the outcome is recorded under the same key. Claims of
+ * many requests share one commit. Only one commit is in flight at a time, and it is retried under the same
+ * write id until the table answers, so that the effect of a commit whose answer was lost is never guessed.
  */
 import { LEDGER_RETRY_AFTER_MS } from '../routing/retry-after.js';
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { TableRequest, TableResult, TableWrite } from '../contracts/table-service.js';
 
-/** The recorded answer of an application call. */
+/** The recorded response of an application call. */
 export interface RecordedOutcome {
   readonly status: number;
   readonly contentType: string;
-  /** The body, base64. */
+  /** The body in base64. */
   readonly body: string;
 }
 
-/** What a claim row holds. */
+/** The value of a claim row. */
 interface ClaimValue {
   readonly claimId: string;
   readonly state: 'claimed' | 'done';
   readonly outcome?: RecordedOutcome;
 }
 
-/** Durations and counts of the ledger. */
+/** Settings of the ledger. */
 export interface LedgerSettings {
-  /** A claim that the table has not confirmed for this long is refused. Milliseconds. Default 3000. */
+  /** A claim that the table has not confirmed within this duration is refused. Milliseconds. Default 3000. */
   readonly claimTimeoutMs: number;
-  /** Claims and outcomes that share a commit at most. Default 128. */
+  /** Maximum number of claims and outcomes in one commit. Default 128. */
   readonly writesPerCommit: number;
-  /** Interval between repeats of a commit without an answer. Milliseconds. Default 500. */
+  /** Retry interval of a commit without an answer. Milliseconds. Default 500. */
   readonly repeatIntervalMs: number;
 }
 
@@ -40,14 +40,14 @@
   repeatIntervalMs: 500,
 };
 
-/** What the ledger asks its runner to do. */
+/** Effects of the ledger, for the caller to perform. */
 export type LedgerEffect =
   | { readonly kind: 'ledgerTable'; readonly request: TableRequest }
-  /** The claim is in the table: the request may be sent, once. */
+  /** The claim was committed: the request may be sent once. */
   | { readonly kind: 'claimGranted'; readonly requestId: string }
-  /** The key was used before. Without an outcome nobody knows whether it ran. */
+  /** The key was claimed before. Without a recorded outcome it is unknown whether the request was executed. */
   | { readonly kind: 'claimTaken'; readonly requestId: string; readonly outcome: RecordedOutcome | undefined }
-  /** The table does not confirm claims now. */
+  /** The table does not confirm claims at present. */
   | { readonly kind: 'claimUnavailable'; readonly requestId: string; readonly retryAfterMs: number };
 
 interface Entry {
@@ -56,7 +56,7 @@
   readonly claimId: string;
   readonly queuedAt: number;
   readonly action: 'claim' | 'record' | 'remove';
-  /** False once the request was refused; a claim that lands later is removed again. */
+  /** False once the request was refused; a claim that is committed after that is removed again. */
   isAwaited: boolean;
   expectedRevision: number;
   value: ClaimValue | null;
@@ -83,7 +83,7 @@
     private readonly emit: EffectSink<LedgerEffect>,
   ) {}
 
-  /** Claims not yet answered. */
+  /** The number of claims, outcomes and removals that the table has not confirmed. */
   countPending(): number {
     return this.queue.length + (this.batch?.entries.length ?? 0);
   }
@@ -110,7 +110,7 @@
     this.enqueue({ requestId, ...claim, action: 'record', expectedRevision: claim.revision, value }, now);
   }
 
-  /** Takes a claim back. Allowed only when no byte of the request can have reached a back end. */
+  /** Removes a claim. Allowed only when no byte of the request can have reached a back end. */
   releaseClaim(requestId: string, now: number): void {
     const claim = this.claimRevisions.get(requestId);
     if (!claim) return;
@@ -121,12 +121,12 @@
     );
   }
 
-  /** Forgets a claim whose outcome will never be known; the row stays and blocks repeats. */
+  /** Drops the local state of a claim whose outcome stays unknown; its row stays and blocks later attempts. */
   abandonClaim(requestId: string): void {
     this.claimRevisions.delete(requestId);
   }
 
-  /** Starts or repeats the commit, and refuses claims that waited too long. */
+  /** Starts or retries the commit, and refuses claims older than `claimTimeoutMs`. */
   tick(now: number): void {
     this.refuseOverdue(now);
     if (this.batch) {
@@ -136,7 +136,7 @@
     }
   }
 
-  /** Takes the answer to a `ledgerTable` effect. */
+  /** Handles the result of a `ledgerTable` effect. */
   receiveTableResult(result: TableResult, now: number): void {
     const batch = this.batch;
     if (!batch) return;
@@ -215,7 +215,7 @@
     else this.releaseClaim(entry.requestId, now);
   }
 
-  /** Nothing of the batch was written: those in conflict are answered, the others go again. */
+  /** Nothing of the batch was written: claims in conflict are answered, the other entries are queued again. */
   private resolveConflict(
     batch: Batch,
     rows: readonly { key: string; value: ClaimValue | null; revision: number }[],
@@ -227,7 +227,7 @@
       if (!row) {
         if (entry.isAwaited) retries.push(entry);
       } else if (entry.action === 'claim' && row.value === null) {
-        // The row was removed: claim over the tombstone.
+        // The row was deleted: claim at the revision of its tombstone.
         if (entry.isAwaited) retries.push({ ...entry, expectedRevision: row.revision });
       } else if (entry.action === 'claim' && entry.isAwaited) {
         this.emit({ kind: 'claimTaken', requestId: entry.requestId, outcome: row.value?.outcome });
--- a/src/limits/limit-messages.ts
+++ b/src/limits/limit-messages.ts
@@ -1,14 +1,15 @@
 /**
- * Messages between the daemons that run requests and the daemon that owns a service's limits, and the
- * durations of both sides. Owns these types. `slotLeaseMs` is three renewals, so that two may be lost.
+ * Messages between the daemons that forward requests (slot holders) and the daemon that owns a service's
+ * limits, and the settings of both sides. Defines these types only. `slotLeaseMs` is three renewal intervals,
+ * so that two renewals in a row may be lost.
  */
 
-/** Slots that a daemon holds of one service. */
+/** The number of slots of one service that a daemon holds. */
 export type HeldSlots = readonly [service: string, count: number];
 
-/** Messages of the limiter. */
+/** Messages between slot holders and slot owners. */
 export type LimitMessage =
-  /** Asks for one slot. `token` comes back with the answer. */
+  /** Asks for one slot. The answer repeats `token`. */
   | { readonly kind: 'slotRequest'; readonly service: string; readonly token: number }
   | { readonly kind: 'slotGrant'; readonly service: string; readonly token: number }
   | {
@@ -17,26 +18,26 @@
       readonly token: number;
       readonly retryAfterMs: number;
     }
-  /** The request that waited for a slot went away. */
+  /** The request that waited for a slot was cancelled. */
   | { readonly kind: 'slotCancel'; readonly service: string; readonly token: number }
-  /** Gives slots back. */
+  /** Returns slots. */
   | { readonly kind: 'slotRelease'; readonly held: readonly HeldSlots[] }
-  /** Says which slots are still in use; what is not named before its expiry is free again. */
+  /** Renews the slots that are still in use; the owner frees a slot that is not renewed before it expires. */
   | { readonly kind: 'slotRenew'; readonly held: readonly HeldSlots[] }
-  /** A leaving owner tells its successor what is held by whom, so that it need not wait. */
+  /** A leaving owner sends its successor the slots of each holder, so that it can grant without delay. */
   | {
       readonly kind: 'slotHandover';
       readonly service: string;
       readonly holders: readonly (readonly [daemonId: string, count: number])[];
     };
 
-/** Durations of the limiter. */
+/** Durations of slot leases. */
 export interface LimitSettings {
-  /** A slot that is not renewed for this long is free again. Milliseconds. Default 3000. */
+  /** The owner frees a slot that was not renewed for this duration. Milliseconds. Default 3000. */
   readonly slotLeaseMs: number;
   /** Interval of renewals. Milliseconds. Default 1000. */
   readonly renewIntervalMs: number;
-  /** A request whose owner does not answer for this long is refused. Milliseconds. Default 2000. */
+  /** A request is refused when the owner was out of contact for this duration. Milliseconds. Default 2000. */
   readonly ownerTimeoutMs: number;
 }
 
--- a/src/limits/slot-holder.ts
+++ b/src/limits/slot-holder.ts
@@ -1,18 +1,18 @@
 /**
- * The side of a service's limits that runs requests: asks the owner for slots, renews and releases them. Owns
- * the slots held here and the requests that wait for one; relies on the owner's side in slot-owner.ts.
+ * The client side of a service's limits: asks the owner for slots, renews and releases them. Owns the slots
+ * that this daemon holds and the requests that wait for one; relies on the owner's side in slot-owner.ts.
  */
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { HeldSlots, LimitMessage, LimitSettings } from './limit-messages.js';
 
-/** What the holder asks its runner to do. */
+/** Effects of the holder, for the caller to perform. */
 export type HolderEffect =
   | { readonly kind: 'sendLimit'; readonly daemonId: string; readonly message: LimitMessage }
-  /** The request has its slot. */
+  /** The owner granted a slot to the request. */
   | { readonly kind: 'slotGranted'; readonly requestId: string }
-  /** The waiting limit is reached. */
+  /** The owner refused: the service's waiting limit is reached. */
   | { readonly kind: 'slotRefused'; readonly requestId: string; readonly retryAfterMs: number }
-  /** The owner did not answer in time. */
+  /** The owner was out of contact for `ownerTimeoutMs`, or there is no owner. */
   | { readonly kind: 'slotTimedOut'; readonly requestId: string };
 
 interface PendingRequest {
@@ -21,7 +21,7 @@
   readonly token: number;
   owner: string;
   sentAt: number;
-  /** When the owner was last known to be there: by a message, or by the start of the wait. */
+  /** When the owner was last seen alive by the membership, or when the request was sent to it. */
   lastContactAt: number;
 }
 
@@ -39,12 +39,12 @@
     private readonly emit: EffectSink<HolderEffect>,
   ) {}
 
-  /** Slots held, by service, for status pages. */
+  /** The slots that this daemon holds, by service, for the status document. */
   getHeldSlots(): HeldSlots[] {
     return [...this.held];
   }
 
-  /** Requests that wait for a slot. */
+  /** The number of requests that wait for a slot. */
   countWaiting(): number {
     return this.pending.size;
   }
@@ -72,7 +72,7 @@
     });
   }
 
-  /** The request no longer waits for its slot. */
+  /** Cancels the slot request of a request that no longer needs it. */
   cancel(requestId: string): void {
     for (const pending of this.pending.values()) {
       if (pending.requestId !== requestId) continue;
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Gives a slot back. Releases of one tick go out together. */
+  /** Returns a slot. Releases between two ticks are sent together. */
   release(service: string): void {
     const count = this.held.get(service) ?? 0;
     if (count <= 1) this.held.delete(service);
@@ -90,12 +90,12 @@
     this.releases.set(service, (this.releases.get(service) ?? 0) + 1);
   }
 
-  /** Takes a grant or refusal from an owner. */
+  /** Handles a grant or refusal from an owner. */
   receive(fromId: string, message: LimitMessage): void {
     if (message.kind !== 'slotGrant' && message.kind !== 'slotRefuse') return;
     const pending = this.pending.get(message.token);
     if (!pending || pending.owner !== fromId) {
-      // A late grant to a request that has gone: the slot is not needed.
+      // A grant for a request that no longer waits for this owner: return the slot.
       if (message.kind === 'slotGrant') {
         this.emit({
           kind: 'sendLimit',
@@ -114,7 +114,7 @@
     this.emit({ kind: 'slotGranted', requestId: pending.requestId });
   }
 
-  /** Sends releases and renewals, moves waiting requests to new owners, and ends the wait for silent ones. */
+  /** Sends releases and renewals, resends waiting requests to a new owner, and times out unreachable owners. */
   tick(now: number, isOwnerAlive: (daemonId: string) => boolean): void {
     this.sendReleases();
     if (now >= this.nextRenewAt) {
--- a/src/limits/slot-owner.ts
+++ b/src/limits/slot-owner.ts
@@ -1,7 +1,7 @@
 /**
- * The owner's side of a service's limits: grants slots with expiry and keeps the queue of waiting requests.
+ * The owner's side of a service's limits: grants slots as leases and keeps the queue of waiting requests.
  * A daemon that has just become owner waits one slot lease before it grants, so that the renewals of slots
- * granted by its predecessor reach it first; a handover from a leaving owner spares the wait.
+ * granted by its predecessor reach it first. After a handover from a leaving owner it need not wait.
  */
 import { getSlotLineRetryAfterMs, MAXIMUM_SLOT_LINE_RETRY_AFTER_MS } from '../routing/retry-after.js';
 import type { EffectSink } from '../shared/effect-sink.js';
@@ -11,11 +11,11 @@
 interface ServiceLimits {
   /** Slots in the whole fleet. */
   readonly maximumConcurrency: number;
-  /** Requests that may wait for one. */
+  /** Requests that may wait for a slot. */
   readonly maximumWaiting: number;
 }
 
-/** What the owner asks its runner to do. */
+/** Effects of the owner, for the caller to perform. */
 interface OwnerEffect {
   readonly kind: 'sendLimit';
   readonly daemonId: string;
@@ -35,13 +35,13 @@
 interface OwnedService {
   readonly holders: Map<string, HeldCount>;
   readonly queue: QueuedRequest[];
-  /** No grants before this time. */
+  /** No slot is granted before this time. */
   grantsStartAt: number;
   completedCountedSince: number;
   completed: number;
 }
 
-/** The owner state machine of one daemon, for all services that it owns. */
+/** The owner state machine of one daemon, for all services that it owns. Times are monotonic milliseconds. */
 export class SlotOwner {
   private readonly services = new Map<string, OwnedService>();
 
@@ -50,13 +50,13 @@
     private readonly getLimits: (service: string) => ServiceLimits | undefined,
     private readonly emit: EffectSink<OwnerEffect>,
     /**
-     * When this daemon started to take part; services first seen within a lease of it may have had another
-     * owner.
+     * When the set of owners last changed, at first when this daemon joined. A service whose first request
+     * comes within one slot lease of that time may have had another owner.
      */
     private ownershipChangedAt: number,
   ) {}
 
-  /** Services with state here, and slots in use, for status pages. */
+  /** Slots in use and requests waiting, for each service with state here; for the status document. */
   getUsage(): { service: string; held: number; waiting: number }[] {
     return [...this.services].map(([service, owned]) => ({
       service,
@@ -66,13 +66,14 @@
   }
 
   /**
-   * A daemon joined or went: services that are new here from now on may come with slots granted elsewhere.
+   * A daemon joined or left: services that this daemon begins to own from now on may have slots that another
+   * owner granted.
    */
   onMembershipChanged(now: number): void {
     this.ownershipChangedAt = now;
   }
 
-  /** Takes a message from a holder or a predecessor. */
+  /** Handles a message from a holder or from the previous owner. */
   receive(fromId: string, message: LimitMessage, now: number): void {
     switch (message.kind) {
       case 'slotRequest':
@@ -96,7 +97,7 @@
     }
   }
 
-  /** Frees expired slots and grants to those that wait. */
+  /** Frees expired slots, grants free slots to waiting requests, and drops the state of idle services. */
   tick(now: number): void {
     for (const [service, owned] of this.services) {
       for (const [daemonId, holding] of owned.holders) {
@@ -108,7 +109,10 @@
     }
   }
 
-  /** Drops what a dead daemon waited for; its slots run to their expiry, since its requests may still run. */
+  /**
+   * Removes the waiting requests of a dead daemon. Its slots are kept until they expire, since its requests
+   * may still be executing.
+   */
   removeWaitingOf(daemonId: string): void {
     for (const owned of this.services.values()) {
       for (let index = owned.queue.length - 1; index >= 0; index -= 1) {
@@ -117,7 +121,7 @@
     }
   }
 
-  /** Hands every service to its next owner. */
+  /** Hands every service over to its next owner. */
   handOver(successorOf: (service: string) => string | undefined): void {
     for (const [service, owned] of this.services) {
       const successor = successorOf(service);
@@ -207,7 +211,7 @@
     }
   }
 
-  /** A renewal is believed even over the limit: the requests do run. */
+  /** Accepts a renewal even beyond the limit, since the requests are already executing. */
   private applyRenewal(daemonId: string, held: readonly HeldSlots[], now: number): void {
     for (const [service, count] of held) {
       const owned = this.getService(service, now);
--- a/src/settings/reload.ts
+++ b/src/settings/reload.ts
@@ -1,12 +1,12 @@
-/** What a daemon does when it hears that its settings have changed: it checks them, and says what it found. */
+/** Handles a reload signal: checks the settings file again and reports whether it is valid. */
 import { PulleyledgeError } from '../errors/index.js';
 
-/** Fields of the log line of a reload. */
+/** Fields of the log line for a reload. */
 export type ReloadFields = Readonly<Record<string, unknown>>;
 
 /**
- * Reads the settings anew and tells whether they are valid, with `describe`'s fields. Wrong ones change nothing;
- * valid ones come into force at the next start.
+ * Reads the settings again and returns whether they are valid, with the fields of `describe`. Neither valid nor
+ * invalid settings change the running daemon: valid ones take effect at the next start.
  */
 export function checkReload<T>(
   read: () => T,
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,4 +1,7 @@
-/** The settings file of a daemon: YAML, checked, every key with its default and unit. */
+/**
+ * The settings file of a daemon in YAML. Owns its schema, in which every optional key has a default and every
+ * quantity a unit; relies on the defaults of the state machine's parts.
+ */
 import { readFileSync } from 'node:fs';
 import { parse as parseYaml } from 'yaml';
 import * as z from 'zod';
@@ -14,7 +17,7 @@
   .string()
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'must be 1 to 63 lower-case letters, digits and hyphens');
 
-/** Every tunable of a part becomes an optional key of the same name with the part's default. */
+/** Makes each setting of a part an optional key of the same name with the part's default. */
 function createTunablesSchema<Part extends object>(defaults: Part): z.ZodType<Part> {
   const shape: Record<string, z.ZodType> = {};
   for (const [key, value] of Object.entries(defaults)) {
@@ -28,36 +31,36 @@
 
 const settingsSchema = z
   .object({
-    /** Name of the daemon; its restarts share it. */
+    /** Name of the daemon, the same after a restart. */
     name,
     /** Zone that the daemon runs in. */
     zone: name,
-    /** Region that the zone lies in. Default: main. */
+    /** Region of the zone. Default: main. */
     region: name.default('main'),
-    /** Where callers connect. */
+    /** Listening address for callers. */
     callerAddress: address,
-    /** Where other daemons connect. */
+    /** Listening address for other daemons. */
     peerAddress: address,
-    /** Where operators and monitoring connect. */
+    /** Listening address for operators and monitoring. */
     operatorAddress: address,
-    /** Peer addresses of some other daemons, to join by. Default: none. */
+    /** Peer addresses of other daemons through which this one joins the membership. Default: none. */
     seeds: z.array(address).default([]),
-    /** Addresses of the platform's services, tried in turn. */
+    /** Addresses of the platform's services; after a failure the next one is used. */
     platform: z.array(address).min(1),
-    /** Lowest level logged: trace, debug, info, warn or error. Default: info. */
+    /** Lowest log level written: trace, debug, info, warn or error; silent for none. Default: info. */
     logLevel: z.enum(['trace', 'debug', 'info', 'warn', 'error', 'silent']).default('info'),
-    /** Body of a caller's request at most. Bytes. Default: 4194304. */
+    /** Maximum size of the body of a caller's request. Bytes. Default: 4194304. */
     maximumBodyBytes: z
       .number()
       .int()
       .min(1)
       .default(4 * 1024 * 1024),
     /**
-     * On SIGTERM new requests are still taken for this long, so that callers notice. Milliseconds. Default:
-     * 2000.
+     * After SIGTERM new requests are still accepted for this duration, so that callers can notice the drain.
+     * Milliseconds. Default: 2000.
      */
     drainNoticeMs: z.number().min(0).default(2000),
-    /** A stopping daemon waits this long for its requests at most. Milliseconds. Default: 600000. */
+    /** Maximum time that a stopping daemon waits for its open requests. Milliseconds. Default: 600000. */
     drainTimeoutMs: z.number().min(0).default(600_000),
     /** Interval of the state machine's timers. Milliseconds. Default: 50. */
     tickIntervalMs: z.number().min(1).default(50),
@@ -78,14 +81,14 @@
 /** Settings of one daemon process. */
 export type Settings = z.infer<typeof settingsSchema>;
 
-/** The settings of the state machine, out of the file's. */
+/** The settings of the daemon's state machine. */
 export function getDaemonSettings(settings: Settings): CompletionDaemonSettings {
   return settings;
 }
 
 /**
- * Checks settings.
- * @throws SettingsError naming the first wrong key.
+ * Checks settings and fills in defaults.
+ * @throws SettingsError naming the first invalid key.
  */
 export function checkSettings(value: unknown): Settings {
   const result = settingsSchema.safeParse(value);
@@ -99,7 +102,7 @@
 
 /**
  * Reads a settings file and applies `key=value` overrides; values are YAML.
- * @throws SettingsError when the file cannot be read or a key is wrong.
+ * @throws SettingsError when the file cannot be read or a key is invalid.
  */
 export function loadSettings(path: string, overrides: readonly string[]): Settings {
   let value: unknown;
@@ -109,21 +112,21 @@
     throw new SettingsError(path, (error as Error).message);
   }
   if (typeof value !== 'object' || value === null)
-    throw new SettingsError('(file)', 'must hold keys and values');
+    throw new SettingsError('(file)', 'must be a mapping of keys to values');
   for (const override of overrides) applyOverride(value as Record<string, unknown>, override);
   return checkSettings(value);
 }
 
 function applyOverride(target: Record<string, unknown>, override: string): void {
   const equals = override.indexOf('=');
-  if (equals <= 0) throw new SettingsError(override, 'an override has the form key=value');
+  if (equals <= 0) throw new SettingsError(override, 'an override must have the form key=value');
   const path = override.slice(0, equals).split('.');
   const last = path.pop() as string;
   let parent = target;
   for (const key of path) {
     const next = (parent[key] ??= {});
     if (typeof next !== 'object' || next === null)
-      throw new SettingsError(override, `"${key}" holds no keys`);
+      throw new SettingsError(override, `"${key}" is not a mapping`);
     parent = next as Record<string, unknown>;
   }
   parent[last] = parseYaml(override.slice(equals + 1)) as unknown;
