--- a/src/errors/attempt-broken-error.ts
+++ b/src/errors/attempt-broken-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError, type NotRun } from './pulleyledge-error.js';
 import { STATUS_BAD_GATEWAY } from '../shared/http-status.js';
 
-/** The back ends broke off and no attempt was left or allowed. */
+/** The attempts broke off and no further attempt was left or allowed. */
 export class AttemptBrokenError extends PulleyledgeError {
   constructor(requestId: string, attempts: number, notRun: NotRun) {
     super(`request ${requestId} broke after ${attempts} attempts`, {
--- a/src/errors/caller-cancelled-error.ts
+++ b/src/errors/caller-cancelled-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError, type NotRun } from './pulleyledge-error.js';
 import { STATUS_CALLER_CLOSED } from '../shared/http-status.js';
 
-/** The caller closed its connection before the answer was whole. */
+/** The caller closed its connection before the answer was complete. */
 export class CallerCancelledError extends PulleyledgeError {
   constructor(requestId: string, notRun: NotRun) {
     super(`the caller of request ${requestId} went away`, {
--- a/src/errors/index.ts
+++ b/src/errors/index.ts
@@ -1,4 +1,4 @@
-/** Every failure of pulleyledge, one class a file. */
+/** The error classes of pulleyledge, one class per file. */
 export * from './already-claimed-error.js';
 export * from './attempt-broken-error.js';
 export * from './caller-cancelled-error.js';
--- a/src/errors/ledger-unavailable-error.ts
+++ b/src/errors/ledger-unavailable-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_UNAVAILABLE } from '../shared/http-status.js';
 
-/** The table does not take claims now, so a request that may not be repeated is refused. */
+/** The table does not confirm claims at present, so a request that must run at most once is refused. */
 export class LedgerUnavailableError extends PulleyledgeError {
   constructor(service: string, retryAfterMs: number) {
     super(`the table cannot record that a request of "${service}" runs once`, {
--- a/src/errors/listen-error.ts
+++ b/src/errors/listen-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_INTERNAL_ERROR } from '../shared/http-status.js';
 
-/** The process cannot listen on an address that its settings name. */
+/** The process cannot listen on an address of its settings. */
 export class ListenError extends PulleyledgeError {
   constructor(address: string, reason: string) {
     super(`cannot listen on ${address}: ${reason}`, {
--- a/src/errors/not-found-error.ts
+++ b/src/errors/not-found-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_NOT_FOUND } from '../shared/http-status.js';
 
-/** No route of the daemon has this path. */
+/** The daemon serves nothing at this path. */
 export class NotFoundError extends PulleyledgeError {
   constructor(path: string) {
     super(`nothing is served at ${path}`, {
--- a/src/errors/overloaded-error.ts
+++ b/src/errors/overloaded-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError, type NotRun } from './pulleyledge-error.js';
 import { STATUS_UNAVAILABLE } from '../shared/http-status.js';
 
-/** The expected wait is over the wait that the service allows. */
+/** The expected wait is longer than the maximum wait of the service. */
 export class OverloadedError extends PulleyledgeError {
   constructor(service: string, expectedWaitMs: number, retryAfterMs: number, notRun: NotRun = 'true') {
     super(`service "${service}" would wait ${Math.round(expectedWaitMs)} ms, over its limit`, {
--- a/src/errors/payload-too-large-error.ts
+++ b/src/errors/payload-too-large-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_TOO_LARGE } from '../shared/http-status.js';
 
-/** The body of a call is over the configured size. */
+/** The body of a request exceeds the configured size. */
 export class PayloadTooLargeError extends PulleyledgeError {
   constructor(limitBytes: number) {
     super(`the body is over ${limitBytes} bytes`, {
--- a/src/errors/peer-protocol-error.ts
+++ b/src/errors/peer-protocol-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_BAD_REQUEST } from '../shared/http-status.js';
 
-/** A message between daemons does not have the form of its kind. */
+/** A message from a peer does not match the schema of its kind. */
 export class PeerProtocolError extends PulleyledgeError {
   constructor(problem: string) {
     super(`peer message refused: ${problem}`, {
--- a/src/errors/protocol-error.ts
+++ b/src/errors/protocol-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_BAD_GATEWAY } from '../shared/http-status.js';
 
-/** A back end or the platform answered in a form that its protocol does not have. */
+/** The answer of a back end or of the platform violates its protocol. */
 export class ProtocolError extends PulleyledgeError {
   constructor(peer: string, problem: string) {
     super(`${peer} answered against its protocol: ${problem}`, {
--- a/src/errors/pulleyledge-error.ts
+++ b/src/errors/pulleyledge-error.ts
@@ -1,23 +1,23 @@
-/** Base class of every failure in pulleyledge. */
+/** Base class of the error classes of pulleyledge. */
 
-/** Whether a refused request is certain not to have run. 'unknown' when a back end may have seen it. */
+/** Whether a failed request was certainly not executed; 'unknown' when a back end may have received it. */
 export type NotRun = 'true' | 'false' | 'unknown';
 
-/** Common fields of every failure. */
+/** Fields common to all errors. */
 interface ErrorDetails {
-  /** Stable code in kebab case; it also ends the problem document's `type`. */
+  /** Stable code in kebab case; also the last part of the problem document's `type`. */
   readonly code: string;
   /** HTTP status that the gateway answers with. */
   readonly status: number;
-  /** Whether the request is certain not to have run. */
+  /** Whether the request was certainly not executed. Default: 'true'. */
   readonly notRun?: NotRun;
-  /** When to come back, in milliseconds. Absent when coming back is pointless. */
+  /** Delay before a retry, in milliseconds. Absent when a retry is pointless. */
   readonly retryAfterMs?: number;
-  /** The failing context, safe to show to the caller. */
+  /** Details of the failure, safe to show to the caller. */
   readonly context?: Readonly<Record<string, unknown>>;
 }
 
-/** A typed failure with a stable code, an HTTP status and the failing context as fields. */
+/** An error with a stable code, an HTTP status and the details of the failure as fields. */
 export abstract class PulleyledgeError extends Error {
   readonly code: string;
   readonly status: number;
--- a/src/errors/quarantined-error.ts
+++ b/src/errors/quarantined-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError, type NotRun } from './pulleyledge-error.js';
 import { STATUS_UNAVAILABLE } from '../shared/http-status.js';
 
-/** Back ends have ended under this request, so it is kept from them. */
+/** Back ends crashed while they executed this request, so it is quarantined. */
 export class QuarantinedError extends PulleyledgeError {
   constructor(service: string, retryAfterMs: number, notRun: NotRun = 'true') {
     super(`back ends of service "${service}" have ended while they ran this request`, {
--- a/src/errors/revision-conflict-error.ts
+++ b/src/errors/revision-conflict-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_CONFLICT } from '../shared/http-status.js';
 
-/** An edit lost a race: the row has moved on. Both values are carried. */
+/** An edit conflicts with a newer revision of its row. Carries the current and the proposed value. */
 export class RevisionConflictError extends PulleyledgeError {
   constructor(
     row: string,
--- a/src/errors/settings-error.ts
+++ b/src/errors/settings-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_BAD_REQUEST } from '../shared/http-status.js';
 
-/** The settings file or a flag is wrong; `key` names the place. */
+/** The settings file or a flag is invalid; `key` names the key or flag. */
 export class SettingsError extends PulleyledgeError {
   constructor(key: string, problem: string) {
     super(`settings key "${key}": ${problem}`, {
--- a/src/errors/stale-configuration-error.ts
+++ b/src/errors/stale-configuration-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_UNAVAILABLE } from '../shared/http-status.js';
 
-/** The daemon cannot know that its configuration is current and must not admit on it. */
+/** The daemon cannot confirm that its configuration is current, so it must not admit requests on it. */
 export class StaleConfigurationError extends PulleyledgeError {
   constructor(ageMs: number, retryAfterMs: number) {
     super(`the configuration was last confirmed ${Math.round(ageMs)} ms ago`, {
--- a/src/errors/unknown-service-error.ts
+++ b/src/errors/unknown-service-error.ts
@@ -2,7 +2,7 @@
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_NOT_FOUND } from '../shared/http-status.js';
 
-/** The request names a service that the configuration in force does not have. */
+/** The request names a service that is not in the configuration in force. */
 export class UnknownServiceError extends PulleyledgeError {
   constructor(service: string) {
     super(`no service is named "${service}"`, {
--- a/src/errors/validation-error.ts
+++ b/src/errors/validation-error.ts
@@ -1,8 +1,8 @@
-/** The failure `invalid-input`, raised wherever something is read that callers or operators wrote. */
+/** The failure `invalid-input`, raised wherever input of callers or operators is parsed. */
 import { PulleyledgeError } from './pulleyledge-error.js';
 import { STATUS_BAD_REQUEST } from '../shared/http-status.js';
 
-/** A caller's or operator's input is wrong; `field` names the place. */
+/** Input of a caller or operator is invalid; `field` names the field. */
 export class ValidationError extends PulleyledgeError {
   constructor(
     readonly field: string,
--- a/src/shared/decimal.ts
+++ b/src/shared/decimal.ts
@@ -1,6 +1,6 @@
-/** Decimal numbers in headers. */
+/** Parsing of decimal numbers in headers. */
 
-/** A number of 0 or more, written as digits with at most one point; undefined for any other text. */
+/** Parses a non-negative number of digits and at most one decimal point; undefined for any other text. */
 export function parseDecimal(text: string): number | undefined {
   return /^\s*\d+(\.\d+)?\s*$/.test(text) ? Number(text) : undefined;
 }
--- a/src/shared/delay.ts
+++ b/src/shared/delay.ts
@@ -1,6 +1,6 @@
-/** Waiting without blocking. */
+/** A timer as a promise. */
 
-/** Resolves after `milliseconds`. */
+/** Resolves after the given number of milliseconds. */
 export function delay(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
--- a/src/shared/exit-codes.ts
+++ b/src/shared/exit-codes.ts
@@ -1,14 +1,14 @@
-/** Exit codes of the programs, each named once. Scripts and service managers rely on the numbers. */
+/** Exit codes of the programs, defined only here. Scripts and service managers rely on the numbers. */
 
-/** The process did what was asked, or was stopped in order. */
+/** The command succeeded, or the process was stopped cleanly. */
 export const EXIT_OK = 0;
 /** A command failed. */
 export const EXIT_FAILURE = 1;
-/** An edit was rejected since the row had changed since it was read. */
+/** An edit was rejected because the row has changed since it was read. */
 export const EXIT_CONFLICT = 3;
-/** An actor crashed: a defect. 70 to 78 are those of sysexits.h; this one is EX_SOFTWARE. */
+/** An actor crashed, which is a bug: EX_SOFTWARE. The codes from 70 to 78 are those of sysexits.h. */
 export const EXIT_CRASH = 70;
-/** An address of the settings cannot be listened on: EX_OSERR. */
+/** The process cannot listen on an address of its settings: EX_OSERR. */
 export const EXIT_LISTEN = 71;
-/** The settings are wrong or cannot be read: EX_CONFIG. */
+/** The settings are invalid or cannot be read: EX_CONFIG. */
 export const EXIT_SETTINGS = 78;
--- a/src/shared/failure-reason.ts
+++ b/src/shared/failure-reason.ts
@@ -1,6 +1,6 @@
-/** Why a call to another system failed, in a word that can be counted. */
+/** Reasons why calls to other systems failed, as labels for logs and metrics. */
 
-/** A code of the system, or the kind of error: few values, so that failures can be counted by them. */
+/** The system's error code, or the error's name: few different values, so that failures can be counted by it. */
 export function getFailureReason(error: unknown): string {
   return (error as NodeJS.ErrnoException).code ?? (error as Error).name;
 }
--- a/src/shared/http-status.ts
+++ b/src/shared/http-status.ts
@@ -1,14 +1,14 @@
 /**
- * HTTP statuses that the programs send or understand, each named once. Numbers and meanings are those of RFC
- * 9110, but for 499, which is not registered. What a status means in one exchange is said where it is used.
+ * HTTP statuses that the programs send or handle, defined only here. Numbers and meanings are those of RFC 9110,
+ * except 499, which is not registered. What a status means in a particular protocol is documented at its use.
  */
 
-/** Lowest status of a final answer; those below (1xx) announce one. */
+/** Lowest status of a final response; those below (1xx) are interim responses. */
 export const FIRST_FINAL_STATUS = 200;
 export const STATUS_OK = 200;
 export const STATUS_ACCEPTED = 202;
 export const STATUS_NO_CONTENT = 204;
-/** Lowest status that is no success: redirections, then errors. */
+/** Lowest status that is not a success: redirections, then errors. */
 export const FIRST_UNSUCCESSFUL_STATUS = 300;
 export const STATUS_NOT_MODIFIED = 304;
 export const STATUS_BAD_REQUEST = 400;
@@ -18,13 +18,13 @@
 export const STATUS_GONE = 410;
 export const STATUS_PRECONDITION_FAILED = 412;
 export const STATUS_TOO_LARGE = 413;
-/** The request named another receiver than the one it reached. */
+/** The request was meant for another server than the one that received it. */
 export const STATUS_MISDIRECTED = 421;
 export const STATUS_UNPROCESSABLE = 422;
 export const STATUS_TOO_MANY_REQUESTS = 429;
-/** The caller closed its connection first: customary in proxies, seen in logs and metrics only. */
+/** The caller closed its connection first: a convention of proxies, used in logs and metrics only. */
 export const STATUS_CALLER_CLOSED = 499;
-/** Lowest status of a failure on the server's side. */
+/** Lowest status of a server error. */
 export const FIRST_SERVER_ERROR_STATUS = 500;
 export const STATUS_INTERNAL_ERROR = 500;
 export const STATUS_BAD_GATEWAY = 502;
--- a/src/shared/json.ts
+++ b/src/shared/json.ts
@@ -1,14 +1,14 @@
-/** Reads JSON whose writer is not trusted. */
+/** Parsing of JSON from untrusted sources. */
 
-/** Text that was read as JSON. */
+/** The result of parsing a text as JSON. */
 interface ParsedJson {
-  /** Undefined when the text is not JSON; JSON itself has no such value. */
+  /** Undefined when the text is not valid JSON; no JSON text has this value. */
   readonly value: unknown;
-  /** Why the text is not JSON; undefined when it is. */
+  /** Why the text is not valid JSON; undefined when it is. */
   readonly reason: string | undefined;
 }
 
-/** The text as JSON. A failure is a result, whose reason does not quote the text: it may hold keys. */
+/** Parses JSON. Never throws; the reason of a failure does not quote the text, which may contain keys. */
 export function parseJson(text: string): ParsedJson {
   try {
     return { value: JSON.parse(text) as unknown, reason: undefined };
@@ -17,7 +17,7 @@
   }
 }
 
-/** The engine's message begins or ends with a piece of the text; its kind and place are kept. */
+/** The JavaScript engine's message quotes a part of the text; only the kind and the position are kept. */
 function getSyntaxReason({ message }: SyntaxError): string {
   if (/end of JSON input/.test(message)) return 'the JSON ends too early';
   const position = /at position (\d+)/.exec(message)?.[1];
--- a/src/shared/random.ts
+++ b/src/shared/random.ts
@@ -1,17 +1,17 @@
-/** Seeded random numbers, so that the simulator and the tests repeat exactly. */
+/** Seeded random numbers, so that simulations and tests are reproducible. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 
-/** A source of random numbers that state machines are given; they use no other. */
+/** A source of random numbers. State machines get it as a parameter and use no other. */
 export interface RandomSource {
-  /** A uniform number in [0, 1). */
+  /** A uniformly distributed number in [0, 1). */
   next(): number;
-  /** A uniform whole number in [0, bound). `bound` is at least 1. */
+  /** A uniformly distributed integer in [0, bound). `bound` is at least 1. */
   below(bound: number): number;
 }
 
-/** A deterministic source: the same seed gives the same numbers. */
+/** A deterministic source: the same seed gives the same sequence of numbers. */
 export class SeededRandom implements RandomSource {
   private readonly generator: RandomGenerator;
 
@@ -28,7 +28,7 @@
   }
 }
 
-/** Spreads neighbouring seeds apart; without it their first numbers are alike. */
+/** Mixes the bits of a seed; without this, the first numbers of adjacent seeds are similar. */
 function scramble(seed: number): number {
   const mixed = Math.imul(seed ^ (seed >>> 16), 0x45d9f3b);
   return Math.imul(mixed ^ (mixed >>> 16), 0x45d9f3b) ^ (mixed >>> 13);
--- a/src/shared/rendezvous-hash.ts
+++ b/src/shared/rendezvous-hash.ts
@@ -1,6 +1,6 @@
 /**
  * Rendezvous hashing (Thaler and Ravishankar, 1998): every daemon ranks the same candidates for a key in
- * the same order without talking, and a lost candidate moves only its own keys.
+ * the same order without communication, and the loss of a candidate moves only that candidate's keys.
  */
 import MurmurHash3 from 'imurmurhash';
 
@@ -9,9 +9,9 @@
   return MurmurHash3(text).result();
 }
 
-/** Hashes of texts that were ranked before; ranking hashes the same few hundred ids over and over. */
+/** Cache of hashes by text: ranking hashes the same few hundred ids again and again. */
 const hashCache = new Map<string, number>();
-/** Texts remembered at most: daemons, engines and keys of a large fleet several times over. */
+/** Maximum size of the cache: several times the daemons, engines and keys of a large fleet. */
 const MAXIMUM_CACHED_HASHES = 8192;
 
 function getCachedHash(text: string): number {
@@ -23,9 +23,7 @@
   return hash;
 }
 
-/**
- * How well a candidate suits a key: both hashes through the finalizer of MurmurHash3, which mixes every bit.
- */
+/** The score of a candidate for a key: both hashes, mixed by the finalizer of MurmurHash3 in every bit. */
 function getRendezvousScore(key: string, candidate: string): number {
   let mixed = getCachedHash(key) ^ getCachedHash(candidate);
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
@@ -33,17 +31,14 @@
   return (mixed ^ (mixed >>> 16)) >>> 0;
 }
 
-/** The candidates for `key`, best first, at most `count` of them. */
+/** The best candidates for `key`, best first, at most `count` of them. */
 export function rankByRendezvous(key: string, candidates: readonly string[], count: number): string[] {
   const scored = candidates.map((candidate) => ({ candidate, score: getRendezvousScore(key, candidate) }));
   scored.sort((left, right) => right.score - left.score || (left.candidate < right.candidate ? -1 : 1));
   return scored.slice(0, count).map((entry) => entry.candidate);
 }
 
-/**
- * Place of `self` in the ranking for `key`: the number of candidates that go before it. Linear, without
- * sorting.
- */
+/** Rank of `self` for `key`: the number of candidates ranked before it. Linear, without sorting. */
 export function getRendezvousRank(key: string, candidates: readonly string[], self: string): number {
   const selfScore = getRendezvousScore(key, self);
   let rank = 0;
--- a/src/shared/smoothed-rate.ts
+++ b/src/shared/smoothed-rate.ts
@@ -1,11 +1,11 @@
-/** An exponentially smoothed rate of events. */
+/** Exponential smoothing of an event rate. */
 
-/** Estimates a rate per second with a time constant; reading it needs no timer. */
+/** An exponentially smoothed rate per second. It decays when it is read or updated, without a timer. */
 export class SmoothedRate {
   private level = 0;
   private updatedAt: number | undefined;
 
-  /** @param timeConstantMs after this long without events the estimate has fallen to 1/e. */
+  /** @param timeConstantMs the time without events in which the estimate falls to 1/e. */
   constructor(private readonly timeConstantMs: number) {}
 
   /** Counts `amount` at time `now` (monotonic milliseconds). */
--- a/src/shared/suspension-watch.ts
+++ b/src/shared/suspension-watch.ts
@@ -1,26 +1,26 @@
 /**
- * Finds out whether the machine was suspended. A suspended machine's steady clock stands still, so whoever
- * measures a lease by it believes that time has not passed; the time of day has gone on. A time of day that
- * is set forward looks the same, and is taken for a suspension: authority given up for nothing costs a new
- * lease, authority kept too long breaks the promise that two never act at once.
+ * Detects that the machine was suspended. The monotonic clock does not count a suspension, so that a lease
+ * measured by it seems valid for too long; the wall clock continues. A wall clock that is set forward looks the
+ * same and is treated as a suspension: a lease dropped without need costs one new lease, but a lease kept too
+ * long allows two holders at once.
  */
 
 /**
- * The time of day gets ahead of the steady clock by so much only when the machine stood still or was set.
+ * The wall clock gains more than this on the monotonic clock only by a suspension or when it is set.
  * Milliseconds.
  */
 const DETECTION_THRESHOLD_MS = 250;
 
-/** The watch of one process. */
+/** The suspension detector of one process. */
 export class SuspensionWatch {
   private offsetMs: number | undefined;
 
   /**
-   * Compares the clocks. Returns how long the machine was suspended since the last call, 0 when it was not.
-   * All in milliseconds.
+   * Compares the monotonic clock with the wall clock. Returns the time of suspension since the last call, 0 for
+   * none. All in milliseconds.
    */
-  observe(steadyMs: number, wallMs: number): number {
-    const offsetMs = wallMs - steadyMs;
+  observe(monotonicMs: number, wallMs: number): number {
+    const offsetMs = wallMs - monotonicMs;
     const gainedMs = offsetMs - (this.offsetMs ?? offsetMs);
     this.offsetMs = offsetMs;
     return gainedMs > DETECTION_THRESHOLD_MS ? gainedMs : 0;
--- a/src/shared/table.ts
+++ b/src/shared/table.ts
@@ -1,4 +1,4 @@
-/** Plain tables for the terminal. */
+/** Plain text tables for the terminal. */
 import Table from 'cli-table3';
 
 const BORDERLESS_CHARACTERS = {
@@ -19,7 +19,7 @@
   middle: '  ',
 };
 
-/** Formats rows under a header. */
+/** Formats rows as a table without borders under a header line. */
 export function formatTable(
   header: readonly string[],
   rows: readonly (readonly (string | number)[])[],
--- a/src/shared/units.ts
+++ b/src/shared/units.ts
@@ -1,4 +1,4 @@
-/** Factors between units. */
+/** Conversion factors between units. */
 
-/** Milliseconds in a second. */
+/** Milliseconds per second. */
 export const SECOND_MS = 1000;
