--- a/test/bad-input.test.ts
+++ b/test/bad-input.test.ts
@@ -1,4 +1,4 @@
-/** Bad input of every kind gives a typed error that names the place: no crash, no hang, nothing half done. */
+/** Invalid input of every kind gives a typed error that names the field: no crash, no hang, no partial effect. */
 import { connect, createServer, type AddressInfo } from 'node:net';
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -17,7 +17,7 @@
 const RUNS = { seed: SEED, numRuns: 500 };
 
 /** Runs `action` and expects either a value or a typed error. */
-function typed<Value>(action: () => Value): Value | PulleyledgeError {
+function expectValueOrTypedError<Value>(action: () => Value): Value | PulleyledgeError {
   try {
     return action();
   } catch (error) {
@@ -35,33 +35,35 @@
   platform: ['127.0.0.1:9000'],
 };
 
-describe('bad input', () => {
-  it('bodies of callers: any JSON', () => {
+describe('invalid input', () => {
+  it('request bodies: any JSON gives a value or a typed error', () => {
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
-        typed(() => parseCompletionBody(value));
-        typed(() => parseChatBody(value));
+        expectValueOrTypedError(() => parseCompletionBody(value));
+        expectValueOrTypedError(() => parseChatBody(value));
       }),
       RUNS,
     );
   });
 
-  it('a body names its bad field', () => {
-    const error = typed(() => parseCompletionBody({ model: 'risk-grade', prompt: 'x', max_tokens: -1 }));
+  it('request bodies: the error names the invalid field', () => {
+    const error = expectValueOrTypedError(() =>
+      parseCompletionBody({ model: 'risk-grade', prompt: 'x', max_tokens: -1 }),
+    );
     expect((error as PulleyledgeError).context.field).to.equal('max_tokens');
   });
 
-  it('messages between daemons: any line', () => {
+  it('messages between daemons: any line gives a value or a typed error', () => {
     fc.assert(
       fc.property(fc.oneof(fc.string(), fc.json()), (line) => {
-        typed(() => decodePeerMessage(line));
-        typed(() => decodePeerHello(line));
+        expectValueOrTypedError(() => decodePeerMessage(line));
+        expectValueOrTypedError(() => decodePeerHello(line));
       }),
       RUNS,
     );
   });
 
-  it('a message between daemons survives the codec, and a damaged one is refused or still well formed', () => {
+  it('messages between daemons: the codec restores them, and a corrupted one is rejected or still well-formed', () => {
     const message: PeerMessage = {
       kind: 'ping',
       sequence: 4,
@@ -73,13 +75,15 @@
     expect(decodePeerMessage(line)).to.deep.equal(message);
     fc.assert(
       fc.property(fc.nat({ max: line.length - 1 }), fc.string({ minLength: 1, maxLength: 3 }), (at, text) => {
-        typed(() => decodePeerMessage(line.slice(0, at) + text + line.slice(at + text.length)));
+        expectValueOrTypedError(() =>
+          decodePeerMessage(line.slice(0, at) + text + line.slice(at + text.length)),
+        );
       }),
       RUNS,
     );
   });
 
-  it('lines of an engine: anything becomes an event', () => {
+  it('stream lines of an engine: any line becomes an event', () => {
     fc.assert(
       fc.property(fc.oneof(fc.string(), fc.json()), (line) => {
         expect(parseStreamLine(line, 'x').kind).to.be.oneOf(['broken', 'tokens', 'end', 'prefilled']);
@@ -88,41 +92,45 @@
     );
   });
 
-  it('rows: any value', () => {
+  it('service rows: any value gives a row or a typed error', () => {
     fc.assert(
-      fc.property(fc.jsonValue(), (value) => void typed(() => parseServiceRow(value))),
+      fc.property(fc.jsonValue(), (value) => void expectValueOrTypedError(() => parseServiceRow(value))),
       RUNS,
     );
   });
 
-  it('a bad row names row, column, value and the allowed range', () => {
-    const error = typed(() => parseServiceRow({ name: 'a', model: 'm', weight: 2000 })) as RowInvalidError;
+  it('service rows: the error names row, column, value and the allowed range', () => {
+    const error = expectValueOrTypedError(() =>
+      parseServiceRow({ name: 'a', model: 'm', weight: 2000 }),
+    ) as RowInvalidError;
     expect(error.context).to.deep.equal({
       row: 'a',
       column: 'weight',
       value: 2000,
       allowed: 'a number from 0.001 to 1000',
     });
-    const unknown = typed(() => parseServiceRow({ name: 'a', model: 'm', wieght: 1 })) as RowInvalidError;
+    const unknown = expectValueOrTypedError(() =>
+      parseServiceRow({ name: 'a', model: 'm', wieght: 1 }),
+    ) as RowInvalidError;
     expect(unknown.context.column).to.equal('wieght');
   });
 
-  it('CSV: any text', () => {
+  it('CSV: any text gives rows or a typed error', () => {
     fc.assert(
-      fc.property(fc.string(), (text) => void typed(() => parseServicesCsv(text))),
+      fc.property(fc.string(), (text) => void expectValueOrTypedError(() => parseServicesCsv(text))),
       RUNS,
     );
     fc.assert(
       fc.property(
         fc.constantFrom(...SERVICE_COLUMNS),
         fc.string(),
-        (column, text) => void typed(() => parseCell('a', column, text)),
+        (column, text) => void expectValueOrTypedError(() => parseCell('a', column, text)),
       ),
       RUNS,
     );
   });
 
-  it('CSV goes out and comes back the same', () => {
+  it('CSV: parsing restores the formatted rows', () => {
     const row = fc.record({
       weight: fc.integer({ min: 1, max: 1000 }),
       priority: fc.integer({ min: 0, max: 9 }),
@@ -144,12 +152,14 @@
     );
   });
 
-  it('CSV refuses the whole file for one bad cell', () => {
-    const error = typed(() => parseServicesCsv('name,model,weight\na,m,1\nb,m,heavy\n')) as RowInvalidError;
+  it('CSV: one invalid cell rejects the whole file', () => {
+    const error = expectValueOrTypedError(() =>
+      parseServicesCsv('name,model,weight\na,m,1\nb,m,heavy\n'),
+    ) as RowInvalidError;
     expect(error.context).to.include({ row: 'b', column: 'weight', value: 'heavy' });
   });
 
-  it('settings: defaults are filled in, unknown keys and bad values are refused by name', () => {
+  it('settings: defaults are filled in, and the error names an unknown key or the key of an invalid value', () => {
     expect(checkSettings(settings).lease.durationMs).to.equal(6000);
     const cases: [Record<string, unknown>, string][] = [
       [{ lease: { duration: 1 } }, 'lease.duration'],
@@ -159,18 +169,18 @@
       [{ limits: { slotLeaseMs: -5 } }, 'limits.slotLeaseMs'],
     ];
     for (const [change, key] of cases) {
-      const error = typed(() => checkSettings({ ...settings, ...change })) as SettingsError;
+      const error = expectValueOrTypedError(() => checkSettings({ ...settings, ...change })) as SettingsError;
       expect(error.context.key).to.equal(key);
     }
     fc.assert(
-      fc.property(fc.jsonValue(), (value) => void typed(() => checkSettings(value))),
+      fc.property(fc.jsonValue(), (value) => void expectValueOrTypedError(() => checkSettings(value))),
       RUNS,
     );
   });
 });
 
 describe('rendezvous hashing', () => {
-  it('a lost candidate moves only its own keys', () => {
+  it('moves only the keys of a lost candidate', () => {
     const candidates = Array.from({ length: 20 }, (_, index) => `daemon-${index}`);
     fc.assert(
       fc.property(fc.string(), fc.nat({ max: 19 }), (key, lost) => {
@@ -189,8 +199,8 @@
 });
 
 describe('connections between daemons', () => {
-  /** Opens a connection to a transport, writes `text`, resets it, and returns what the process did not handle. */
-  async function unhandledAfterReset(text: string): Promise<Error[]> {
+  /** Opens a connection to a transport, writes `text`, resets it, and returns the uncaught exceptions. */
+  async function getUncaughtAfterReset(text: string): Promise<Error[]> {
     const probe = createServer();
     await new Promise<void>((resolve) => probe.listen(0, '127.0.0.1', resolve));
     const { port } = probe.address() as AddressInfo;
@@ -200,10 +210,10 @@
       { onMessage: () => undefined, onProtocolError: () => undefined, onTraffic: () => undefined },
     );
     await transport.listen();
-    const unhandled: Error[] = [];
-    const earlier = process.listeners('uncaughtException');
+    const uncaught: Error[] = [];
+    const previousListeners = process.listeners('uncaughtException');
     process.removeAllListeners('uncaughtException');
-    process.on('uncaughtException', (error) => unhandled.push(error));
+    process.on('uncaughtException', (error) => uncaught.push(error));
     const socket = connect(port, '127.0.0.1');
     socket.on('error', () => undefined);
     await new Promise<void>((resolve) => socket.write(text, () => resolve()));
@@ -211,14 +221,14 @@
     socket.resetAndDestroy();
     await new Promise((resolve) => setTimeout(resolve, 100));
     process.removeAllListeners('uncaughtException');
-    for (const listener of earlier) process.on('uncaughtException', listener);
+    for (const listener of previousListeners) process.on('uncaughtException', listener);
     transport.close();
-    return unhandled;
+    return uncaught;
   }
 
-  it('a reset by the other side ends the connection, never the process', async () => {
+  it('a reset by the peer closes the connection and never crashes the process', async () => {
     const hello = `${encodePeerMessage({ kind: 'hello', id: 'daemon-2.x', address: '127.0.0.1:1' })}\n`;
     for (const text of ['', hello, `${hello}half a li`])
-      expect(await unhandledAfterReset(text)).to.deep.equal([]);
+      expect(await getUncaughtAfterReset(text)).to.deep.equal([]);
   });
 });
--- a/test/json.test.ts
+++ b/test/json.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai';
 import { parseJson } from '../src/shared/json.js';
 
-describe('text that may not be JSON', () => {
-  it('is read when it is', () => {
+describe('JSON from untrusted sources', () => {
+  it('is parsed when it is valid', () => {
     expect(parseJson('{"a":[1,null]}')).to.deep.equal({ value: { a: [1, null] }, reason: undefined });
     expect(parseJson('null')).to.deep.equal({ value: null, reason: undefined });
   });
 
-  it('gives a reason when it is not, which never quotes the text', () => {
+  it('gives a reason when it is invalid, which never quotes the text', () => {
     const texts = [
       '',
       '{"key":"secret',
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits of a service across daemons: grants with expiry, and what happens when the owner goes. */
+/** Limits of a service across daemons: slot leases, the waiting limit, and the loss or handover of the owner. */
 import { expect } from 'chai';
 import type { LimitMessage } from '../src/limits/limit-messages.js';
 import { DEFAULT_LIMIT_SETTINGS } from '../src/limits/limit-messages.js';
@@ -9,12 +9,12 @@
 const LIMIT = 3;
 const TICK_MS = 100;
 
-/** Daemons that are owners and holders at once, joined by an instant network. */
+/** Daemons that are both slot owners and slot holders, connected by a network without delay. */
 class Cluster {
   now = 10_000;
   owner = 'a';
   readonly effects: HolderEffect[] = [];
-  private readonly up = new Set<string>();
+  private readonly alive = new Set<string>();
   private readonly owners = new Map<string, SlotOwner>();
   readonly holders = new Map<string, SlotHolder>();
   waitingLimit = 2;
@@ -24,7 +24,7 @@
   }
 
   add(name: string): void {
-    this.up.add(name);
+    this.alive.add(name);
     const limits = { maximumConcurrency: LIMIT, maximumWaiting: this.waitingLimit };
     const send = (from: string) => (effect: { daemonId: string; message: LimitMessage }) =>
       this.send(from, effect.daemonId, effect.message);
@@ -44,13 +44,13 @@
     this.holders.get(holder)?.acquire(requestId, SERVICE, this.now);
   }
 
-  granted(): string[] {
+  getGrantedIds(): string[] {
     return this.effects.flatMap((effect) => (effect.kind === 'slotGranted' ? [effect.requestId] : []));
   }
 
-  /** The owner dies and another takes its place, without a handover. */
-  loseOwner(next: string): void {
-    this.up.delete(this.owner);
+  /** The owner crashes and another daemon becomes the owner without a handover. */
+  replaceOwner(next: string): void {
+    this.alive.delete(this.owner);
     this.owner = next;
     this.owners.get(next)?.onMembershipChanged(this.now);
   }
@@ -63,14 +63,14 @@
 
   run(milliseconds: number): void {
     for (const end = this.now + milliseconds; this.now < end; this.now += TICK_MS) {
-      for (const [name, owner] of this.owners) if (this.up.has(name)) owner.tick(this.now);
+      for (const [name, owner] of this.owners) if (this.alive.has(name)) owner.tick(this.now);
       for (const [name, holder] of this.holders)
-        if (this.up.has(name)) holder.tick(this.now, (id) => this.up.has(id));
+        if (this.alive.has(name)) holder.tick(this.now, (id) => this.alive.has(id));
     }
   }
 
   private send(from: string, to: string, message: LimitMessage): void {
-    if (!this.up.has(from) || !this.up.has(to)) return;
+    if (!this.alive.has(from) || !this.alive.has(to)) return;
     this.owners.get(to)?.receive(from, message, this.now);
     this.holders.get(to)?.receive(from, message);
   }
@@ -81,10 +81,10 @@
     const cluster = new Cluster('a', 'b', 'c');
     for (const [index, holder] of ['a', 'b', 'c', 'b', 'c'].entries()) cluster.acquire(holder, `r${index}`);
     cluster.run(1000);
-    expect(cluster.granted()).to.have.length(LIMIT);
+    expect(cluster.getGrantedIds()).to.have.length(LIMIT);
   });
 
-  it('refuses at once when the waiting limit is reached, and says when to come back', () => {
+  it('refuses at once when the waiting limit is reached, and returns a retry delay', () => {
     const cluster = new Cluster('a', 'b');
     for (let index = 0; index < LIMIT + cluster.waitingLimit + 1; index += 1)
       cluster.acquire('b', `r${index}`);
@@ -93,44 +93,44 @@
     expect(refused[0].kind === 'slotRefused' && refused[0].retryAfterMs).to.be.greaterThan(0);
   });
 
-  it('gives a released slot to the next that waits', () => {
+  it('grants a released slot to the next waiting request', () => {
     const cluster = new Cluster('a', 'b');
     for (let index = 0; index < LIMIT + 1; index += 1) cluster.acquire('b', `r${index}`);
     cluster.holders.get('b')?.release(SERVICE);
     cluster.run(200);
-    expect(cluster.granted()).to.deep.equal(['r0', 'r1', 'r2', 'r3']);
+    expect(cluster.getGrantedIds()).to.deep.equal(['r0', 'r1', 'r2', 'r3']);
   });
 
-  it('holds when the owner is lost: the new owner learns from renewals before it grants', () => {
+  it('are not exceeded when the owner is lost: the new owner receives renewals before it grants', () => {
     const cluster = new Cluster('a', 'b', 'c');
     for (let index = 0; index < LIMIT; index += 1) cluster.acquire('b', `r${index}`);
     cluster.run(1500);
-    cluster.loseOwner('c');
+    cluster.replaceOwner('c');
     cluster.acquire('b', 'later');
     cluster.run(8000);
-    expect(cluster.granted()).to.have.length(LIMIT);
+    expect(cluster.getGrantedIds()).to.have.length(LIMIT);
     cluster.holders.get('b')?.release(SERVICE);
     cluster.run(500);
-    expect(cluster.granted()).to.include('later');
+    expect(cluster.getGrantedIds()).to.include('later');
   });
 
-  it('a handover spares the wait', () => {
+  it('lets a new owner grant at once after a handover', () => {
     const cluster = new Cluster('a', 'b', 'c');
     cluster.acquire('b', 'first');
     cluster.run(200);
     cluster.handOver('c');
     cluster.acquire('b', 'second');
     cluster.run(200);
-    expect(cluster.granted()).to.deep.equal(['first', 'second']);
+    expect(cluster.getGrantedIds()).to.deep.equal(['first', 'second']);
   });
 
-  it('slots of a daemon that vanished are free again after their lease', () => {
+  it('frees the slots of a lost daemon after their lease', () => {
     const cluster = new Cluster('a', 'b', 'c');
     for (let index = 0; index < LIMIT; index += 1) cluster.acquire('b', `r${index}`);
     cluster.run(500);
     cluster.holders.delete('b');
     cluster.acquire('c', 'other');
     cluster.run(DEFAULT_LIMIT_SETTINGS.slotLeaseMs + 2000);
-    expect(cluster.granted()).to.include('other');
+    expect(cluster.getGrantedIds()).to.include('other');
   });
 });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -13,23 +13,23 @@
 };
 
 describe('settings file', () => {
-  it('every setting of the state machine can be set in it and is in force then', () => {
-    const unheard: string[] = [];
+  it('can set every setting of the state machine, which then has that value', () => {
+    const ignored: string[] = [];
     for (const [group, defaults] of Object.entries(DEFAULT_COMPLETION_DAEMON_SETTINGS)) {
       for (const [key, value] of Object.entries(defaults as object)) {
         if (typeof value !== 'number') continue;
-        const wanted = value + 1;
-        const settings = checkSettings({ ...REQUIRED, [group]: { [key]: wanted } }) as Record<
+        const expected = value + 1;
+        const settings = checkSettings({ ...REQUIRED, [group]: { [key]: expected } }) as Record<
           string,
           unknown
         >;
-        if ((settings[group] as Record<string, unknown>)[key] !== wanted) unheard.push(`${group}.${key}`);
+        if ((settings[group] as Record<string, unknown>)[key] !== expected) ignored.push(`${group}.${key}`);
       }
     }
-    expect(unheard).to.deep.equal([]);
+    expect(ignored).to.deep.equal([]);
   });
 
-  it('a key that no part knows is refused by its name', () => {
+  it('is rejected with the name of an unknown key', () => {
     for (const [value, key] of [
       [{ nonsense: 1 }, 'nonsense'],
       [{ picker: { nonsense: 1 } }, 'picker.nonsense'],
@@ -39,7 +39,7 @@
     }
   });
 
-  it('what is left out has its default', () => {
+  it('has the default of every key that is left out', () => {
     expect(checkSettings(REQUIRED)).to.deep.include(DEFAULT_COMPLETION_DAEMON_SETTINGS);
   });
 });
