--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -6,7 +6,7 @@
  * What a machine asks of another one during a transition of that other one runs after it (`defer`).
  */
 import { ConfigurationReplica, type Freshness } from '../configuration/configuration-replica.js';
-import { OnceLedger } from '../ledger/once-ledger.js';
+import { AtMostOnceLedger } from '../ledger/once-ledger.js';
 import { initialMember } from '../membership/member-rules.js';
 import { Membership } from '../membership/membership.js';
 import type { DaemonIdentity } from '../membership/membership-messages.js';
@@ -65,7 +65,7 @@
   /** Requests that end back ends. */
   readonly quarantine: RunQuarantine;
   /** Claims of calls that may run once at most. */
-  readonly ledger: OnceLedger;
+  readonly ledger: AtMostOnceLedger;
   /** Tokens asked of each model. */
   readonly demand: DemandTracker;
   /** Leases, coordination and digests of the cells that this daemon routes to. */
@@ -83,7 +83,7 @@
   const limitContext = { membership, configuration, admission: () => admission, emit, defer };
   const limits: LimitManager = new LimitManager(identity, settings.limits, limitContext, now);
   const onLedger = createLedgerSink({ emit, defer, applications: () => applications });
-  const ledger = new OnceLedger(identity.id, settings.ledger, onLedger);
+  const ledger = new AtMostOnceLedger(identity.id, settings.ledger, onLedger);
   const runs: RunQuarantine = createQuarantine(context, membership, () => [completions, applications]);
   const completions: CompletionManager = new CompletionManager({
     settings: settings.completion,
--- a/src/ledger/once-ledger.ts
+++ b/src/ledger/once-ledger.ts
@@ -70,7 +70,7 @@
 }
 
 /** The ledger state machine of one daemon. Times are monotonic milliseconds. */
-export class OnceLedger {
+export class AtMostOnceLedger {
   private queue: Entry[] = [];
   private batch: Batch | undefined;
   private batchCount = 0;
--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -16,7 +16,7 @@
   type PulleyledgeError,
 } from '../errors/index.js';
 import type { ServiceRow } from '../configuration/service-row.js';
-import type { OnceLedger, RecordedOutcome } from '../ledger/once-ledger.js';
+import type { AtMostOnceLedger, RecordedOutcome } from '../ledger/once-ledger.js';
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { RandomSource } from '../shared/random.js';
 import type { ApplicationCall, ApplicationEffect, ApplicationEvent } from './application-messages.js';
@@ -55,7 +55,7 @@
   private readonly retries = new RetryRule(RETRIES);
 
   constructor(
-    private readonly ledger: OnceLedger,
+    private readonly ledger: AtMostOnceLedger,
     random: RandomSource,
     private readonly emit: EffectSink<ApplicationEffect>,
     private readonly runs: RunListener = new NoRunListener(),
--- a/src/shared/suspension-watch.ts
+++ b/src/shared/suspension-watch.ts
@@ -12,7 +12,7 @@
 const DETECTION_THRESHOLD_MS = 250;
 
 /** The suspension detector of one process. */
-export class SuspensionWatch {
+export class SuspensionDetector {
   private offsetMs: number | undefined;
 
   /**
