--- a/src/allocation/stage-coordinator.ts
+++ b/src/allocation/stage-coordinator.ts
@@ -53,7 +53,7 @@
   /** Whether this daemon is one of those that should hold the lease. */
   readonly shouldLead: boolean;
   /** A change must have been due for so long before it takes the lease. Milliseconds; default 0. */
-  readonly patienceMs?: number;
+  readonly standbyDelayMs?: number;
   /** The region of a zone; left out where there is one. */
   readonly regionOf?: (zone: string) => string;
 }
@@ -108,7 +108,7 @@
     this.forgetFinished(situation.views, now);
     const steps = this.planSteps(situation, now);
     this.setDue(situation.shouldLead && steps.length > 0, now);
-    this.lease.tick(now, this.hasBeenDue(situation.patienceMs ?? 0, now));
+    this.lease.tick(now, this.hasBeenDue(situation.standbyDelayMs ?? 0, now));
     if (!situation.shouldLead) this.release(now);
     const held = this.lease.getHeldLease(now);
     if (!held || now < this.ordersFrom) return;
@@ -144,7 +144,7 @@
   }
 
   /** This process's clock stood still for a time that nobody here has counted. */
-  resumeAfterSuspension(): void {
+  onMachineSuspended(): void {
     this.lease.onMachineSuspended();
   }
 
--- a/src/capacity/capacity-demand.ts
+++ b/src/capacity/capacity-demand.ts
@@ -16,7 +16,7 @@
   /// Time over which what runs is averaged. Milliseconds. Default 1000.
   readonly averageMs: number
   /// What was needed counts for e^-1 after so long. Milliseconds. Default 120000.
-  readonly memoryMs: number
+  readonly peakDecayMs: number
   /// Back ends at most, as a multiple of those that serve now: a fault that makes requests wait everywhere
   /// orders no whole fleet. Default 1.5.
   readonly growthFactor: number
@@ -25,7 +25,7 @@
   readonly replacementFactor: number
   /// A daemon that starts finds the back ends one after another; it judges nothing before it has looked for
   /// so long. Milliseconds. Default 5000.
-  readonly settleMs: number
+  readonly discoveryMs: number
 }
 
 /// Default settings.
@@ -33,10 +33,10 @@
   promptsPerEngine: 0.5,
   slotShare: 0.5,
   averageMs: 1000,
-  memoryMs: 120_000,
+  peakDecayMs: 120_000,
   growthFactor: 1.5,
   replacementFactor: 1.5,
-  settleMs: 5000
+  discoveryMs: 5000
 }
 
 /// The demand for one service. Times are monotonic milliseconds.
@@ -60,7 +60,7 @@
       this.peak = Math.max(this.peak, this.getFirstNeed(serving, hasSpot))
       return
     }
-    const {averageMs, memoryMs, growthFactor} = this.settings
+    const {averageMs, peakDecayMs: memoryMs, growthFactor} = this.settings
     const needed = serving.reduce((sum, view) => sum + this.getNeeded(view), 0)
     this.average += (needed - this.average) * (1 - Math.exp(-sinceMs / averageMs))
     const kept = this.peak * Math.exp(-sinceMs / memoryMs)
@@ -81,7 +81,7 @@
   }
 
   private isSettled(now: number): boolean {
-    return this.startedAt !== undefined && now - this.startedAt >= this.settings.settleMs
+    return this.startedAt !== undefined && now - this.startedAt >= this.settings.discoveryMs
   }
 
   /// Back ends that what runs on this one needs.
--- a/src/capacity/capacity-manager.ts
+++ b/src/capacity/capacity-manager.ts
@@ -14,7 +14,7 @@
   readonly planner: CapacityPlannerSettings
   /// Counts that differ from what was ordered are left alone for so long beyond the time in which a back end
   /// starts. Milliseconds. Default 4000: a leaving one serves on for a while.
-  readonly settleMs: number
+  readonly orderGraceMs: number
   /// Pause between orders of one kind in one zone: counts that follow each other back end by back end make
   /// one order. Milliseconds. Default 500.
   readonly pauseMs: number
@@ -24,7 +24,7 @@
 
 /// Default settings.
 export const DEFAULT_CAPACITY_MANAGER_SETTINGS: Omit<CapacityManagerSettings, "planner"> = {
-  settleMs: 4000,
+  orderGraceMs: 4000,
   pauseMs: 500,
   retryMs: 2000
 }
@@ -148,7 +148,7 @@
     subject.ordered = call.desired
     subject.inFlight = true
     subject.pausedUntil = now + this.settings.pauseMs
-    subject.dueAt = now + scaling.bootMs + this.settings.settleMs
+    subject.dueAt = now + scaling.bootMs + this.settings.orderGraceMs
     this.emit({kind: "callDuty", call, authority})
   }
 
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -165,10 +165,10 @@
         this.machines.applications.cancel(event.requestId, now);
         break;
       case 'attemptEvent':
-        this.machines.completions.attemptEvent(event.requestId, event.attemptId, event.event, now);
+        this.machines.completions.onAttemptEvent(event.requestId, event.attemptId, event.event, now);
         break;
       case 'applicationEvent':
-        this.machines.applications.callEvent(event.requestId, event.attemptId, event.event, now);
+        this.machines.applications.onCallEvent(event.requestId, event.attemptId, event.event, now);
         break;
       case 'backendChecked':
         this.machines.quarantine.receiveCheck(event.backend, event.check, now);
--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -91,7 +91,7 @@
     directory,
     picker: new EnginePicker(settings.picker, identity.zone, random),
     emit: createCompletionSink(emit, () => ({ demand, admission })),
-    runs,
+    attemptListener: runs,
   });
   const onCall = createApplicationSink(emit, () => admission);
   const applications: ApplicationManager = new ApplicationManager(ledger, random, onCall, runs);
@@ -134,7 +134,7 @@
   return new RunQuarantine({
     selfId: identity.id,
     members: () => membership.active(),
-    hasOlderRun: (id, before) => managers().some((manager) => manager.hasOlderRun(id, before)),
+    hasOlderRun: (id, before) => managers().some((manager) => manager.hasOlderAttempt(id, before)),
     random,
     emit,
     now,
--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -9,7 +9,7 @@
 import type { QuarantineMessage } from '../quarantine/quarantine-messages.js';
 import { DEFAULT_QUARANTINE_SETTINGS } from '../quarantine/quarantine-settings.js';
 import type { TableResult } from '../contracts/table-service.js';
-import { RunListener, type RunBackend } from '../routing/run-listener.js';
+import { AttemptListener, type AttemptBackend } from '../routing/run-listener.js';
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { RandomSource } from '../shared/random.js';
 import { getRendezvousRank } from '../shared/rendezvous-hash.js';
@@ -33,7 +33,7 @@
 const CLEANER_KEY = 'quarantine-cleaner';
 
 /** The quarantine of one daemon. Times are monotonic milliseconds. */
-export class RunQuarantine extends RunListener {
+export class RunQuarantine extends AttemptListener {
   private readonly manager: QuarantineManager;
 
   private readonly emit: EffectSink<CompletionDaemonEffect>;
@@ -57,9 +57,9 @@
     return key === undefined ? undefined : this.manager.getQuarantineMs(key, now);
   }
 
-  override addBreak(
+  override addBrokenAttempt(
     key: string | undefined,
-    { id, address }: RunBackend,
+    { id, address }: AttemptBackend,
     startedAt: number,
     now: number,
   ): void {
--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -90,7 +90,7 @@
 
   /** This process's clock stood still for a time that nobody here has counted. */
   resumeAfterSuspension(): void {
-    for (const coordinator of this.coordinators.values()) coordinator.resumeAfterSuspension();
+    for (const coordinator of this.coordinators.values()) coordinator.onMachineSuspended();
   }
 
   /** Takes the answer to a `leaseTable` effect. */
@@ -132,7 +132,7 @@
         slots,
         loaded: inFlight > 0,
         shouldLead,
-        patienceMs,
+        standbyDelayMs: patienceMs,
         regionOf: (zone) => this.parts.regionOf?.(zone) ?? '',
       },
       now,
--- a/src/limits/slot-owner.ts
+++ b/src/limits/slot-owner.ts
@@ -3,7 +3,7 @@
  * A daemon that has just become owner waits one slot lease before it grants, so that the renewals of slots
  * granted by its predecessor reach it first. After a handover from a leaving owner it need not wait.
  */
-import { getSlotLineRetryAfterMs, MAXIMUM_SLOT_LINE_RETRY_AFTER_MS } from '../routing/retry-after.js';
+import { getSlotQueueRetryAfterMs, MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS } from '../routing/retry-after.js';
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { HeldSlots, LimitMessage, LimitSettings } from './limit-messages.js';
 
@@ -155,7 +155,7 @@
     const limits = this.getLimits(service);
     const owned = this.getService(service, now);
     if (!limits) {
-      this.refuse(daemonId, service, token, MAXIMUM_SLOT_LINE_RETRY_AFTER_MS);
+      this.refuse(daemonId, service, token, MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS);
       return;
     }
     if (owned.queue.length === 0 && this.mayGrant(owned, limits, now)) {
@@ -164,7 +164,7 @@
     }
     if (owned.queue.length >= limits.maximumWaiting) {
       const elapsedMs = now - owned.completedCountedSince;
-      const retryAfterMs = getSlotLineRetryAfterMs(owned.queue.length, owned.completed, elapsedMs);
+      const retryAfterMs = getSlotQueueRetryAfterMs(owned.queue.length, owned.completed, elapsedMs);
       this.refuse(daemonId, service, token, retryAfterMs);
       return;
     }
--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -23,7 +23,7 @@
 import { ApplicationServers, type ApplicationServer } from './application-servers.js';
 import { NO_SERVER_RETRY_AFTER_MS } from './retry-after.js';
 import { RetryRule, type RetryRuleSettings } from './retry-rule.js';
-import { NoRunListener, type RunListener } from './run-listener.js';
+import { NoAttemptListener, type AttemptListener } from './run-listener.js';
 
 interface CallSession {
   readonly call: ApplicationCall;
@@ -58,7 +58,7 @@
     private readonly ledger: AtMostOnceLedger,
     random: RandomSource,
     private readonly emit: EffectSink<ApplicationEffect>,
-    private readonly runs: RunListener = new NoRunListener(),
+    private readonly runs: AttemptListener = new NoAttemptListener(),
   ) {
     this.servers = new ApplicationServers(random);
   }
@@ -138,7 +138,7 @@
   }
 
   /** Takes an event of a call that was sent. */
-  callEvent(requestId: string, attemptId: string, event: ApplicationEvent, now: number): void {
+  onCallEvent(requestId: string, attemptId: string, event: ApplicationEvent, now: number): void {
     const session = this.sessions.get(requestId);
     const attempt = session?.attempt;
     if (!session || attempt?.attemptId !== attemptId) return;
@@ -166,7 +166,7 @@
   }
 
   /** Whether a call that was sent before a moment is still at a server. */
-  hasOlderRun(serverId: string, before: number): boolean {
+  hasOlderAttempt(serverId: string, before: number): boolean {
     for (const { attempt } of this.sessions.values())
       if (attempt?.server.id === serverId && attempt.startedAt < before) return true;
     return false;
@@ -253,7 +253,7 @@
   private broken(session: CallSession, server: ApplicationServer, startedAt: number, now: number): void {
     session.mayHaveRun = true;
     session.brokenAttempts += 1;
-    this.runs.addBreak(session.call.key, server, startedAt, now);
+    this.runs.addBrokenAttempt(session.call.key, server, startedAt, now);
     this.servers.addFailure(server, now);
     const { row, brokenAttempts } = session;
     if (this.retries.takeRetry({ repeatable: row.repeatable, brokenAttempts })) {
--- a/src/routing/completion-dispatch.ts
+++ b/src/routing/completion-dispatch.ts
@@ -9,7 +9,7 @@
 import { notRunOf, type Session } from './completion-session.js';
 import type { EngineDirectory } from './engine-directory.js';
 import type { EngineChoice, EnginePicker, PickOutcome } from './engine-picker.js';
-import type { RunListener } from './run-listener.js';
+import type { AttemptListener } from './run-listener.js';
 
 /** What becomes of the request. */
 type DispatchDecision =
@@ -26,7 +26,7 @@
   readonly directory: EngineDirectory;
   readonly picker: EnginePicker;
   readonly rules: CompletionRules;
-  readonly runs: RunListener;
+  readonly runs: AttemptListener;
 }
 
 /** The decisions of one daemon. Times are monotonic milliseconds. */
--- a/src/routing/completion-manager.ts
+++ b/src/routing/completion-manager.ts
@@ -30,7 +30,7 @@
 import type { DirectorySettings, EngineDirectory, EngineView } from './engine-directory.js';
 import type { EngineChoice, EnginePicker } from './engine-picker.js';
 import { RetryRule } from './retry-rule.js';
-import { NoRunListener, type RunListener } from './run-listener.js';
+import { NoAttemptListener, type AttemptListener } from './run-listener.js';
 import { WaitEstimator } from './wait-estimator.js';
 
 /**
@@ -47,7 +47,7 @@
   readonly picker: EnginePicker;
   readonly emit: EffectSink<CompletionEffect>;
   /** Hears how runs end; left out where no request is quarantined. */
-  readonly runs?: RunListener;
+  readonly attemptListener?: AttemptListener;
 }
 
 /** The completion state machine of one daemon. Times are monotonic milliseconds. */
@@ -61,13 +61,13 @@
   private readonly directorySettings: DirectorySettings;
   private readonly dispatcher: CompletionDispatch;
   private readonly emit: EffectSink<CompletionEffect>;
-  private readonly runs: RunListener;
+  private readonly runs: AttemptListener;
 
   constructor(options: CompletionManagerOptions) {
     this.settings = options.settings;
     this.directorySettings = options.directorySettings;
     this.emit = options.emit;
-    this.runs = options.runs ?? new NoRunListener();
+    this.runs = options.attemptListener ?? new NoAttemptListener();
     this.retries = new RetryRule(options.settings);
     this.waits = new WaitEstimator(options.settings, options.directory, this.queue);
     this.rules = new CompletionRules(options.settings, this.waits);
@@ -114,7 +114,7 @@
   }
 
   /** Takes an event of an attempt. Events of attempts that are no longer live are dropped. */
-  attemptEvent(requestId: string, attemptId: string, event: AttemptEvent, now: number): void {
+  onAttemptEvent(requestId: string, attemptId: string, event: AttemptEvent, now: number): void {
     const session = this.sessions.get(requestId);
     const attempt = session?.attempt;
     if (!session || attempt?.attemptId !== attemptId) return;
@@ -141,14 +141,14 @@
         break;
       case 'broken':
         if (attempt.stage === 'generate')
-          this.runs.addBreak(session.request.key, attempt.engine, attempt.startedAt, now);
+          this.runs.addBrokenAttempt(session.request.key, attempt.engine, attempt.startedAt, now);
         this.onBroken(session, attempt, now);
         break;
     }
   }
 
   /** Whether an attempt that was sent before a moment is still at an engine. */
-  hasOlderRun(engineId: string, before: number): boolean {
+  hasOlderAttempt(engineId: string, before: number): boolean {
     for (const { attempt } of this.sessions.values())
       if (attempt?.engine.id === engineId && attempt.startedAt < before) return true;
     return false;
--- a/src/routing/retry-after.ts
+++ b/src/routing/retry-after.ts
@@ -36,7 +36,7 @@
 const MINIMUM_SLOT_LINE_RETRY_AFTER_MS = 200;
 
 /** Longest such time, and the one where the owner does not know the service. Milliseconds. */
-export const MAXIMUM_SLOT_LINE_RETRY_AFTER_MS = 30_000;
+export const MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS = 30_000;
 
 /**
  * After a refusal for load: when the backlog will have shrunk to what the request may wait for. Milliseconds.
@@ -51,10 +51,10 @@
  * @param waiting requests in the line
  * @param completed requests that ended within `elapsedMs`; none counts as one
  */
-export function getSlotLineRetryAfterMs(waiting: number, completed: number, elapsedMs: number): number {
+export function getSlotQueueRetryAfterMs(waiting: number, completed: number, elapsedMs: number): number {
   const perMs = Math.max(completed, 1) / Math.max(1, elapsedMs);
   const delay = (waiting + 1) / perMs;
   return Math.round(
-    Math.min(MAXIMUM_SLOT_LINE_RETRY_AFTER_MS, Math.max(MINIMUM_SLOT_LINE_RETRY_AFTER_MS, delay)),
+    Math.min(MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS, Math.max(MINIMUM_SLOT_LINE_RETRY_AFTER_MS, delay)),
   );
 }
--- a/test/run-quarantine.test.ts
+++ b/test/run-quarantine.test.ts
@@ -102,7 +102,7 @@
         continue;
       }
       ended += 1;
-      calls.callEvent(`r${i}`, start.attemptId, { kind: 'broken', reason: 'reset' }, i);
+      calls.onCallEvent(`r${i}`, start.attemptId, { kind: 'broken', reason: 'reset' }, i);
       calls.cancel(`r${i}`, i);
       site.check(i);
     }
@@ -124,7 +124,7 @@
       directory,
       picker,
       emit: (effect) => effects.push(effect),
-      runs: site.quarantine,
+      attemptListener: site.quarantine,
     });
     for (let i = 0; i < TRIES; i += 1) directory.ensure(`e${i}`, `a${i}`, 'a', 'cell').applyReport(REPORT, 0);
     const row = parseServiceRow({ name: 'grade', model: 'm', repeatable: true });
@@ -143,7 +143,7 @@
           ? { kind: 'unreachable' as const, reason: 'refused' }
           : { kind: 'broken' as const, reason: 'reset' };
         ended.add(start.engineId);
-        completions.attemptEvent(`r${i}`, start.attemptId, event, now);
+        completions.onAttemptEvent(`r${i}`, start.attemptId, event, now);
         site.check(now);
         completions.tick(now);
       }
