--- a/simulation/simulated-site.ts
+++ b/simulation/simulated-site.ts
@@ -151,7 +151,8 @@
     this.time.after(noticeMs, () => (node.draining = true));
     const check = (): void => {
       if (node.starts !== starts || !node.alive) return;
-      const idle = node.draining && node.daemon.requestsInHand() === 0 && node.daemon.writesInHand() === 0;
+      const idle =
+        node.draining && node.daemon.countOpenRequests() === 0 && node.daemon.countUnconfirmedWrites() === 0;
       if (!idle) {
         this.time.after(TICK_MS, check);
         return;
--- a/src/daemon/admission.ts
+++ b/src/daemon/admission.ts
@@ -72,7 +72,7 @@
   ) {}
 
   /** Requests that wait for a slot. */
-  waitingForSlots(): number {
+  countWaitingForSlots(): number {
     return this.waiting.size;
   }
 
--- a/src/daemon/cell-assignment.ts
+++ b/src/daemon/cell-assignment.ts
@@ -43,13 +43,13 @@
     this.cells = cells;
     this.byCell = new Map(cells.map((cell) => [cell.name, []]));
     for (const member of members) {
-      for (const cell of this.cellsOf(member)) this.byCell.get(cell)?.push(member);
+      for (const cell of this.getCells(member)) this.byCell.get(cell)?.push(member);
     }
     this.chooseCoordinators();
   }
 
   /** The cells of one daemon. */
-  cellsOf(member: { id: string; zone: string }): string[] {
+  getCells(member: { id: string; zone: string }): string[] {
     let cells = this.subscriptions.get(member.id);
     if (!cells) {
       cells = cellsOfDaemon(member, this.cells, this.settings);
@@ -59,12 +59,12 @@
   }
 
   /** The daemons that route to a cell. */
-  subscribersOf(cell: string): readonly Member[] {
+  getSubscribers(cell: string): readonly Member[] {
     return this.byCell.get(cell) ?? [];
   }
 
   /** The daemon that should coordinate a cell: one in its zone if there is one, with few other cells. */
-  coordinatorOf(cell: string): string | undefined {
+  getCoordinator(cell: string): string | undefined {
     return this.coordinators.get(cell);
   }
 
@@ -86,7 +86,7 @@
   }
 
   private rankedCandidates(cell: Cell): string[] {
-    const subscribers = this.subscribersOf(cell.name);
+    const subscribers = this.getSubscribers(cell.name);
     const near = subscribers.filter((member) => member.zone === cell.zone);
     const candidates = (near.length > 0 ? near : subscribers).map((member) => member.id);
     return rankByRendezvous(`coordinator/${cell.name}`, candidates, candidates.length);
--- a/src/daemon/cell-manager.ts
+++ b/src/daemon/cell-manager.ts
@@ -55,7 +55,7 @@
   }
 
   /** Leases of the cells routed to, for status pages. */
-  leases(now: number): { cell: string; holder: string; epoch: number; heldHere: boolean }[] {
+  getLeases(now: number): { cell: string; holder: string; epoch: number; heldHere: boolean }[] {
     return [...this.runtimes.values()].map((runtime) => {
       const held = runtime.lease.getHeldLease(now);
       const seen = runtime.lease.getLastObserved();
@@ -70,7 +70,7 @@
   }
 
   /** Changes of assignment ordered by this daemon. */
-  roleChanges(): number {
+  countRoleChanges(): number {
     let total = 0;
     for (const runtime of this.runtimes.values()) total += runtime.coordinator.changesOrdered;
     return total;
@@ -81,14 +81,14 @@
     this.assignment.update(this.parts.membership.active(), this.cells);
     if (now >= this.nextListingAt) this.requestListing(now);
     for (const runtime of this.runtimes.values()) {
-      const coordinatorId = this.assignment.coordinatorOf(runtime.cell);
-      if (coordinatorId === this.identity.id) this.reports.setKnown(runtime.cell, now);
+      const coordinatorId = this.assignment.getCoordinator(runtime.cell);
+      if (coordinatorId === this.identity.id) this.reports.setLoadsKnown(runtime.cell, now);
       runtime.tick(now, {
         selfId: this.identity.id,
         coordinatorId,
-        subscriberIds: () => this.assignment.subscribersOf(runtime.cell).map((member) => member.id),
+        subscriberIds: () => this.assignment.getSubscribers(runtime.cell).map((member) => member.id),
         services: () => this.parts.configuration.getServices(),
-        ownDemand: () => this.demandOf(runtime.cell, now),
+        localDemand: () => this.demandOf(runtime.cell, now),
         eligible,
       });
     }
@@ -96,7 +96,7 @@
   }
 
   /** Why requests cannot be routed yet, or undefined. A site without engines needs none. */
-  notReadyReason(now: number): string | undefined {
+  findNotReadyReason(now: number): string | undefined {
     const views = [...this.parts.directory.all()];
     const known = views.filter((view) => view.assignment).length;
     const listed = this.listedSince !== undefined;
@@ -116,7 +116,7 @@
     else this.cells = listing.cells;
     this.machines = listing.machines;
     this.assignment.update(this.parts.membership.active(), this.cells);
-    const routed = this.assignment.cellsOf(this.identity);
+    const routed = this.assignment.getCells(this.identity);
     for (const cell of routed) this.ensureRuntime(cell, now);
     for (const cell of [...this.runtimes.keys()]) if (!routed.includes(cell)) this.runtimes.delete(cell);
     if (!sameCells) this.nextListingAt = now;
@@ -124,16 +124,16 @@
   }
 
   /** The process was paused since `pausedAt`: what it reads now may be as old. */
-  resumeAfterPause(pausedAt: number, now: number): void {
-    this.reports.resumeAfterPause(pausedAt, now);
+  onProcessResumed(pausedAt: number, now: number): void {
+    this.reports.onProcessResumed(pausedAt, now);
   }
 
   /**
    * The clock stood still for a time that it has not counted: no lease counts any more, and what is read now
    * may be as old.
    */
-  resumeAfterSuspension(now: number): void {
-    this.resumeAfterPause(now, now);
+  onMachineSuspended(now: number): void {
+    this.onProcessResumed(now, now);
     for (const { lease } of this.runtimes.values()) lease.onMachineSuspended();
   }
 
@@ -170,7 +170,7 @@
     this.nextListingAt = now + this.settings.cells.machineListIntervalMs;
     if (this.listingRequestedAt !== undefined) return;
     this.listingRequestedAt = now;
-    this.emit({ kind: 'listMachines', cells: this.assignment.cellsOf(this.identity) });
+    this.emit({ kind: 'listMachines', cells: this.assignment.getCells(this.identity) });
   }
 
   private ensureRuntime(cell: string, now: number): void {
@@ -183,7 +183,7 @@
       now,
     );
     this.runtimes.set(cell, runtime);
-    this.reports.setKnown(cell, now);
+    this.reports.setLoadsKnown(cell, now);
   }
 
   private applyMachines(now: number): void {
@@ -201,7 +201,7 @@
       this.parts.directory.ensure(id, address, zone, cell).listedLeaving = state === 'leaving';
     }
     for (const view of this.parts.directory.all()) {
-      view.routingDaemons = Math.max(1, this.assignment.subscribersOf(view.cell).length);
+      view.routingDaemons = Math.max(1, this.assignment.getSubscribers(view.cell).length);
     }
     this.parts.directory.retain(new Set(engines.map((machine) => machine.id)));
     const servers = this.machines.filter((machine) => machine.kind === 'application');
@@ -217,7 +217,7 @@
       total += 1;
       if (view.cell === cell) here += 1;
     }
-    return this.parts.demand.entries(now, total === 0 ? 0 : here / total);
+    return this.parts.demand.getEntries(now, total === 0 ? 0 : here / total);
   }
 
   private onCell(effect: CellEffect): void {
--- a/src/daemon/cell-runtime.ts
+++ b/src/daemon/cell-runtime.ts
@@ -50,7 +50,7 @@
   readonly subscriberIds: () => readonly string[];
   readonly services: () => readonly VersionedRow[];
   /** What this daemon itself sees asked of the cell. */
-  readonly ownDemand: () => readonly DemandEntry[];
+  readonly localDemand: () => readonly DemandEntry[];
   /** False while the daemon stops: it then takes no lease. */
   readonly eligible: boolean;
 }
@@ -105,7 +105,7 @@
 
   private reportDemand(now: number, context: CellContext): void {
     this.nextDemandAt = now + this.settings.cells.demandIntervalMs;
-    const entries = context.ownDemand();
+    const entries = context.localDemand();
     if (context.coordinatorId === context.selfId || this.lease.getHeldLease(now))
       this.receiveDemand(context.selfId, entries, now);
     const nothing = entries.every((entry) => entry[2] === 0 && entry[3] === 0);
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -56,7 +56,7 @@
 
   /** Handles one event and returns what is to be done, in order. */
   handle(event: CompletionDaemonEvent, now: number): CompletionDaemonEffect[] {
-    if (now - this.lastEventAt > PAUSE_MS) this.machines.cells.resumeAfterPause(this.lastEventAt, now);
+    if (now - this.lastEventAt > PAUSE_MS) this.machines.cells.onProcessResumed(this.lastEventAt, now);
     this.lastEventAt = now;
     this.dispatch(event, now);
     while (this.deferred.length > 0) this.deferred.shift()?.(now);
@@ -73,15 +73,15 @@
     const freshness = this.freshness(now);
     if (freshness.kind === 'never') return { ready: false, reason: 'no configuration is known yet' };
     if (freshness.kind === 'stale') return { ready: false, reason: 'the configuration is stale' };
-    const unroutable = cells.notReadyReason(now);
+    const unroutable = cells.findNotReadyReason(now);
     if (unroutable) return { ready: false, reason: unroutable };
     return { ready: true, reason: freshness.kind };
   }
 
   /** Requests that still run or wait here; a stopping process waits for none. */
-  requestsInHand(): number {
+  countOpenRequests(): number {
     const { completions, applications, admission } = this.machines;
-    return completions.active() + applications.active() + admission.waitingForSlots();
+    return completions.active() + applications.active() + admission.countWaitingForSlots();
   }
 
   /** Revision of the configuration in force here; -1 before the first. */
@@ -90,12 +90,12 @@
   }
 
   /** Daemons in contact and daemons known, as the majority rule counts them. */
-  membersInContact(): { alive: number; known: number } {
+  getMemberCounts(): { alive: number; known: number } {
     return this.machines.membership.contact();
   }
 
   /** Writes to the table still to be confirmed; a stopping process waits for them a while. */
-  writesInHand(): number {
+  countUnconfirmedWrites(): number {
     return this.machines.ledger.countPending();
   }
 
@@ -114,14 +114,14 @@
       configurationAgeMs: freshness.kind === 'never' ? -1 : Math.round(freshness.ageMs),
       members: membership.all().map(({ id, address, zone, state }) => ({ id, address, zone, state })),
       engines: directory.summary(),
-      leases: cells.leases(now),
+      leases: cells.getLeases(now),
       limits: limits.getInUse(),
       requests: {
         active: completions.active(),
-        waiting: completions.waiting() + admission.waitingForSlots(),
+        waiting: completions.waiting() + admission.countWaitingForSlots(),
         applicationCalls: applications.active(),
       },
-      roleChanges: cells.roleChanges(),
+      roleChanges: cells.countRoleChanges(),
       services: configuration.getServices(),
     };
   }
@@ -132,7 +132,7 @@
         this.tick(event.wallMs, now);
         break;
       case 'clockStoodStill':
-        this.machines.cells.resumeAfterSuspension(now);
+        this.machines.cells.onMachineSuspended(now);
         this.machines.configuration.onMachineSuspended(event.forMs);
         break;
       case 'peerMessage':
@@ -263,7 +263,7 @@
   private beginDrain(now: number): void {
     if (this.draining) return;
     this.draining = true;
-    this.outbox.push({ kind: 'log', event: 'drain.started', fields: { requests: this.requestsInHand() } });
+    this.outbox.push({ kind: 'log', event: 'drain.started', fields: { requests: this.countOpenRequests() } });
     this.machines.cells.tick(now, false);
     this.machines.limits.handOver();
     this.machines.membership.leave(now);
--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -31,7 +31,7 @@
 } from './effect-sinks.js';
 import { LimitManager } from './limit-manager.js';
 import { getPeerContact } from './peer-contact.js';
-import { RunQuarantine } from './run-quarantine.js';
+import { CompletionQuarantine } from './run-quarantine.js';
 import { ServiceEditor } from './service-editor.js';
 
 /** What the machines are made from. */
@@ -63,7 +63,7 @@
   readonly completions: CompletionManager;
   readonly applications: ApplicationManager;
   /** Requests that end back ends. */
-  readonly quarantine: RunQuarantine;
+  readonly quarantine: CompletionQuarantine;
   /** Claims of calls that may run once at most. */
   readonly ledger: AtMostOnceLedger;
   /** Tokens asked of each model. */
@@ -84,7 +84,7 @@
   const limits: LimitManager = new LimitManager(identity, settings.limits, limitContext, now);
   const onLedger = createLedgerSink({ emit, defer, applications: () => applications });
   const ledger = new AtMostOnceLedger(identity.id, settings.ledger, onLedger);
-  const runs: RunQuarantine = createQuarantine(context, membership, () => [completions, applications]);
+  const runs: CompletionQuarantine = createQuarantine(context, membership, () => [completions, applications]);
   const completions: CompletionManager = new CompletionManager({
     settings: settings.completion,
     directorySettings: settings.directory,
@@ -130,11 +130,11 @@
   { identity, random, emit, now }: CompletionContext,
   membership: Membership,
   managers: () => readonly (CompletionManager | ApplicationManager)[],
-): RunQuarantine {
-  return new RunQuarantine({
+): CompletionQuarantine {
+  return new CompletionQuarantine({
     selfId: identity.id,
     members: () => membership.active(),
-    hasOlderRun: (id, before) => managers().some((manager) => manager.hasOlderAttempt(id, before)),
+    hasOlderAttempt: (id, before) => managers().some((manager) => manager.hasOlderAttempt(id, before)),
     random,
     emit,
     now,
--- a/src/daemon/demand-tracker.ts
+++ b/src/daemon/demand-tracker.ts
@@ -39,7 +39,7 @@
   }
 
   /** The present demand, scaled by `share`. */
-  entries(now: number, share: number): DemandEntry[] {
+  getEntries(now: number, share: number): DemandEntry[] {
     return [...this.rates.values()].map((rates) => [
       rates.model,
       rates.version,
--- a/src/daemon/engine-reports.ts
+++ b/src/daemon/engine-reports.ts
@@ -43,7 +43,7 @@
   ) {}
 
   /** The cell's loads are known at `now`: this daemon coordinates it, or has just begun to route to it. */
-  setKnown(cell: string, now: number): void {
+  setLoadsKnown(cell: string, now: number): void {
     this.lastDigestAt.set(cell, now);
   }
 
@@ -51,7 +51,7 @@
    * The process was paused. What it reads now may have waited in its sockets all the time, so for a moment
    * reports count as made before the pause.
    */
-  resumeAfterPause(pausedAt: number, now: number): void {
+  onProcessResumed(pausedAt: number, now: number): void {
     this.pausedAt = pausedAt;
     this.distrustUntil = now + WAKE_GRACE_MS;
   }
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -76,8 +76,8 @@
       emit: (effect) => void this.outbox.push(effect),
       routes: () => this.routes,
       daemons: () => this.countSharingDaemons(),
-      isFirst: () => this.rank === 0,
-      getHandledAt: () => this.handledAt,
+      isFirstReader: () => this.rank === 0,
+      getEventTime: () => this.handledAt,
       logChange,
       onMembership: (effect) => this.onMembership(effect),
       onFleet: (effect) => this.onFleet(effect),
@@ -108,7 +108,7 @@
   }
 
   /** Requests in hand. */
-  requestsInHand(): number {
+  countOpenRequests(): number {
     return this.machines.manager.getActiveCount();
   }
 
@@ -144,7 +144,7 @@
         this.tick(now);
         break;
       case 'clockStoodStill':
-        this.resumeAfterSuspension(event.forMs, now);
+        this.onMachineSuspended(event.forMs, now);
         break;
       case 'peerMessage':
         this.receivePeer(event.fromId, event.fromAddress, event.message, now);
@@ -176,8 +176,11 @@
     const sinceTickMs = now - this.tickedAt;
     this.tickedAt = now;
     if (sinceTickMs > OWN_PAUSE_MS) {
-      this.logChange('process.paused', { forMs: Math.round(sinceTickMs), requests: this.requestsInHand() });
-      this.resumeAfterPause(now);
+      this.logChange('process.paused', {
+        forMs: Math.round(sinceTickMs),
+        requests: this.countOpenRequests(),
+      });
+      this.onProcessResumed(now);
     }
     this.machines.membership.tick(now);
     this.rankReader();
@@ -191,19 +194,19 @@
     for (const part of this.machines.parts) part.scan?.(this.draining, now);
   }
 
-  private resumeAfterPause(now: number): void {
+  private onProcessResumed(now: number): void {
     this.machines.manager.onProcessResumed(now);
-    for (const part of this.machines.parts) part.ownPauseEnded?.(now);
+    for (const part of this.machines.parts) part.onProcessResumed?.(now);
   }
 
   /**
    * As after a pause, and beside that nothing that is measured by the clock of this process counts any more.
    */
-  private resumeAfterSuspension(forMs: number, now: number): void {
-    this.logChange('process.suspended', { forMs: Math.round(forMs), requests: this.requestsInHand() });
+  private onMachineSuspended(forMs: number, now: number): void {
+    this.logChange('process.suspended', { forMs: Math.round(forMs), requests: this.countOpenRequests() });
     this.machines.replica.clockStoodStill(forMs);
-    for (const part of this.machines.parts) part.clockStoodStill?.(forMs);
-    this.resumeAfterPause(now);
+    for (const part of this.machines.parts) part.onMachineSuspended?.(forMs);
+    this.onProcessResumed(now);
   }
 
   private receivePeer(fromId: string, fromAddress: string, message: PeerMessage, now: number): void {
@@ -231,7 +234,7 @@
   private beginDrain(now: number): void {
     if (this.draining) return;
     this.draining = true;
-    this.logChange('drain.started', { requests: this.requestsInHand() });
+    this.logChange('drain.started', { requests: this.countOpenRequests() });
     this.machines.membership.leave(now);
   }
 
--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -48,9 +48,9 @@
   /** Daemons that share what back ends bear. */
   daemons(): number;
   /** Whether this daemon is the first of those that follow the store. */
-  isFirst(): boolean;
+  isFirstReader(): boolean;
   /** The time of the event that is handled now. Monotonic milliseconds. */
-  getHandledAt(): number;
+  getEventTime(): number;
   logChange(event: ChangeEvent, fields: Readonly<Record<string, unknown>>): void;
   onMembership(effect: MembershipEffect): void;
   onFleet(effect: FleetEffect): void;
@@ -245,8 +245,8 @@
       emit,
       members: () => membership.active(),
       fleet: () => getFleetView(membership),
-      decideQuota: (requestId, decision) => manager.applyQuota(requestId, decision, context.getHandledAt()),
-      isFirst: () => context.isFirst(),
+      decideQuota: (requestId, decision) => manager.applyQuota(requestId, decision, context.getEventTime()),
+      isFirstReader: () => context.isFirstReader(),
       routes: () => context.routes(),
       logChange: (event, fields) => context.logChange(event, fields),
     },
--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -17,12 +17,12 @@
 import type { CompletionDaemonEffect } from './completion-messages.js';
 
 /** What the quarantine works with. */
-interface RunQuarantineOptions {
+interface CompletionQuarantineOptions {
   readonly selfId: string;
   /** Active members, this daemon included. */
   members(): readonly Member[];
   /** Whether a run that was sent before a moment is still at a back end. */
-  hasOlderRun(backendId: string, before: number): boolean;
+  hasOlderAttempt(backendId: string, before: number): boolean;
   readonly random: RandomSource;
   readonly emit: EffectSink<CompletionDaemonEffect>;
   /** Monotonic milliseconds. */
@@ -33,12 +33,12 @@
 const CLEANER_KEY = 'quarantine-cleaner';
 
 /** The quarantine of one daemon. Times are monotonic milliseconds. */
-export class RunQuarantine extends AttemptListener {
+export class CompletionQuarantine extends AttemptListener {
   private readonly manager: QuarantineManager;
 
   private readonly emit: EffectSink<CompletionDaemonEffect>;
 
-  constructor(options: RunQuarantineOptions) {
+  constructor(options: CompletionQuarantineOptions) {
     super();
     const { selfId, random, now } = options;
     this.emit = options.emit;
@@ -47,7 +47,7 @@
       selfId,
       members: () => options.members(),
       isFirst: () => getRendezvousRank(CLEANER_KEY, getMemberIds(), selfId) === 0,
-      hasOlderRun: ({ id }: WatchedBackend, before: number) => options.hasOlderRun(id, before),
+      hasOlderRun: ({ id }: WatchedBackend, before: number) => options.hasOlderAttempt(id, before),
     };
     const onEffect = (effect: QuarantineEffect): void => this.onQuarantine(effect);
     this.manager = new QuarantineManager(DEFAULT_QUARANTINE_SETTINGS, context, random, onEffect, now);
--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -89,7 +89,7 @@
   }
 
   /** This process's clock stood still for a time that nobody here has counted. */
-  resumeAfterSuspension(): void {
+  onMachineSuspended(): void {
     for (const coordinator of this.coordinators.values()) coordinator.onMachineSuspended();
   }
 
--- a/src/parts/backend-signal-part.ts
+++ b/src/parts/backend-signal-part.ts
@@ -4,7 +4,7 @@
 import type {BackendView} from "../forwarding/backends/backend-view.js"
 import type {SignalReport} from "../forwarding/backends/backend-signals.js"
 import type {BackendRecord} from "../forwarding/routes/route.js"
-import {DaemonPart, type AnswerEvent, type PartFigures, type PartSurroundings} from "./daemon-part.js"
+import {DaemonPart, type AnswerEvent, type PartFigures, type PartContext} from "./daemon-part.js"
 
 /// A limit of which nothing was heard for so long is asked for by a health check, and again after that time.
 /// Milliseconds.
@@ -20,7 +20,7 @@
   /// The last signal of each back end that could not be read.
   private readonly unreadable = new Map<BackendView, string>()
 
-  constructor(private readonly surroundings: PartSurroundings) {
+  constructor(private readonly surroundings: PartContext) {
     super()
   }
 
@@ -74,11 +74,11 @@
     }
   }
 
-  override ownPauseEnded(now: number): void {
+  override onProcessResumed(now: number): void {
     this.surroundings.permits.resumeAfterPause(now)
   }
 
-  override clockStoodStill(forMs: number): void {
+  override onMachineSuspended(forMs: number): void {
     this.surroundings.limits.addAge(forMs)
   }
 
--- a/src/parts/daemon-part.ts
+++ b/src/parts/daemon-part.ts
@@ -25,14 +25,14 @@
 import type {ForwardingEffect, ForwardingEvent} from "../daemon/forwarding-messages.js"
 
 /// What is known of the regions of a fleet.
-export interface RegionSurroundings {
+export interface RegionContext {
   readonly places: Places
   readonly roundTrips: RoundTrips
   readonly distance: BackendDistance
 }
 
 /// What a part may look at, and where its effects go.
-export interface PartSurroundings {
+export interface PartContext {
   readonly identity: DaemonIdentity
   readonly settings: ForwardingDaemonSettings
   readonly random: RandomSource
@@ -44,14 +44,14 @@
   readonly limits: BackendLimits
   readonly permits: PermitManager
   /// Missing where the fleet lies in one region.
-  readonly regions?: RegionSurroundings | undefined
+  readonly regions?: RegionContext | undefined
   readonly emit: EffectSink<ForwardingEffect>
   /// Active members, this daemon included; the same array as long as they are the same.
   members(): readonly Member[]
   /// How this daemon sees its fleet.
   fleet(): FleetView
   /// Whether this daemon is the one of the fleet that looks after what all share in the store.
-  isFirst(): boolean
+  isFirstReader(): boolean
   /// The routes in force; undefined before the first configuration.
   routes(): RouteTable | undefined
   /// A request that waited for its tenant's quota is decided.
@@ -119,13 +119,13 @@
   getQuarantineMs?(key: string, now: number): number | undefined
 
   /// The caller whose requests may all run at one and the same back end only; undefined for most.
-  getConfinedCaller?(key: string, now: number): string | undefined
+  getIsolatedCaller?(key: string, now: number): string | undefined
 
   /// The connection of a run at a back end ended before the answer was whole.
-  onRunBroken?(key: string, record: BackendRecord, startedAt: number, now: number): void
+  onAttemptBroken?(key: string, record: BackendRecord, startedAt: number, now: number): void
 
   /// A back end gave a whole answer to a request.
-  onRunAnswered?(key: string, now: number): void
+  onAttemptAnswered?(key: string, now: number): void
 
   /// A back end has answered, and says this of itself.
   onSignals?(view: BackendView, report: SignalReport, now: number): void
@@ -134,11 +134,11 @@
   onRequestBegan?(tenant: string, at: number): void
 
   /// This process stood still until now.
-  ownPauseEnded?(now: number): void
+  onProcessResumed?(now: number): void
 
   /// This process's clock stood still for so long, which nobody here has counted: authority that runs out by
   /// it is void. Milliseconds.
-  clockStoodStill?(forMs: number): void
+  onMachineSuspended?(forMs: number): void
 
   /// Advances what cannot wait for `scan`.
   tick?(now: number): void
--- a/src/parts/duty-part.ts
+++ b/src/parts/duty-part.ts
@@ -4,7 +4,7 @@
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import {DUTY_CELL, DutyManager, type DutyEffect, type DutySettings} from "../duties/duty-manager.js"
 import type {MembershipMessage} from "../membership/membership-messages.js"
-import {DaemonPart, type AnswerEvent, type PartSurroundings} from "./daemon-part.js"
+import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
 /// The duties as a part.
 export class DutyPart extends DaemonPart {
@@ -12,7 +12,7 @@
   private readonly manager: DutyManager
 
   constructor(
-    private readonly surroundings: PartSurroundings,
+    private readonly surroundings: PartContext,
     settings: DutySettings,
     now: number
   ) {
@@ -46,7 +46,7 @@
     this.manager.requestBegan(tenant, at)
   }
 
-  override clockStoodStill(): void {
+  override onMachineSuspended(): void {
     this.manager.clockStoodStill()
   }
 
--- a/src/parts/health-part.ts
+++ b/src/parts/health-part.ts
@@ -1,13 +1,13 @@
 /// Probes back ends that stay silent or refuse connections.
 import {HealthProber} from "../forwarding/backends/health-prober.js"
-import {DaemonPart, type AnswerEvent, type PartSurroundings} from "./daemon-part.js"
+import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
 /// The prober as a part.
 export class HealthPart extends DaemonPart {
   override readonly name = "health"
   private readonly prober: HealthProber
 
-  constructor(private readonly surroundings: PartSurroundings) {
+  constructor(private readonly surroundings: PartContext) {
     super()
     const {directory, routes, emit} = surroundings
     this.prober = new HealthProber(directory, probe => {
--- a/src/parts/kv-part.ts
+++ b/src/parts/kv-part.ts
@@ -1,6 +1,6 @@
 /// Follows the engines' KV caches once the process is warm.
 import {KvFollower} from "../forwarding/kv-cache/kv-follower.js"
-import {DaemonPart, type AnswerEvent, type PartSurroundings} from "./daemon-part.js"
+import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
 /// Engines' caches are followed from so long after the start on: before, the process is needed for the first
 /// requests. Milliseconds. A small machine takes about as long until its code is warm.
@@ -12,7 +12,7 @@
   private readonly follower: KvFollower
 
   constructor(
-    {settings, directory, kvIndex, emit, members, routes}: PartSurroundings,
+    {settings, directory, kvIndex, emit, members, routes}: PartContext,
     private readonly startedAt: number
   ) {
     super()
--- a/src/parts/pace-part.ts
+++ b/src/parts/pace-part.ts
@@ -1,5 +1,5 @@
 /// How fast the back ends work: lets what is known of it fade, and tells operators of slow ones.
-import {DaemonPart, type PartFigures, type PartSurroundings} from "./daemon-part.js"
+import {DaemonPart, type PartFigures, type PartContext} from "./daemon-part.js"
 
 /// The slowest back ends are shown by rank, so many of them.
 const SHOWN = 3
@@ -8,7 +8,7 @@
 export class PacePart extends DaemonPart {
   override readonly name = "paces"
 
-  constructor(private readonly surroundings: PartSurroundings) {
+  constructor(private readonly surroundings: PartContext) {
     super()
   }
 
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -5,7 +5,7 @@
 import {getIncarnation} from "../quarantine/incarnation.js"
 import {QuarantineManager, type QuarantineEffect} from "../quarantine/quarantine-manager.js"
 import type {WatchedBackend} from "../quarantine/break-watch.js"
-import {DaemonPart, type AnswerEvent, type PartFigures, type PartSurroundings} from "./daemon-part.js"
+import {DaemonPart, type AnswerEvent, type PartFigures, type PartContext} from "./daemon-part.js"
 
 /// The quarantine as a part.
 export class QuarantinePart extends DaemonPart {
@@ -16,12 +16,12 @@
   private handledAt: number
 
   constructor(
-    private readonly surroundings: PartSurroundings,
+    private readonly surroundings: PartContext,
     now: number
   ) {
     super()
     this.handledAt = now
-    const {identity, settings, members, isFirst, directory, random} = surroundings
+    const {identity, settings, members, isFirstReader: isFirst, directory, random} = surroundings
     this.manager = new QuarantineManager(
       settings.quarantine,
       {
@@ -42,16 +42,16 @@
     return leftMs
   }
 
-  override getConfinedCaller(key: string, now: number): string | undefined {
+  override getIsolatedCaller(key: string, now: number): string | undefined {
     return this.manager.getConfinedCaller(key, now)
   }
 
-  override onRunBroken(key: string, record: BackendRecord, startedAt: number, now: number): void {
+  override onAttemptBroken(key: string, record: BackendRecord, startedAt: number, now: number): void {
     this.handledAt = now
     this.manager.addBreak(key, toWatched(record), startedAt, now)
   }
 
-  override onRunAnswered(key: string, now: number): void {
+  override onAttemptAnswered(key: string, now: number): void {
     this.manager.addAnswer(key, now)
   }
 
--- a/src/parts/quota-part.ts
+++ b/src/parts/quota-part.ts
@@ -4,7 +4,7 @@
 import type {QuotaAnswer, QuotaRequest} from "../forwarding/admit/tenant-quota.js"
 import {QuotaManager, type QuotaEffect} from "../quotas/quota-manager.js"
 import type {QuotaLimit, QuotaSettings} from "../quotas/quota-settings.js"
-import {DaemonPart, type PartFigures, type PartSurroundings} from "./daemon-part.js"
+import {DaemonPart, type PartFigures, type PartContext} from "./daemon-part.js"
 
 /// Quotas as a part.
 export class QuotaPart extends DaemonPart {
@@ -12,7 +12,7 @@
   private readonly manager: QuotaManager
 
   constructor(
-    private readonly surroundings: PartSurroundings,
+    private readonly surroundings: PartContext,
     settings: QuotaSettings
   ) {
     super()
@@ -55,7 +55,7 @@
     this.manager.charge(name, cost, now)
   }
 
-  override ownPauseEnded(now: number): void {
+  override onProcessResumed(now: number): void {
     this.manager.resumeAfterPause(now)
   }
 
--- a/src/parts/region-part.ts
+++ b/src/parts/region-part.ts
@@ -4,7 +4,7 @@
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import {findCutOffRegions} from "../forwarding/backends/region-contact.js"
 import {DISTANCE_CLASSES} from "../places/places.js"
-import {DaemonPart, type PartFigures, type PartSurroundings, type RegionSurroundings} from "./daemon-part.js"
+import {DaemonPart, type PartFigures, type PartContext, type RegionContext} from "./daemon-part.js"
 
 /// Probes remembered at most; one is answered or timed out within a few seconds, and few are sent in that
 /// time.
@@ -22,8 +22,8 @@
   private readonly probes = new Map<number, SentProbe>()
 
   constructor(
-    private readonly surroundings: PartSurroundings,
-    private readonly regions: RegionSurroundings
+    private readonly surroundings: PartContext,
+    private readonly regions: RegionContext
   ) {
     super()
   }
@@ -49,7 +49,7 @@
   }
 
   /// Silence while this process stood still is nobody's.
-  override ownPauseEnded(): void {
+  override onProcessResumed(): void {
     this.probes.clear()
   }
 
--- a/src/parts/request-hooks.ts
+++ b/src/parts/request-hooks.ts
@@ -30,10 +30,10 @@
   return {
     onRequestBegan: (tenant, at) => tellAll(part => part.onRequestBegan?.(tenant, at)),
     getQuarantineMs: (key, now) => findFirst(part => part.getQuarantineMs?.(key, now)),
-    getIsolatedCaller: (key, now) => findFirst(part => part.getConfinedCaller?.(key, now)),
+    getIsolatedCaller: (key, now) => findFirst(part => part.getIsolatedCaller?.(key, now)),
     onAttemptBroken: (key, backend, startedAt, now) =>
-      tellAll(part => part.onRunBroken?.(key, backend, startedAt, now)),
-    onAttemptAnswered: (key, now) => tellAll(part => part.onRunAnswered?.(key, now)),
+      tellAll(part => part.onAttemptBroken?.(key, backend, startedAt, now)),
+    onAttemptAnswered: (key, now) => tellAll(part => part.onAttemptAnswered?.(key, now)),
     onSignals: (view, report, now) => tellAll(part => part.onSignals?.(view, report, now)),
     takeQuota: (request, now) => findFirst(part => part.takeQuota?.(request, now)),
     removeQuotaRequest: requestId => tellAll(part => part.removeQuotaRequest?.(requestId)),
--- a/src/parts/stage-part.ts
+++ b/src/parts/stage-part.ts
@@ -4,14 +4,14 @@
 import {StageManager} from "../daemon/stage-manager.js"
 import {DUTY_CELL} from "../duties/duty-manager.js"
 import type {RouteConfiguration} from "../forwarding/routes/route.js"
-import {DaemonPart, type AnswerEvent, type PartSurroundings} from "./daemon-part.js"
+import {DaemonPart, type AnswerEvent, type PartContext} from "./daemon-part.js"
 
 /// The stage manager as a part.
 export class StagePart extends DaemonPart {
   override readonly name = "stages"
   private readonly manager: StageManager
 
-  constructor(private readonly surroundings: PartSurroundings) {
+  constructor(private readonly surroundings: PartContext) {
     super()
     const {identity, settings, members, directory, regions} = surroundings
     this.manager = new StageManager(
@@ -26,8 +26,8 @@
     this.manager.applyConfiguration(configuration)
   }
 
-  override clockStoodStill(): void {
-    this.manager.resumeAfterSuspension()
+  override onMachineSuspended(): void {
+    this.manager.onMachineSuspended()
   }
 
   override receiveAnswer(event: AnswerEvent, now: number): void {
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -146,7 +146,10 @@
       drainTimeoutMs,
     );
     this.daemon.closeForNew();
-    await waitUntil(() => !this.hasRequests() && this.daemon.writesInHand() === 0, LEDGER_FLUSH_TIMEOUT_MS);
+    await waitUntil(
+      () => !this.hasRequests() && this.daemon.countUnconfirmedWrites() === 0,
+      LEDGER_FLUSH_TIMEOUT_MS,
+    );
     this.logger.info({
       event: 'process.stopped',
       unfinished: this.openRequests(),
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -149,7 +149,7 @@
   private createMetrics(): ForwardingMetrics {
     return new ForwardingMetrics({
       ready: () => this.ready(),
-      requestsInHand: () => this.daemon.requestsInHand(),
+      requestsInHand: () => this.daemon.countOpenRequests(),
       configurationVersion: () => this.daemon.configurationVersion(),
       configurationAgeMs: () => this.daemon.configurationAgeMs(now()),
       members: () => this.daemon.members(),
--- a/test/daemon-parts.test.ts
+++ b/test/daemon-parts.test.ts
@@ -6,7 +6,7 @@
 import { BackendLimits } from '../src/forwarding/permits/backend-limits.js';
 import { KvIndex } from '../src/forwarding/kv-cache/kv-index.js';
 import { createParts } from '../src/parts/daemon-parts.js';
-import type { PartSurroundings } from '../src/parts/daemon-part.js';
+import type { PartContext } from '../src/parts/daemon-part.js';
 import { SeededRandom } from '../src/shared/random.js';
 import { checkPlatformSettings, processSettings } from '../platform/settings.js';
 import { formatSettings } from '../lab/soak/settings-file.js';
@@ -15,7 +15,7 @@
 
 const ADDRESS = '127.0.0.1:1';
 
-function makeSurroundings({ hasDuties }: { hasDuties: boolean }): PartSurroundings {
+function makeSurroundings({ hasDuties }: { hasDuties: boolean }): PartContext {
   const ports = { front: ADDRESS, ready: ADDRESS, control: ADDRESS, metrics: 2 };
   const file = formatSettings('daemon-1', 'zone-a', ports, [], SOAK_BOUNDS, ADDRESS, ADDRESS);
   const { daemon } = processSettings(checkPlatformSettings(file));
@@ -34,7 +34,7 @@
     members: () => [],
     fleet: () => ({ members: [], known: 1, joined: true }),
     decideQuota: () => undefined,
-    isFirst: () => true,
+    isFirstReader: () => true,
     routes: () => undefined,
     logChange: () => undefined,
   };
--- a/test/drawn-day.ts
+++ b/test/drawn-day.ts
@@ -70,7 +70,7 @@
 }
 
 /** The day of one seed. */
-export class DrawnDay {
+export class RandomFleetRun {
   readonly digest = new EffectsDigest(FORWARDING_LABELS);
   private readonly random: SeededRandom;
   private readonly regions: number;
--- a/test/effects.test.ts
+++ b/test/effects.test.ts
@@ -7,7 +7,7 @@
 import { decodePeerMessage, encodePeerMessage } from '../src/adapters/peer-codec.js';
 import { CompletionDaemon } from '../src/daemon/completion-daemon.js';
 import { DEFAULT_COMPLETION_DAEMON_SETTINGS } from '../src/daemon/completion-daemon-settings.js';
-import { DrawnDay } from './drawn-day.js';
+import { RandomFleetRun } from './drawn-day.js';
 import { COMPLETION_LABELS, EffectsDigest } from './effects-digest.js';
 import { Snapshot } from './snapshot.js';
 import { watchEffects } from './watch-effects.js';
@@ -26,7 +26,7 @@
   it('stays as it was where requests are forwarded by routes', () => {
     const snapshot = new Snapshot('effects-forwarding');
     for (const seed of SEEDS) {
-      const day = new DrawnDay(seed);
+      const day = new RandomFleetRun(seed);
       day.run();
       keepMessages(day.digest);
       snapshot.add(`seed ${seed}: ${day.digest.count} effects, ${day.digest.finish()}`);
--- a/test/region-part.test.ts
+++ b/test/region-part.test.ts
@@ -9,7 +9,7 @@
 import { KvIndex } from '../src/forwarding/kv-cache/kv-index.js';
 import { labBackend } from '../lab/forwarding-site.js';
 import type { Member } from '../src/membership/membership-messages.js';
-import type { PartSurroundings } from '../src/parts/daemon-part.js';
+import type { PartContext } from '../src/parts/daemon-part.js';
 import { RegionPart } from '../src/parts/region-part.js';
 import { DistanceCost } from '../src/places/distance-cost.js';
 import { Places } from '../src/places/places.js';
@@ -37,7 +37,7 @@
   const directory = new BackendDirectory(DEFAULT_FORWARDING_SETTINGS.health);
   const surroundings = {
     identity: { id: 'daemon-1.a', address: '10.0.0.1:1', zone: 'zone-a', region: 'r1' },
-    settings: { ...DEFAULT_FORWARDING_SETTINGS } as PartSurroundings['settings'],
+    settings: { ...DEFAULT_FORWARDING_SETTINGS } as PartContext['settings'],
     random: new SeededRandom(1),
     directory,
     limits: new BackendLimits(directory, () => undefined),
@@ -74,7 +74,7 @@
     probe(part, 1, 400, THIRD);
     part.receivePeer(FAR, '10.0.0.2:1', { kind: 'ack', sequence: 7, updates: [] }, 1000);
     part.addToMembership({ kind: 'ping', sequence: 2, target: FAR, updates: [] }, 1000);
-    part.ownPauseEnded();
+    part.onProcessResumed();
     part.receivePeer(FAR, '10.0.0.2:1', { kind: 'ack', sequence: 2, updates: [] }, 5000);
     expect(part.getFigures().round_trip_ms_r2).to.equal(distanceSettings.roundTripMs.otherRegion);
   });
--- a/test/run-quarantine.test.ts
+++ b/test/run-quarantine.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from 'chai';
 import { DEFAULT_COMPLETION_DAEMON_SETTINGS } from '../src/daemon/completion-daemon-settings.js';
-import { RunQuarantine } from '../src/daemon/run-quarantine.js';
+import { CompletionQuarantine } from '../src/daemon/run-quarantine.js';
 import type { CompletionDaemonEffect } from '../src/daemon/completion-messages.js';
 import { parseServiceRow } from '../src/configuration/service-row.js';
 import type { EngineReport } from '../src/contracts/engine-protocol.js';
@@ -47,10 +47,10 @@
 /** The quarantine of a daemon without peers, before back ends that are all gone when they are checked. */
 class Site {
   readonly effects: CompletionDaemonEffect[] = [];
-  readonly quarantine = new RunQuarantine({
+  readonly quarantine = new CompletionQuarantine({
     selfId: 'daemon-1',
     members: () => [],
-    hasOlderRun: () => false,
+    hasOlderAttempt: () => false,
     random: new SeededRandom(1),
     emit: (effect) => this.effects.push(effect),
     now: 0,
