--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -117,7 +117,7 @@
 /** How this daemon sees its fleet. */
 function getFleetView(membership: Membership): FleetView {
   const members = membership.active();
-  return { members, known: membership.contact().known, joined: membership.joined() };
+  return { members, knownCount: membership.contact().known, joined: membership.joined() };
 }
 
 /** What is known of back ends by their own words, and the permits to send to those that name a limit. */
--- a/src/parts/quota-part.ts
+++ b/src/parts/quota-part.ts
@@ -27,7 +27,7 @@
   }
 
   override receivePeer(fromId: string, fromAddress: string, message: PeerMessage, now: number): void {
-    this.manager.hear(fromId, now)
+    this.manager.onContact(fromId, now)
     switch (message.kind) {
       case "quotaAsk":
       case "quotaAnswer":
@@ -56,7 +56,7 @@
   }
 
   override onProcessResumed(now: number): void {
-    this.manager.resumeAfterPause(now)
+    this.manager.onProcessResumed(now)
   }
 
   override tick(now: number): void {
