--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -244,7 +244,7 @@
   private rankReader(): void {
     if (!this.membersChanged) return;
     this.membersChanged = false;
-    this.machines.directory.peers.setDaemons(this.machines.membership.active().length);
+    this.machines.directory.peers.setDaemonCount(this.machines.membership.active().length);
     this.rank = getRendezvousRank(READER_KEY, this.machines.membership.activeIds(), this.identity.id);
     this.machines.replica.setRank(this.rank);
   }
--- a/src/parts/backend-signal-part.ts
+++ b/src/parts/backend-signal-part.ts
@@ -62,7 +62,7 @@
 
   override receivePeer(fromId: string, fromAddress: string, message: PeerMessage, now: number): void {
     const {permits} = this.surroundings
-    permits.hear(fromId, now)
+    permits.onContact(fromId, now)
     switch (message.kind) {
       case "quotaAsk":
       case "quotaAnswer":
@@ -75,11 +75,11 @@
   }
 
   override onProcessResumed(now: number): void {
-    this.surroundings.permits.resumeAfterPause(now)
+    this.surroundings.permits.onProcessResumed(now)
   }
 
   override onMachineSuspended(forMs: number): void {
-    this.surroundings.limits.addAge(forMs)
+    this.surroundings.limits.onMachineSuspended(forMs)
   }
 
   override tick(now: number): void {
@@ -89,7 +89,7 @@
   override scan(_leaving: boolean, now: number): void {
     this.surroundings.limits.tick()
     for (const known of [this.confirmedAt, this.namedInChecks, this.unreadable])
-      for (const view of known.keys()) if (view.gone) known.delete(view)
+      for (const view of known.keys()) if (view.removed) known.delete(view)
     for (const view of this.surroundings.limits.getLimited()) this.confirm(view, now)
   }
 
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -125,7 +125,7 @@
   private avoidEnded(incarnation: string): void {
     for (const record of this.records.values())
       if (getIncarnation(record) === incarnation)
-        this.surroundings.directory.get(record.id)?.health.onProcessEnded(this.handledAt)
+        this.surroundings.directory.get(record.id)?.health.onContactLost(this.handledAt)
   }
 }
 
