--- a/src/limits/slot-owner.ts
+++ b/src/limits/slot-owner.ts
@@ -1,7 +1,7 @@
 /**
- * The owner's side of a service's limits: grants slots with expiry and keeps the queue of waiting requests.
+ * The owner's side of a service's limits: grants slots as leases and keeps the queue of waiting requests.
  * A daemon that has just become owner waits one slot lease before it grants, so that the renewals of slots
- * granted by its predecessor reach it first; a handover from a leaving owner spares the wait.
+ * granted by its predecessor reach it first. After a handover from a leaving owner it need not wait.
  */
 import { getSlotQueueRetryAfterMs, MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS } from '../routing/retry-after.js';
 import type { EffectSink } from '../shared/effect-sink.js';
@@ -11,84 +11,85 @@
 interface ServiceLimits {
   /** Slots in the whole fleet. */
   readonly maximumConcurrency: number;
-  /** Requests that may wait for one. */
+  /** Requests that may wait for a slot. */
   readonly maximumWaiting: number;
 }
 
-/** What the owner asks its runner to do. */
+/** Effects of the owner, for the caller to perform. */
 interface OwnerEffect {
   readonly kind: 'sendLimit';
   readonly daemonId: string;
   readonly message: LimitMessage;
 }
 
-interface Holding {
+interface HeldCount {
   count: number;
   expiresAt: number;
 }
 
-interface Waiting {
+interface QueuedRequest {
   readonly daemonId: string;
   readonly token: number;
 }
 
 interface OwnedService {
-  readonly holders: Map<string, Holding>;
-  readonly queue: Waiting[];
-  /** No grants before this time. */
-  grantsFrom: number;
-  completedSince: number;
+  readonly holders: Map<string, HeldCount>;
+  readonly queue: QueuedRequest[];
+  /** No slot is granted before this time. */
+  grantsStartAt: number;
+  completedCountedSince: number;
   completed: number;
 }
 
-/** The owner state machine of one daemon, for all services that it owns. */
+/** The owner state machine of one daemon, for all services that it owns. Times are monotonic milliseconds. */
 export class SlotOwner {
   private readonly services = new Map<string, OwnedService>();
 
   constructor(
     private readonly settings: LimitSettings,
-    private readonly limitsOf: (service: string) => ServiceLimits | undefined,
+    private readonly getLimits: (service: string) => ServiceLimits | undefined,
     private readonly emit: EffectSink<OwnerEffect>,
     /**
-     * When this daemon started to take part; services first seen within a lease of it may have had another
-     * owner.
+     * When the set of owners last changed, at first when this daemon joined. A service whose first request
+     * comes within one slot lease of that time may have had another owner.
      */
     private ownershipChangedAt: number,
   ) {}
 
-  /** Services with state here, and slots in use, for status pages. */
+  /** Slots in use and requests waiting, for each service with state here; for the status document. */
   getUsage(): { service: string; held: number; waiting: number }[] {
     return [...this.services].map(([service, owned]) => ({
       service,
-      held: heldCount(owned),
+      held: countHeldSlots(owned),
       waiting: owned.queue.length,
     }));
   }
 
   /**
-   * A daemon joined or went: services that are new here from now on may come with slots granted elsewhere.
+   * A daemon joined or left: services that this daemon begins to own from now on may have slots that another
+   * owner granted.
    */
   onMembershipChanged(now: number): void {
     this.ownershipChangedAt = now;
   }
 
-  /** Takes a message from a holder or a predecessor. */
+  /** Handles a message from a holder or from the previous owner. */
   receive(fromId: string, message: LimitMessage, now: number): void {
     switch (message.kind) {
       case 'slotRequest':
-        this.request(fromId, message.service, message.token, now);
+        this.receiveRequest(fromId, message.service, message.token, now);
         break;
       case 'slotCancel':
-        this.cancel(fromId, message.service, message.token);
+        this.removeRequest(fromId, message.service, message.token);
         break;
       case 'slotRelease':
-        for (const [service, count] of message.held) this.release(fromId, service, count, now);
+        for (const [service, count] of message.held) this.applyRelease(fromId, service, count, now);
         break;
       case 'slotRenew':
-        this.renew(fromId, message.held, now);
+        this.applyRenewal(fromId, message.held, now);
         break;
       case 'slotHandover':
-        this.takeOver(message.service, message.holders, now);
+        this.applyHandover(message.service, message.holders, now);
         break;
       case 'slotGrant':
       case 'slotRefuse':
@@ -96,7 +97,7 @@
     }
   }
 
-  /** Frees expired slots and grants to those that wait. */
+  /** Frees expired slots, grants free slots to waiting requests, and drops the state of idle services. */
   tick(now: number): void {
     for (const [service, owned] of this.services) {
       for (const [daemonId, holding] of owned.holders) {
@@ -104,11 +105,14 @@
       }
       this.grantWaiting(service, owned, now);
       const idle = owned.holders.size === 0 && owned.queue.length === 0;
-      if (idle && now > owned.grantsFrom + this.settings.slotLeaseMs) this.services.delete(service);
+      if (idle && now > owned.grantsStartAt + this.settings.slotLeaseMs) this.services.delete(service);
     }
   }
 
-  /** Drops what a dead daemon waited for; its slots run to their expiry, since its requests may still run. */
+  /**
+   * Removes the waiting requests of a dead daemon. Its slots are kept until they expire, since its requests
+   * may still be executing.
+   */
   removeWaitingOf(daemonId: string): void {
     for (const owned of this.services.values()) {
       for (let index = owned.queue.length - 1; index >= 0; index -= 1) {
@@ -117,7 +121,7 @@
     }
   }
 
-  /** Hands every service to its next owner. */
+  /** Hands every service over to its next owner. */
   handOver(successorOf: (service: string) => string | undefined): void {
     for (const [service, owned] of this.services) {
       const successor = successorOf(service);
@@ -132,24 +136,24 @@
     this.services.clear();
   }
 
-  private owned(service: string, now: number): OwnedService {
+  private getService(service: string, now: number): OwnedService {
     const known = this.services.get(service);
     if (known) return known;
-    const grantsFrom = Math.min(now, this.ownershipChangedAt) + this.settings.slotLeaseMs;
+    const grantsStartAt = Math.min(now, this.ownershipChangedAt) + this.settings.slotLeaseMs;
     const owned: OwnedService = {
       holders: new Map(),
       queue: [],
-      grantsFrom,
-      completedSince: now,
+      grantsStartAt,
+      completedCountedSince: now,
       completed: 0,
     };
     this.services.set(service, owned);
     return owned;
   }
 
-  private request(daemonId: string, service: string, token: number, now: number): void {
-    const limits = this.limitsOf(service);
-    const owned = this.owned(service, now);
+  private receiveRequest(daemonId: string, service: string, token: number, now: number): void {
+    const limits = this.getLimits(service);
+    const owned = this.getService(service, now);
     if (!limits) {
       this.refuse(daemonId, service, token, MAXIMUM_SLOT_QUEUE_RETRY_AFTER_MS);
       return;
@@ -159,7 +163,7 @@
       return;
     }
     if (owned.queue.length >= limits.maximumWaiting) {
-      const elapsedMs = now - owned.completedSince;
+      const elapsedMs = now - owned.completedCountedSince;
       const retryAfterMs = getSlotQueueRetryAfterMs(owned.queue.length, owned.completed, elapsedMs);
       this.refuse(daemonId, service, token, retryAfterMs);
       return;
@@ -168,7 +172,7 @@
   }
 
   private mayGrant(owned: OwnedService, limits: ServiceLimits, now: number): boolean {
-    return now >= owned.grantsFrom && heldCount(owned) < limits.maximumConcurrency;
+    return now >= owned.grantsStartAt && countHeldSlots(owned) < limits.maximumConcurrency;
   }
 
   private grant(daemonId: string, service: string, token: number, owned: OwnedService, now: number): void {
@@ -183,14 +187,14 @@
     this.emit({ kind: 'sendLimit', daemonId, message: { kind: 'slotRefuse', service, token, retryAfterMs } });
   }
 
-  private cancel(daemonId: string, service: string, token: number): void {
+  private removeRequest(daemonId: string, service: string, token: number): void {
     const queue = this.services.get(service)?.queue;
     const index =
       queue?.findIndex((waiting) => waiting.daemonId === daemonId && waiting.token === token) ?? -1;
     if (index >= 0) queue?.splice(index, 1);
   }
 
-  private release(daemonId: string, service: string, count: number, now: number): void {
+  private applyRelease(daemonId: string, service: string, count: number, now: number): void {
     const owned = this.services.get(service);
     const holding = owned?.holders.get(daemonId);
     if (!owned || !holding) return;
@@ -200,17 +204,17 @@
   }
 
   private grantWaiting(service: string, owned: OwnedService, now: number): void {
-    const limits = this.limitsOf(service);
+    const limits = this.getLimits(service);
     while (limits && owned.queue.length > 0 && this.mayGrant(owned, limits, now)) {
-      const next = owned.queue.shift() as Waiting;
+      const next = owned.queue.shift() as QueuedRequest;
       this.grant(next.daemonId, service, next.token, owned, now);
     }
   }
 
-  /** A renewal is believed even over the limit: the requests do run. */
-  private renew(daemonId: string, held: readonly HeldSlots[], now: number): void {
+  /** Accepts a renewal even beyond the limit, since the requests are already executing. */
+  private applyRenewal(daemonId: string, held: readonly HeldSlots[], now: number): void {
     for (const [service, count] of held) {
-      const owned = this.owned(service, now);
+      const owned = this.getService(service, now);
       const holding = owned.holders.get(daemonId) ?? { count: 0, expiresAt: 0 };
       holding.count = Math.max(holding.count, count);
       holding.expiresAt = now + this.settings.slotLeaseMs;
@@ -218,8 +222,8 @@
     }
   }
 
-  private takeOver(service: string, holders: readonly (readonly [string, number])[], now: number): void {
-    const owned = this.owned(service, now);
+  private applyHandover(service: string, holders: readonly (readonly [string, number])[], now: number): void {
+    const owned = this.getService(service, now);
     for (const [daemonId, count] of holders) {
       const known = owned.holders.get(daemonId)?.count ?? 0;
       owned.holders.set(daemonId, {
@@ -227,11 +231,11 @@
         expiresAt: now + this.settings.slotLeaseMs,
       });
     }
-    owned.grantsFrom = now;
+    owned.grantsStartAt = now;
   }
 }
 
-function heldCount(owned: OwnedService): number {
+function countHeldSlots(owned: OwnedService): number {
   let total = 0;
   for (const holding of owned.holders.values()) total += holding.count;
   return total;
--- a/src/shared/rendezvous-hash.ts
+++ b/src/shared/rendezvous-hash.ts
@@ -1,6 +1,6 @@
 /**
  * Rendezvous hashing (Thaler and Ravishankar, 1998): every daemon ranks the same candidates for a key in
- * the same order without talking, and a lost candidate moves only its own keys.
+ * the same order without communication, and the loss of a candidate moves only that candidate's keys.
  */
 import MurmurHash3 from 'imurmurhash';
 
@@ -9,49 +9,44 @@
   return MurmurHash3(text).result();
 }
 
-/** Hashes of texts that were ranked before; ranking hashes the same few hundred ids over and over. */
-const knownHashes = new Map<string, number>();
-/** Texts remembered at most: daemons, engines and keys of a large fleet several times over. */
-const MAXIMUM_KNOWN_HASHES = 8192;
+/** Cache of hashes by text: ranking hashes the same few hundred ids again and again. */
+const hashCache = new Map<string, number>();
+/** Maximum size of the cache: several times the daemons, engines and keys of a large fleet. */
+const MAXIMUM_CACHED_HASHES = 8192;
 
-function hashOnce(text: string): number {
-  const known = knownHashes.get(text);
+function getCachedHash(text: string): number {
+  const known = hashCache.get(text);
   if (known !== undefined) return known;
-  if (knownHashes.size >= MAXIMUM_KNOWN_HASHES) knownHashes.clear();
+  if (hashCache.size >= MAXIMUM_CACHED_HASHES) hashCache.clear();
   const hash = hashText(text);
-  knownHashes.set(text, hash);
+  hashCache.set(text, hash);
   return hash;
 }
 
-/**
- * How well a candidate suits a key: both hashes through the finalizer of MurmurHash3, which mixes every bit.
- */
+/** The score of a candidate for a key: both hashes, mixed by the finalizer of MurmurHash3 in every bit. */
 function getRendezvousScore(key: string, candidate: string): number {
-  let mixed = hashOnce(key) ^ hashOnce(candidate);
+  let mixed = getCachedHash(key) ^ getCachedHash(candidate);
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
   mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35);
   return (mixed ^ (mixed >>> 16)) >>> 0;
 }
 
-/** The candidates for `key`, best first, at most `count` of them. */
+/** The best candidates for `key`, best first, at most `count` of them. */
 export function rankByRendezvous(key: string, candidates: readonly string[], count: number): string[] {
   const scored = candidates.map((candidate) => ({ candidate, score: getRendezvousScore(key, candidate) }));
   scored.sort((left, right) => right.score - left.score || (left.candidate < right.candidate ? -1 : 1));
   return scored.slice(0, count).map((entry) => entry.candidate);
 }
 
-/**
- * Place of `self` in the ranking for `key`: the number of candidates that go before it. Linear, without
- * sorting.
- */
+/** Rank of `self` for `key`: the number of candidates ranked before it. Linear, without sorting. */
 export function getRendezvousRank(key: string, candidates: readonly string[], self: string): number {
-  const own = getRendezvousScore(key, self);
-  let place = 0;
+  const selfScore = getRendezvousScore(key, self);
+  let rank = 0;
   for (const candidate of candidates) {
     const score = getRendezvousScore(key, candidate);
-    if (score > own || (score === own && candidate < self)) place += 1;
+    if (score > selfScore || (score === selfScore && candidate < self)) rank += 1;
   }
-  return place;
+  return rank;
 }
 
 /** The best candidate for `key`, or undefined when there is none. Linear, without sorting. */
--- a/src/shared/table.ts
+++ b/src/shared/table.ts
@@ -1,7 +1,7 @@
-/** Plain tables for the terminal. */
+/** Plain text tables for the terminal. */
 import Table from 'cli-table3';
 
-const BORDERLESS = {
+const BORDERLESS_CHARACTERS = {
   top: '',
   'top-mid': '',
   'top-left': '',
@@ -19,14 +19,14 @@
   middle: '  ',
 };
 
-/** Formats rows under a header. */
+/** Formats rows as a table without borders under a header line. */
 export function formatTable(
   header: readonly string[],
   rows: readonly (readonly (string | number)[])[],
 ): string {
   const table = new Table({
     head: [...header],
-    chars: BORDERLESS,
+    chars: BORDERLESS_CHARACTERS,
     style: { head: [], border: [], 'padding-left': 0, 'padding-right': 0 },
   });
   for (const row of rows) table.push([...row]);
