--- a/src/gateway/forward-server.ts
+++ b/src/gateway/forward-server.ts
@@ -6,7 +6,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { startListening, stopListening } from '../adapters/listen.js';
-import type { KeptAnswer, StreamSink } from '../adapters/backend-client.js';
+import type { BufferedAnswer, StreamSink } from '../adapters/backend-client.js';
 import type { CallerLimits } from '../forwarding/routes/route.js';
 import { afterNextPoll, closeUnlessRead } from './after-next-poll.js';
 import { STATUS_TOO_LARGE } from '../shared/http-status.js';
@@ -89,12 +89,12 @@
   }
 
   /** The id of the last event passed on. */
-  lastEventId(): string | undefined {
+  getLastEventId(): string | undefined {
     return this.headSent ? this.lastId : undefined;
   }
 
   /** Begins a streamed answer; the head of a back end that goes on with it is not the caller's business. */
-  head(status: number, headers: string[], framed: boolean): void {
+  writeHead(status: number, headers: string[], framed: boolean): void {
     if (this.over || this.headSent) return;
     this.headSent = true;
     this.markClosing();
@@ -104,14 +104,14 @@
   }
 
   /** Passes on whole events. */
-  events(bytes: Buffer, lastEventId: string | undefined): void {
+  writeEvents(bytes: Buffer, lastEventId: string | undefined): void {
     if (this.over) return;
     if (lastEventId !== undefined) this.lastId = lastEventId;
     this.response.write(bytes);
   }
 
   /** Ends the answer: a stream, or one that was kept. */
-  whole(answer: KeptAnswer): void {
+  whole(answer: BufferedAnswer): void {
     if (this.over) return;
     this.over = true;
     if (this.headSent) {
--- a/src/process/completion-actors.ts
+++ b/src/process/completion-actors.ts
@@ -129,7 +129,9 @@
     const { platform } = this.parts;
     if (effect.kind === 'tableRequest') {
       const { tag, request } = effect;
-      void platform.table(request).then((result) => this.dispatch({ kind: 'tableResult', tag, result }));
+      void platform
+        .sendTableRequest(request)
+        .then((result) => this.dispatch({ kind: 'tableResult', tag, result }));
     } else {
       void platform
         .listMachines(effect.cells)
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -303,7 +303,7 @@
         this.server.limit(effect.configuration.limits);
         break;
       case 'backendGone':
-        this.backends.forget(effect.backendId);
+        this.backends.removeBackend(effect.backendId);
         break;
       default:
         this.outside.perform(effect);
--- a/src/process/open-requests.ts
+++ b/src/process/open-requests.ts
@@ -40,7 +40,7 @@
   add(received: ReceivedRequest, reply: CallerReply): void {
     this.numbered += 1;
     const id = this.numbered.toString(ID_RADIX);
-    const head = this.dialect.callerHead(received.headers);
+    const head = this.dialect.parseCallerHead(received.headers);
     const { method, path, host, headers, body, callerAddress } = received;
     this.open.set(id, { reply, request: { method, path, headers, head, body } });
     reply.onGone = () => {
@@ -88,7 +88,7 @@
   reply(effect: ReplyEffect): void {
     switch (effect.kind) {
       case 'replyWhole': {
-        const answer = this.backends.take(effect.attemptId);
+        const answer = this.backends.takeAnswer(effect.attemptId);
         if (answer) this.take(effect.requestId)?.whole(answer);
         break;
       }
--- a/test/attempt-arrivals.test.ts
+++ b/test/attempt-arrivals.test.ts
@@ -149,7 +149,7 @@
     once,
     resumeAfter: undefined,
   };
-  const sink = { head: () => undefined, events: () => undefined, lastEventId: () => undefined };
+  const sink = { writeHead: () => undefined, writeEvents: () => undefined, getLastEventId: () => undefined };
   return new Promise((resolve) =>
     client.start(start, request, sink, (event) => {
       if (event.kind !== 'connectionSilent') resolve();
