--- a/src/adapters/application-client.ts
+++ b/src/adapters/application-client.ts
@@ -1,10 +1,13 @@
-/** Application servers over HTTP. A connection is used for one call, so that a failure can be placed. */
+/**
+ * Sends calls to application servers over HTTP. Each connection carries one call, so that a connection failure
+ * belongs to exactly one call.
+ */
 import { Agent, request } from 'undici';
 import type { ApplicationEvent } from '../routing/application-messages.js';
 import { isConnectFailure } from './connect-failure.js';
 import { readRetryAfterMs, type UnreadableRetryAfterListener } from './retry-after-header.js';
 
-/** A caller's call as it travels on. */
+/** A caller's call as it is forwarded. */
 export interface ApplicationPayload {
   readonly method: string;
   readonly path: string;
@@ -17,28 +20,28 @@
   /** `ip:port`. */
   readonly address: string;
   readonly payload: ApplicationPayload;
-  /** Time that is left until the caller's deadline. Milliseconds. */
+  /** Time left until the caller's deadline. Milliseconds. */
   readonly remainingMs: number;
 }
 
-/** Application servers as the daemon's process uses them. */
+/** Client for application servers. */
 export interface ApplicationClient {
-  /** Starts a call; `onEvent` is called once. Returns how to cancel it. */
+  /** Starts a call; `onEvent` is called once. Returns a function that cancels the call. */
   start(call: ApplicationServerCall, onEvent: (event: ApplicationEvent) => void): () => void;
   close(): Promise<void>;
 }
 
-/** Header with which a server says that it turned a call away before it began. */
+/** Set by a server that rejected a call before it began to execute it. */
 const NOT_RUN_HEADER = 'pulleyledge-not-run';
-/** Header with which a server says that it is leaving. */
+/** Set by a server that is shutting down. */
 const LEAVING_HEADER = 'pulleyledge-leaving';
 
-/** A connection that does not come up within this time counts as refused. Milliseconds. */
+/** A connection attempt that takes longer counts as refused. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000;
 
-/** The HTTP adapter. */
+/** Application client over HTTP. */
 export class HttpApplicationClient implements ApplicationClient {
-  /** Without pipelining or keep-alive a call never meets a connection that the server is closing. */
+  /** No pipelining and no keep-alive: a call can't be written to a connection that the server is closing. */
   private readonly agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS }, pipelining: 0 });
 
   constructor(private readonly onUnreadable: UnreadableRetryAfterListener = () => undefined) {}
--- a/src/adapters/attempt-handler.ts
+++ b/src/adapters/attempt-handler.ts
@@ -1,5 +1,6 @@
 /**
- * Follows one attempt at a back end: what was written, what came back, and what that means for the request.
+ * Handles one attempt at a back end: tracks whether the request was written, reads the response, and reports what
+ * it means for the request.
  */
 import type { Dispatcher } from 'undici';
 import type { BackendSignals } from '../forwarding/backends/backend-signals.js';
@@ -17,7 +18,7 @@
   STATUS_OK,
 } from '../shared/http-status.js';
 
-/** A caller's request as it came. */
+/** A caller's request as it was received. */
 export interface CallerRequest {
   readonly method: string;
   readonly path: string;
@@ -26,60 +27,60 @@
   readonly body: Buffer;
 }
 
-/** Takes the parts of a streamed answer. */
+/** Receives the parts of a streamed answer. */
 export interface StreamSink {
-  /** The head. `framed` says whether the answer tells where it ends, other than by closing the connection. */
+  /** Writes the head. `framed` is false where only the closing of the connection marks the end of the answer. */
   writeHead(status: number, headers: string[], framed: boolean): void;
-  /** Whole events. */
+  /** Writes complete events. */
   writeEvents(bytes: Buffer, lastEventId: string | undefined): void;
-  /** The id of the last event that was passed on. */
+  /** The id of the last event that was written. */
   getLastEventId(): string | undefined;
 }
 
-/** An answer that was kept until it was whole. */
+/** An answer that was buffered until it was complete. */
 export interface BufferedAnswer {
   readonly status: number;
   readonly headers: string[];
   readonly body: Buffer;
-  /** Whether the back end told where the answer ends, other than by closing the connection. */
+  /** False where only the closing of the connection marked the end of the answer. */
   readonly framed: boolean;
 }
 
 const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([STATUS_NO_CONTENT, STATUS_NOT_MODIFIED]);
-/** A longer answer that has to be kept whole is broken off. Bytes; it only protects the process's memory. */
-const MAXIMUM_KEPT_BYTES = 16 * 1024 * 1024;
+/** A buffered answer that gets longer is aborted. Bytes; it only protects the process's memory. */
+const MAXIMUM_BUFFERED_BYTES = 16 * 1024 * 1024;
 const NO_HEADERS: ReadonlySet<string> = new Set();
 
-/** What an attempt is made with. */
-interface AttemptParts {
-  /** The connections that it is sent over. */
+/** Options of an attempt. */
+interface AttemptOptions {
+  /** The pool whose connections the attempt is sent over. */
   readonly pool: ServerPool;
   readonly dialect: BackendDialect;
   readonly resets: ResetDetector;
   readonly start: AttemptStart;
   readonly request: CallerRequest;
-  /** Takes the parts of a streamed answer. */
+  /** Receives the parts of a streamed answer. */
   readonly sink: StreamSink;
-  /** Called in the order in which things happen; nothing follows an event that ends the attempt. */
+  /** Called in order; no event follows one that ends the attempt. */
   readonly onEvent: (event: ForwardAttemptEvent) => void;
 }
 
-/** Follows one attempt. undici calls its methods in order. */
+/** Handler of one attempt. undici calls its methods in order. */
 export class AttemptHandler implements Dispatcher.DispatchHandler {
   answer: BufferedAnswer | undefined;
   private controller: Dispatcher.DispatchController | undefined;
   private written = false;
   private sentAt = 0;
   private sentAtCheck = 0;
-  private heard = false;
-  private reportedSilent = false;
+  private responseStarted = false;
+  private silenceReported = false;
   private finished = false;
   private status = 0;
   private signals: BackendSignals | undefined;
   private headers: string[] = [];
   private framed = true;
   private readonly chunks: Buffer[] = [];
-  private keptBytes = 0;
+  private bufferedBytes = 0;
   private splitter: EventSplitter | undefined;
 
   readonly pool: ServerPool;
@@ -90,7 +91,7 @@
   private readonly sink: StreamSink;
   private readonly onEvent: (event: ForwardAttemptEvent) => void;
 
-  constructor({ pool, dialect, resets, start, request, sink, onEvent }: AttemptParts) {
+  constructor({ pool, dialect, resets, start, request, sink, onEvent }: AttemptOptions) {
     this.pool = pool;
     this.dialect = dialect;
     this.resets = resets;
@@ -100,13 +101,13 @@
     this.onEvent = onEvent;
   }
 
-  /** Stops listening and closes the connection. */
+  /** Closes the connection; no event is reported any more. */
   abort(): void {
     this.finished = true;
     this.controller?.abort(new Error('aborted'));
   }
 
-  /** Reports that it was not sent, unless it has been. */
+  /** Ends the attempt as not sent, unless it has been written already. */
   abandon(): void {
     if (this.written || this.finished) return;
     this.finished = true;
@@ -119,32 +120,35 @@
     else {
       this.written = true;
       this.sentAt = performance.now();
-      this.sentAtCheck = this.pool.getCheck();
+      this.sentAtCheck = this.pool.getCheckCount();
     }
   }
 
-  /** Whether nothing was heard for so many checks, on this connection and on those of its age. */
+  /**
+   * Whether nothing was received for more than `checks` checks, neither on this connection nor on any other that
+   * was open when the attempt was sent.
+   */
   isSuspect(checks: number): boolean {
-    return this.isUnheard(checks) && this.pool.isSuspect(this.sentAt, this.sentAtCheck);
+    return this.isUnanswered(checks) && this.pool.isSuspect(this.sentAt, this.sentAtCheck);
   }
 
-  /** Whether nothing was heard for so many checks on this connection. */
-  isUnheard(checks: number): boolean {
-    if (!this.written || this.finished || this.heard) return false;
-    return this.pool.getCheck() - this.sentAtCheck > checks;
+  /** Whether no response has started for more than `checks` checks. */
+  isUnanswered(checks: number): boolean {
+    if (!this.written || this.finished || this.responseStarted) return false;
+    return this.pool.getCheckCount() - this.sentAtCheck > checks;
   }
 
-  /** Reports once that the attempt waits on a connection that is probably silent. */
+  /** Reports, once, that the attempt waits on a connection that has probably gone silent. */
   reportSilent(): void {
-    if (this.reportedSilent) return;
-    this.reportedSilent = true;
+    if (this.silenceReported) return;
+    this.silenceReported = true;
     this.onEvent({ kind: 'connectionSilent' });
   }
 
   onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
-    this.heard = true;
+    this.responseStarted = true;
     if (status < FIRST_FINAL_STATUS || this.finished) return;
-    const raw = rawHeaders(controller);
+    const raw = getRawHeaders(controller);
     this.status = status;
     const head = this.dialect.parseAnswerHead(status, raw, this.request.head, this.start.prefillOnly);
     if (head.kind === 'foreign') {
@@ -160,16 +164,16 @@
       this.headers = pickEndToEndHeaders(raw, NO_HEADERS);
       this.framed = isFramed(status, raw, this.request.method);
       if (this.start.stream && status < FIRST_UNSUCCESSFUL_STATUS && !this.start.prefillOnly)
-        this.beginStream();
+        this.startStream();
     }
   }
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
     if (this.finished) return;
-    if (this.splitter) this.streamData(this.splitter, chunk);
+    if (this.splitter) this.writeStreamData(this.splitter, chunk);
     else {
-      this.keptBytes += chunk.length;
-      if (this.keptBytes > MAXIMUM_KEPT_BYTES)
+      this.bufferedBytes += chunk.length;
+      if (this.bufferedBytes > MAXIMUM_BUFFERED_BYTES)
         this.fail({ kind: 'broken', reason: 'the answer is too long', isInvalidAnswer: true });
       else this.chunks.push(Buffer.from(chunk));
     }
@@ -184,7 +188,7 @@
     this.finished = true;
     const body = Buffer.concat(this.chunks);
     if (this.start.prefillOnly) {
-      this.prefillEnded(body);
+      this.onPrefillEnd(body);
       return;
     }
     if (this.splitter) {
@@ -202,20 +206,20 @@
     this.onEvent(this.written ? { kind: 'broken', reason } : { kind: 'unreachable', reason });
   }
 
-  private streamData(splitter: EventSplitter, chunk: Buffer): void {
+  private writeStreamData(splitter: EventSplitter, chunk: Buffer): void {
     const batch = splitter.push(chunk);
     if (!batch) return;
     this.sink.writeEvents(batch.bytes, batch.lastEventId);
     this.onEvent({ kind: 'streamProgress', lastEventId: batch.lastEventId });
   }
 
-  private beginStream(): void {
+  private startStream(): void {
     this.splitter = new EventSplitter();
     this.sink.writeHead(this.status, this.headers, this.framed);
     this.onEvent({ kind: 'streamStarted', signals: this.signals });
   }
 
-  private prefillEnded(body: Buffer): void {
+  private onPrefillEnd(body: Buffer): void {
     const handle = this.status === STATUS_OK ? this.dialect.parsePrefillHandle(body) : undefined;
     if (handle === undefined) this.onEvent({ kind: 'broken', reason: `prefill answered ${this.status}` });
     else this.onEvent({ kind: 'prefilled', handle, signals: this.signals });
@@ -224,7 +228,7 @@
   private fail(event: ForwardAttemptEvent): void {
     this.finished = true;
     this.onEvent(event);
-    this.controller?.abort(new Error('not the answer'));
+    this.controller?.abort(new Error('invalid answer'));
   }
 }
 
@@ -234,7 +238,7 @@
   return bodiless || declared !== undefined;
 }
 
-function rawHeaders(controller: Dispatcher.DispatchController): string[] {
+function getRawHeaders(controller: Dispatcher.DispatchController): string[] {
   const raw = controller.rawHeaders;
   if (!Array.isArray(raw)) return [];
   return raw.map((value) => (typeof value === 'string' ? value : value.toString('latin1')));
--- a/src/adapters/backend-client.ts
+++ b/src/adapters/backend-client.ts
@@ -1,6 +1,6 @@
 /**
- * Sends attempts to back ends over kept connections, one pool a back end's incarnation, and reports what
- * became of each. It knows for certain whether a request was never written: then no connection came about.
+ * Sends attempts to back ends over pooled keep-alive connections, with a pool for each incarnation of a back end,
+ * and reports the outcome of each. `unreachable` is certain: the request was never written to a connection.
  */
 import type { Dispatcher } from 'undici';
 import type { AttemptStart, ForwardAttemptEvent, KvSource } from '../forwarding/forward-messages.js';
@@ -22,16 +22,16 @@
 
 export type { CallerRequest, BufferedAnswer as BufferedAnswer, StreamSink } from './attempt-handler.js';
 
-/** A call of the daemon's own. */
-interface SmallCall extends PlainCall {
+/** A call that the daemon makes for itself, not for a caller. */
+interface InternalCall extends PlainCall {
   readonly headers?: string[];
   readonly body?: string;
 }
 
-/** The daemon's own calls to back ends, by what they are for. */
-type SmallCallKind = 'freeKv' | 'probe' | 'kvChanges' | 'engineStatus';
+/** Purposes of internal calls. */
+type InternalCallKind = 'freeKv' | 'probe' | 'kvChanges' | 'engineStatus';
 
-/** Hears what a back end says of itself in the answer to a call of the daemon's own that was sent at `sentAt`. */
+/** Receives the signals in the answer to an internal call that was sent at `sentAt` (monotonic milliseconds). */
 type SignalListener = (
   backend: BackendRecord,
   signals: BackendSignals,
@@ -39,60 +39,61 @@
   isHealthCheck: boolean,
 ) => void;
 
-/** Hears of a call of the daemon's own that was not answered, and why. */
-type UnansweredListener = (call: SmallCallKind, reason: string) => void;
+/** Receives each internal call that was not answered, with the reason. */
+type UnansweredListener = (call: InternalCallKind, reason: string) => void;
 
-interface SmallAnswer {
+interface InternalAnswer {
   readonly status: number;
   readonly headers: string[];
   readonly body: string;
 }
 
-/** Settings of the connections. */
+/** Settings of the client. */
 export interface BackendClientSettings {
-  /** A connection that does not come up within this time counts as refused. Milliseconds. */
+  /** A connection attempt that takes longer counts as refused. Milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Connections to one back end. */
+  /** Maximum number of connections to one back end. */
   readonly connectionsPerBackend: number;
-  /** A probe or a call that frees something times out after this. Milliseconds. */
+  /** Time-out of internal calls. Milliseconds; a long poll adds its waiting time. */
   readonly callTimeoutMs: number;
   /**
-   * A request that has heard nothing for so long makes the connections of its age suspect, if none of them
-   * was heard either. Milliseconds. A quarter of the 4 s within which contact has to be found again.
+   * When a request has had no response for this time, and none of the connections that were open when it was sent
+   * has received anything since, all of them are suspect. Milliseconds; a quarter of the 4 s within which contact
+   * must be re-established.
    */
   readonly silentConnectionMs: number;
 }
 
-/** A connection rests for so long at most, whatever the server allows. Milliseconds. */
-const MAXIMUM_KEEP_ALIVE_MS = 30_000;
+/** Maximum idle time of a connection, whatever the server allows. Milliseconds. */
+const MAXIMUM_IDLE_MS = 30_000;
 /**
- * A back end may forget a connection that rests; what cannot be sent again takes none that rested longer.
- * Milliseconds.
+ * Maximum idle time of a connection for requests that can't be retried: a back end may silently drop a connection
+ * that is idle. Milliseconds.
  */
-const MAXIMUM_REST_MS = 200;
+const MAXIMUM_IDLE_ONCE_MS = 200;
 /**
- * Interval between looks at which connections were heard. Milliseconds; a quarter of the default of
+ * Interval of the checks which connections have received data. Milliseconds; a quarter of the default of
  * `silentConnectionMs`.
  */
 const CHECK_INTERVAL_MS = 250;
-/** After these events the attempt is still known: it goes on, or its answer is yet to be taken. */
-const KEEPS_ATTEMPT: ReadonlySet<ForwardAttemptEvent['kind']> = new Set([
+/** After these events the attempt is kept: it is still in progress, or its answer has not been taken yet. */
+const NON_FINAL_EVENTS: ReadonlySet<ForwardAttemptEvent['kind']> = new Set([
   'streamStarted',
   'streamProgress',
   'whole',
   'connectionSilent',
 ]);
-/** Keys of pools beside the usual one of a back end. */
-const PROBE = 'probe';
-const ONCE = 'once';
-const KV_CHANGES = 'kv';
+/** Prefixes of the keys of a back end's pools beside its default one, whose key is the back end's id. */
+const PROBE_POOL = 'probe';
+const ONCE_POOL = 'once';
+const KV_CHANGES_POOL = 'kv';
 
 /** The client of one daemon. */
 export class BackendClient {
   private readonly pools = new Map<string, ServerPool>();
-  /** Pools that get nothing new, by those that took their place. */
-  private readonly replaced = new Map<ServerPool, ServerPool>();
-  private readonly live = new Map<string, AttemptHandler>();
+  /** The successor of each pool that gets no new requests. */
+  private readonly successors = new Map<ServerPool, ServerPool>();
+  private readonly attempts = new Map<string, AttemptHandler>();
   private readonly resets: ResetDetector;
   private readonly timer: NodeJS.Timeout;
   private readonly silentChecks: number;
@@ -117,8 +118,8 @@
   ): void {
     const resumed: AttemptStart = { ...start, resumeAfter: sink.getLastEventId() ?? start.resumeAfter };
     const { id, address } = start.backend;
-    const key = start.once ? `${ONCE} ${id}` : id;
-    const pool = this.pool(key, address, start.once ? MAXIMUM_REST_MS : MAXIMUM_KEEP_ALIVE_MS);
+    const key = start.once ? `${ONCE_POOL} ${id}` : id;
+    const pool = this.getPool(key, address, start.once ? MAXIMUM_IDLE_ONCE_MS : MAXIMUM_IDLE_MS);
     const handler = new AttemptHandler({
       pool,
       dialect: this.dialect,
@@ -127,11 +128,11 @@
       request,
       sink,
       onEvent: (event) => {
-        if (!KEEPS_ATTEMPT.has(event.kind)) this.live.delete(start.attemptId);
+        if (!NON_FINAL_EVENTS.has(event.kind)) this.attempts.delete(start.attemptId);
         onEvent(event);
       },
     });
-    this.live.set(start.attemptId, handler);
+    this.attempts.set(start.attemptId, handler);
     const options: Dispatcher.DispatchOptions = {
       path: request.path,
       method: request.method as Dispatcher.HttpMethod,
@@ -147,79 +148,88 @@
     }
   }
 
-  /** Aborts an attempt: its connection is closed, which tells the back end. */
+  /** Aborts an attempt by closing its connection, which the back end notices. */
   abort(attemptId: string): void {
-    const handler = this.live.get(attemptId);
-    this.live.delete(attemptId);
+    const handler = this.attempts.get(attemptId);
+    this.attempts.delete(attemptId);
     if (!handler) return;
-    if (handler.isSuspect(this.silentChecks)) this.replace(handler.pool);
+    if (handler.isSuspect(this.silentChecks)) this.replacePool(handler.pool);
     handler.abort();
   }
 
-  /** Nobody waits for the attempt: it is not sent any more; one that has been sent goes on. */
+  /** Cancels an attempt that has not been sent yet; one that has been sent goes on. */
   abandon(attemptId: string): void {
-    this.live.get(attemptId)?.abandon();
+    this.attempts.get(attemptId)?.abandon();
   }
 
-  /** Hands out the whole answer of an attempt, once. */
+  /** Removes and returns the buffered answer of an attempt; undefined when there is none. */
   takeAnswer(attemptId: string): BufferedAnswer | undefined {
-    const handler = this.live.get(attemptId);
-    this.live.delete(attemptId);
+    const handler = this.attempts.get(attemptId);
+    this.attempts.delete(attemptId);
     return handler?.answer;
   }
 
-  /** Frees an exported KV cache; whether it worked changes nothing here. */
+  /** Frees an exported KV cache; the result is ignored. */
   freeKv(source: KvSource): void {
-    void this.ask('freeKv', source.address, source.address, this.dialect.createFreeKvCall(source));
+    void this.callOrReport('freeKv', source.address, source.address, this.dialect.createFreeKvCall(source));
   }
 
-  /** Asks a back end for its health. */
+  /** Sends a health check; false when it failed or was not answered. */
   async probe(probe: HealthProbe, healthPath: string): Promise<boolean> {
     const { id, address } = probe.backend;
     const sentAt = performance.now();
-    const answer = await this.ask('probe', `${PROBE} ${id}`, address, { method: 'GET', path: healthPath });
+    const answer = await this.callOrReport('probe', `${PROBE_POOL} ${id}`, address, {
+      method: 'GET',
+      path: healthPath,
+    });
     if (!answer) return false;
     const isHealthy = this.dialect.isHealthy(answer.status, answer.headers, id);
-    this.tellSignals(probe.backend, answer, sentAt, isHealthy);
+    this.reportSignals(probe.backend, answer, sentAt, isHealthy);
     return isHealthy;
   }
 
-  /** Asks a model engine for changes of its KV cache; undefined when it does not tell. */
+  /** Reads the changes of a model engine's KV cache; undefined when there was no valid answer. */
   async readKvChanges(call: KvChangesCall): Promise<KvChanges | undefined> {
     const { id, address } = call.backend;
-    const small = this.dialect.createKvChangesCall(call);
+    const internalCall = this.dialect.createKvChangesCall(call);
     const sentAt = performance.now();
-    const answer = await this.ask('kvChanges', `${KV_CHANGES} ${id}`, address, small, call.waitMs);
-    if (answer) this.tellSignals(call.backend, answer, sentAt);
+    const answer = await this.callOrReport(
+      'kvChanges',
+      `${KV_CHANGES_POOL} ${id}`,
+      address,
+      internalCall,
+      call.waitMs,
+    );
+    if (answer) this.reportSignals(call.backend, answer, sentAt);
     return answer && this.dialect.parseKvChanges(answer.status, answer.body);
   }
 
-  /** Asks a model engine for its state; undefined when it does not tell. */
+  /** Reads the state of a model engine; undefined when there was no valid answer. */
   async readEngineStatus(backend: BackendRecord): Promise<EngineStatus | undefined> {
     const call = this.dialect.createEngineStatusCall();
     const sentAt = performance.now();
-    const answer = await this.ask('engineStatus', backend.id, backend.address, call);
-    if (answer) this.tellSignals(backend, answer, sentAt);
+    const answer = await this.callOrReport('engineStatus', backend.id, backend.address, call);
+    if (answer) this.reportSignals(backend, answer, sentAt);
     return answer && this.dialect.parseEngineStatus(answer.status, answer.body);
   }
 
-  /** Gives an order once. */
+  /** Sends an order, without retries. */
   async order(order: StageOrder): Promise<StageOrderResult> {
     const { id, address } = order.backend;
     const sentAt = performance.now();
     try {
-      const answer = await this.call(id, address, this.dialect.createOrderCall(order));
-      this.tellSignals(order.backend, answer, sentAt);
+      const answer = await this.sendCall(id, address, this.dialect.createOrderCall(order));
+      this.reportSignals(order.backend, answer, sentAt);
       return this.dialect.parseOrderResult(answer.status);
     } catch (error) {
       return { kind: 'noAnswer', reason: (error as Error).name };
     }
   }
 
-  /** An answer counts for the incarnation that it names itself: another one may have the address by now. */
-  private tellSignals(
+  /** Ignores an answer that names another incarnation: the address may have been reused. */
+  private reportSignals(
     backend: BackendRecord,
-    { status, headers }: SmallAnswer,
+    { status, headers }: InternalAnswer,
     sentAt: number,
     isHealthCheck = false,
   ): void {
@@ -227,9 +237,9 @@
     this.onSignals(backend, this.dialect.parseSignals(status, headers), sentAt, isHealthCheck);
   }
 
-  /** Connections to a back end that is gone are closed when their requests are over. */
+  /** Removes the pools of a back end that is gone; each connection is closed when its request has ended. */
   removeBackend(backendId: string): void {
-    const kinds = [PROBE, ONCE, KV_CHANGES].map((kind) => `${kind} ${backendId}`);
+    const kinds = [PROBE_POOL, ONCE_POOL, KV_CHANGES_POOL].map((kind) => `${kind} ${backendId}`);
     for (const key of [backendId, ...kinds]) {
       this.pools.get(key)?.close();
       this.pools.delete(key);
@@ -239,72 +249,72 @@
   /** Closes every connection. */
   async close(): Promise<void> {
     clearInterval(this.timer);
-    const pools = [...this.pools.values(), ...this.replaced.keys()];
+    const pools = [...this.pools.values(), ...this.successors.keys()];
     await Promise.all(pools.map(({ pool }) => pool.destroy()));
   }
 
-  /** Finds connections that have fallen silent. */
+  /** Replaces the pools whose connections have gone silent, and reports the attempts that wait on them. */
   private tick(): void {
-    for (const pool of [...this.pools.values(), ...this.replaced.keys()]) pool.tick();
-    const waitedOn = new Set<ServerPool>();
-    for (const handler of this.live.values()) {
-      waitedOn.add(handler.pool);
-      const successor = this.replaced.get(handler.pool);
+    for (const pool of [...this.pools.values(), ...this.successors.keys()]) pool.tick();
+    const inUse = new Set<ServerPool>();
+    for (const handler of this.attempts.values()) {
+      inUse.add(handler.pool);
+      const successor = this.successors.get(handler.pool);
       if (successor === undefined) {
-        if (handler.isSuspect(this.silentChecks)) this.replace(handler.pool);
-      } else if (handler.isUnheard(this.silentChecks) && successor.hasReceived()) handler.reportSilent();
+        if (handler.isSuspect(this.silentChecks)) this.replacePool(handler.pool);
+      } else if (handler.isUnanswered(this.silentChecks) && successor.hasReceived()) handler.reportSilent();
     }
-    for (const pool of this.replaced.keys()) if (!waitedOn.has(pool)) this.replaced.delete(pool);
+    for (const pool of this.successors.keys()) if (!inUse.has(pool)) this.successors.delete(pool);
   }
 
-  /** New requests take new connections; those under way keep theirs. */
-  private replace(pool: ServerPool): void {
+  /** Replaces a pool for new requests; requests in flight keep their connections. */
+  private replacePool(pool: ServerPool): void {
     for (const [key, current] of this.pools) {
       if (current !== pool) continue;
       const successor = pool.createSuccessor();
       this.pools.set(key, successor);
-      this.replaced.set(pool, successor);
+      this.successors.set(pool, successor);
       pool.close();
     }
   }
 
-  /** A call whose answer may be missing: then the listener hears why. */
-  private async ask(
-    kind: SmallCallKind,
-    ...call: Parameters<BackendClient['call']>
-  ): Promise<SmallAnswer | undefined> {
+  /** Makes a call; when there is no answer, reports the reason to the listener. */
+  private async callOrReport(
+    kind: InternalCallKind,
+    ...call: Parameters<BackendClient['sendCall']>
+  ): Promise<InternalAnswer | undefined> {
     try {
-      return await this.call(...call);
+      return await this.sendCall(...call);
     } catch (error) {
       this.onUnanswered(kind, getFailureReason(error));
       return undefined;
     }
   }
 
-  private async call(
+  private async sendCall(
     key: string,
     address: string,
-    { method, path, headers, body }: SmallCall,
-    heldMs = 0,
-  ): Promise<SmallAnswer> {
-    const { pool } = this.pool(key, address);
+    { method, path, headers, body }: InternalCall,
+    longPollMs = 0,
+  ): Promise<InternalAnswer> {
+    const { pool } = this.getPool(key, address);
     const answer = await pool.request({
       method: method as Dispatcher.HttpMethod,
       path,
       headers,
       body,
-      signal: AbortSignal.timeout(this.settings.callTimeoutMs + heldMs),
+      signal: AbortSignal.timeout(this.settings.callTimeoutMs + longPollMs),
       responseHeaders: 'raw',
     });
     const text = await answer.body.text();
     return { status: answer.statusCode, headers: answer.headers as unknown as string[], body: text };
   }
 
-  private pool(key: string, address: string, maximumRestMs = MAXIMUM_KEEP_ALIVE_MS): ServerPool {
+  private getPool(key: string, address: string, maximumIdleMs = MAXIMUM_IDLE_MS): ServerPool {
     let pool = this.pools.get(key);
     if (!pool) {
       const { connectionsPerBackend: connections } = this.settings;
-      pool = new ServerPool(address, { connections, maximumIdleMs: maximumRestMs }, this.resets);
+      pool = new ServerPool(address, { connections, maximumIdleMs }, this.resets);
       this.pools.set(key, pool);
     }
     return pool;
--- a/src/adapters/backend-dialect.ts
+++ b/src/adapters/backend-dialect.ts
@@ -1,6 +1,6 @@
 /**
- * How requests and answers are written on a given platform: names of headers and of calls. Contract: pure
- * translation; it keeps no state, takes no decision and never throws on what a peer sent.
+ * Interface to the HTTP dialect of a platform: names of headers and forms of calls. Implementations are pure
+ * translations: they keep no state, take no decisions and never throw on input from a back end or caller.
  */
 import type { EngineStatus, StageOrder, StageOrderResult } from '../allocation/engine-orders.js';
 import type { BackendSignals } from '../forwarding/backends/backend-signals.js';
@@ -8,33 +8,30 @@
 import type { KvChanges, KvChangesCall } from '../forwarding/kv-cache/kv-follower.js';
 import type { PromptOutline } from '../forwarding/forward-request.js';
 
-/** Header names and values in turn, as they came. */
+/** Alternating header names and values, as they were received. */
 export type RawHeaders = readonly string[];
 
-/** What a caller's head says of its request. */
+/** What the headers of a caller's request say. */
 export interface CallerHead {
   readonly callerId: string;
-  /** How long the caller waits. Milliseconds. */
+  /** The caller's deadline, counted from the arrival of the request. Milliseconds. */
   readonly deadlineMs: number | undefined;
   readonly prompt: PromptOutline | undefined;
-  /**
-   * Tokens of the prompt and the most that may be generated, together; undefined when the caller does not
-   * say.
-   */
+  /** Sum of the prompt's tokens and the maximum of generated tokens; undefined when the caller sends none. */
   readonly usageTokens?: number | undefined;
-  /** Digest of the key that the caller shows; undefined when it shows none, or more than one. */
+  /** Digest of the caller's key; undefined when it sends none, or more than one. */
   readonly keyDigest: string | undefined;
-  /** The caller continues a stream after this event. */
+  /** The caller resumes a stream after this event. */
   readonly lastEventId: string | undefined;
 }
 
-/** What the head of an answer means. */
+/** Classification of an answer by its head. */
 export type AnswerHead =
-  /** The back end's own answer to this request. */
+  /** The back end's answer to this request. */
   | { readonly kind: 'genuine' }
-  /** The back end says that it did not run the request. */
+  /** The back end states that it did not execute the request. */
   | { readonly kind: 'notExecuted'; readonly wrongIncarnation: boolean }
-  /** It is no answer to this request. */
+  /** An invalid answer: not the answer to this request. */
   | { readonly kind: 'foreign'; readonly reason: string };
 
 /** A call without a body. */
@@ -45,37 +42,37 @@
 
 /** The dialect of one platform. */
 export interface BackendDialect {
-  /** Reads the head of a caller's request. */
+  /** Parses the headers of a caller's request. */
   parseCallerHead(headers: RawHeaders): CallerHead;
-  /** The headers of the request that goes to the back end, end-to-end ones of the caller included. */
+  /** Creates the headers of the request to the back end, including the caller's end-to-end headers. */
   createRequestHeaders(callerHeaders: RawHeaders, start: AttemptStart): string[];
-  /** Judges the head of an answer to the caller's request, or to the prefill made for it. */
+  /** Classifies the head of an answer to the caller's request, or to the prefill made for it. */
   parseAnswerHead(
     status: number,
     headers: RawHeaders,
     callerHead: CallerHead,
     prefillOnly: boolean,
   ): AnswerHead;
-  /** What the back end says of itself in the head of any answer. */
+  /** Parses what a back end reports about itself in the head of any answer. */
   parseSignals(status: number, headers: RawHeaders): BackendSignals;
-  /** Whether the head of an answer names the incarnation that gave it, and it is this one. */
+  /** Whether the head of an answer names this incarnation as its sender. */
   isFrom(headers: RawHeaders, incarnation: string): boolean;
-  /** The handle in the body of a prefill's answer; undefined when there is none. */
+  /** Parses the handle in the body of a prefill's answer; undefined when there is none. */
   parsePrefillHandle(body: Buffer): string | undefined;
-  /** The call that frees an exported KV cache. */
+  /** Creates the call that frees an exported KV cache. */
   createFreeKvCall(source: KvSource): PlainCall;
-  /** The call that asks a model engine for changes of its KV cache. */
+  /** Creates the call that reads the changes of a model engine's KV cache. */
   createKvChangesCall(call: KvChangesCall): PlainCall & { readonly headers: string[] };
-  /** The changes; undefined when the answer cannot be read. */
+  /** Parses the changes; undefined when the answer is malformed. */
   parseKvChanges(status: number, body: string): KvChanges | undefined;
-  /** The call that asks a model engine for its state. */
+  /** Creates the call that reads the state of a model engine. */
   createEngineStatusCall(): PlainCall;
-  /** An engine's state; undefined when the answer cannot be read. */
+  /** Parses an engine's state; undefined when the answer is malformed. */
   parseEngineStatus(status: number, body: string): EngineStatus | undefined;
-  /** The call that gives an order. */
+  /** Creates the call that sends an order. */
   createOrderCall(order: StageOrder): PlainCall & { readonly headers: string[]; readonly body: string };
-  /** What the engine answered to an order. */
+  /** Interprets the status of the answer to an order. */
   parseOrderResult(status: number): StageOrderResult;
-  /** Whether the answer to a health check comes from the incarnation and is good. */
+  /** Whether the answer to a health check comes from this incarnation and reports it as healthy. */
   isHealthy(status: number, headers: RawHeaders, incarnation: string): boolean;
 }
--- a/src/adapters/connect-failure.ts
+++ b/src/adapters/connect-failure.ts
@@ -1,4 +1,7 @@
-/** Tells a connection that was never made from one that broke: only the first proves that nothing ran. */
+/**
+ * Distinguishes a connection that was never established from one that failed later: only the first proves that
+ * nothing was executed.
+ */
 
 const CONNECT_FAILURE_CODES = new Set([
   'ECONNREFUSED',
@@ -8,7 +11,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Whether an error of undici says that no connection was made. */
+/** Whether an error of undici means that no connection was established. */
 export function isConnectFailure(error: unknown): boolean {
   const { code, cause } = error as { code?: string; cause?: { code?: string } };
   return CONNECT_FAILURE_CODES.has(code ?? '') || CONNECT_FAILURE_CODES.has(cause?.code ?? '');
--- a/src/adapters/engine-client.ts
+++ b/src/adapters/engine-client.ts
@@ -1,4 +1,4 @@
-/** Model engines over HTTP. docs/PROTOCOLS.md gives the form. */
+/** Client for model engines over HTTP. docs/PROTOCOLS.md describes the protocol. */
 import { Agent, request } from 'undici';
 import * as z from 'zod';
 import type {
@@ -14,19 +14,19 @@
 import { engineReportSchema } from './peer-codec.js';
 import { STATUS_OK } from '../shared/http-status.js';
 
-/** Engines as the daemon's process uses them. Calls never reject; a failure is an event or result. */
+/** Client for model engines. Calls never reject: a failure is an event or a result. */
 export interface EngineClient {
   control(address: string, controlRequest: EngineControlRequest): Promise<EngineControlResult>;
-  /** Starts an attempt; `onEvent` is called in the order of the stream. Returns how to cancel it. */
+  /** Starts an attempt; `onEvent` is called in the order of the stream. Returns a function that cancels it. */
   start(attempt: AttemptStart, onEvent: (event: AttemptEvent) => void): () => void;
   close(): Promise<void>;
 }
 
-/** An engine that has not answered a control request within this time counts as silent. Milliseconds. */
+/** Time-out of a control request, after which it counts as not answered. Milliseconds. */
 const CONTROL_TIMEOUT_MS = 1500;
-/** A connection that does not come up within this time counts as refused. Milliseconds. */
+/** A connection attempt that takes longer counts as refused. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000;
-/** A longer line of a stream breaks the attempt off. Characters; far above any token. */
+/** A longer line of a stream fails the attempt. Characters; far above the length of any token. */
 const MAXIMUM_LINE_CHARACTERS = 1024 * 1024;
 
 const controlResultSchema = z.discriminatedUnion('kind', [
@@ -50,7 +50,7 @@
   z.object({ prefilled: z.string() }),
 ]);
 
-/** Turns one line of an engine's stream into an event. */
+/** Parses one line of an engine's stream. */
 export function parseStreamLine(line: string, address: string): AttemptEvent {
   const { value, reason } = parseJson(line);
   if (reason !== undefined)
@@ -64,7 +64,7 @@
   return { kind: 'end', tokens: data.tokens, finishReason: data.finishReason };
 }
 
-/** The HTTP adapter. */
+/** Engine client over HTTP. */
 export class HttpEngineClient implements EngineClient {
   private readonly agent = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
@@ -113,11 +113,11 @@
         dispatcher: this.agent,
         signal,
         headers: { 'content-type': 'application/json' },
-        body: JSON.stringify(attemptBody(attempt)),
+        body: JSON.stringify(createAttemptBody(attempt)),
       });
       if (statusCode !== STATUS_OK) {
         const retryAfterMs = readRetryAfterMs(statusCode, headers, this.onUnreadable);
-        onEvent({ ...refusalOf(statusCode, await body.text()), retryAfterMs });
+        onEvent({ ...parseRefusal(statusCode, await body.text()), retryAfterMs });
         return;
       }
       const finished = await this.readStream(body, address, onEvent);
@@ -129,24 +129,27 @@
     }
   }
 
-  /** Reads lines until the end marker. Tokens of one network read go out as one event. */
+  /**
+   * Reads lines until the end marker; false when the stream ended without one. Contiguous tokens of one network
+   * read are merged into one event.
+   */
   private async readStream(
     body: AsyncIterable<Buffer>,
     address: string,
     onEvent: (event: AttemptEvent) => void,
   ): Promise<boolean> {
     const decoder = new TextDecoder();
-    let rest = '';
+    let partialLine = '';
     for await (const chunk of body) {
-      const lines = (rest + decoder.decode(chunk, { stream: true })).split('\n');
-      rest = lines.pop() ?? '';
+      const lines = (partialLine + decoder.decode(chunk, { stream: true })).split('\n');
+      partialLine = lines.pop() ?? '';
       for (const event of mergeTokens(
         lines.filter((line) => line !== '').map((line) => parseStreamLine(line, address)),
       )) {
         onEvent(event);
         if (event.kind !== 'tokens') return true;
       }
-      if (rest.length > MAXIMUM_LINE_CHARACTERS) {
+      if (partialLine.length > MAXIMUM_LINE_CHARACTERS) {
         onEvent({ kind: 'broken', reason: 'a line of the stream is too long' });
         return true;
       }
@@ -172,15 +175,18 @@
   return merged;
 }
 
-function refusalOf(statusCode: number, text: string): Extract<AttemptEvent, { kind: 'refused' | 'broken' }> {
+function parseRefusal(
+  statusCode: number,
+  text: string,
+): Extract<AttemptEvent, { kind: 'refused' | 'broken' }> {
   const answer = parseJson(text).value as { refused?: EngineRefusal } | null | undefined;
   const refused = answer?.refused;
   if (refused !== undefined && REFUSALS.includes(refused)) return { kind: 'refused', reason: refused };
-  // Not a refusal of the engine's protocol: nothing certain can be said of it.
+  // Not a refusal of the engine's protocol: the request may have been executed.
   return { kind: 'broken', reason: `status ${statusCode}` };
 }
 
-function attemptBody(attempt: AttemptStart): Record<string, unknown> {
+function createAttemptBody(attempt: AttemptStart): Record<string, unknown> {
   const { request: completion, row } = attempt;
   return {
     attemptId: attempt.attemptId,
--- a/src/adapters/event-splitter.ts
+++ b/src/adapters/event-splitter.ts
@@ -1,37 +1,37 @@
-/** Cuts an event stream (text/event-stream) into whole events, so that none is passed on in part. */
+/** Splits an event stream (text/event-stream) into complete events, so that no partial event is forwarded. */
 
-/** Bytes that end a line. */
+/** Line terminators, as bytes. */
 const LINE_FEED = 10;
 const CARRIAGE_RETURN = 13;
 const ID_FIELD = /(?:^|\n)id: ?([^\r\n]*)/g;
 
-/** Whole events, and the id of the last one that had any. */
+/** Complete events, and the id of the last one that has an id. */
 interface EventBatch {
   readonly bytes: Buffer;
   readonly lastEventId: string | undefined;
 }
 
-/** The splitter of one stream. */
+/** Splitter of one stream. */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private buffered: Buffer = Buffer.alloc(0);
 
-  /** Takes bytes and returns the events that are whole now, or undefined when there is none. */
+  /** Adds bytes and returns the events that are now complete, or undefined when there are none. */
   push(chunk: Buffer): EventBatch | undefined {
-    const all = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-    const end = endOfLastEvent(all);
-    this.rest = all.subarray(end);
+    const all = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
+    const end = findEndOfLastEvent(all);
+    this.buffered = all.subarray(end);
     if (end === 0) return undefined;
     const bytes = all.subarray(0, end);
-    return { bytes, lastEventId: lastId(bytes) };
+    return { bytes, lastEventId: findLastId(bytes) };
   }
 
-  /** Bytes after the last whole event. */
+  /** Bytes after the last complete event. */
   getRemainder(): Buffer {
-    return this.rest;
+    return this.buffered;
   }
 }
 
-function endOfLastEvent(bytes: Buffer): number {
+function findEndOfLastEvent(bytes: Buffer): number {
   for (let index = bytes.length - 1; index > 0; index -= 1) {
     if (bytes[index] !== LINE_FEED) continue;
     const before = bytes[index - 1] === CARRIAGE_RETURN ? index - 2 : index - 1;
@@ -40,7 +40,7 @@
   return 0;
 }
 
-function lastId(bytes: Buffer): string | undefined {
+function findLastId(bytes: Buffer): string | undefined {
   let id: string | undefined;
   for (const match of bytes.toString('latin1').matchAll(ID_FIELD)) id = match[1];
   return id;
--- a/src/adapters/http-headers.ts
+++ b/src/adapters/http-headers.ts
@@ -1,4 +1,4 @@
-/** Helpers for header lists in which names and values stand in turn. */
+/** Helpers for header lists of alternating names and values. */
 import type { RawHeaders } from './backend-dialect.js';
 
 const CONNECTION_HEADERS = new Set([
@@ -13,7 +13,7 @@
   'upgrade',
 ]);
 
-/** The first value of a header; `name` in lower case. */
+/** The first value of a header; `name` must be in lower case. */
 export function getHeaderValue(headers: RawHeaders, name: string): string | undefined {
   for (let index = 0; index + 1 < headers.length; index += 2) {
     if (headers[index].toLowerCase() === name) return headers[index + 1];
@@ -21,7 +21,7 @@
   return undefined;
 }
 
-/** The value of a header that stands once; undefined when it is missing or stands several times. */
+/** The value of a header that occurs exactly once; undefined when it is missing or repeated. `name` in lower case. */
 export function getSingleHeaderValue(headers: RawHeaders, name: string): string | undefined {
   let value: string | undefined;
   for (let index = 0; index + 1 < headers.length; index += 2) {
@@ -32,15 +32,15 @@
   return value;
 }
 
-/** The headers that are not for one connection only, without those named in `dropped` (lower case). */
+/** The end-to-end headers (RFC 9110, 7.6.1), without those named in `dropped` (lower case). */
 export function pickEndToEndHeaders(headers: RawHeaders, dropped: ReadonlySet<string>): string[] {
-  const named = new Set(
+  const hopByHop = new Set(
     (getHeaderValue(headers, 'connection') ?? '').split(',').map((token) => token.trim().toLowerCase()),
   );
   const kept: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index].toLowerCase();
-    if (CONNECTION_HEADERS.has(name) || named.has(name) || dropped.has(name)) continue;
+    if (CONNECTION_HEADERS.has(name) || hopByHop.has(name) || dropped.has(name)) continue;
     kept.push(headers[index], headers[index + 1]);
   }
   return kept;
--- a/src/adapters/line-splitter.ts
+++ b/src/adapters/line-splitter.ts
@@ -1,17 +1,17 @@
-/** Cuts text that arrives in chunks into lines. */
+/** Splits text that arrives in chunks into lines. */
 
-/** The splitter of one connection. */
+/** Splitter of one connection. */
 export class LineSplitter {
-  private rest = '';
+  private partialLine = '';
 
-  /** @param maximumLength longest line that is taken, in characters. */
+  /** @param maximumLength longest line that is accepted, in characters. */
   constructor(private readonly maximumLength: number) {}
 
-  /** Takes a chunk and gives the lines that are whole now; undefined when a line is too long. */
+  /** Adds a chunk and returns the lines that are now complete; undefined when a line is too long. */
   push(chunk: string): string[] | undefined {
-    const lines = (this.rest + chunk).split('\n');
-    this.rest = lines.pop() ?? '';
-    const longest = Math.max(this.rest.length, ...lines.map((line) => line.length));
+    const lines = (this.partialLine + chunk).split('\n');
+    this.partialLine = lines.pop() ?? '';
+    const longest = Math.max(this.partialLine.length, ...lines.map((line) => line.length));
     return longest > this.maximumLength ? undefined : lines;
   }
 }
--- a/src/adapters/listen.ts
+++ b/src/adapters/listen.ts
@@ -1,4 +1,4 @@
-/// Opens a server, with a typed error when its address cannot be had, and ends its listening.
+/// Starts and stops listening on TCP; an address that can't be bound gives a typed error.
 import { Server } from 'node:net';
 import { ListenError } from '../errors/index.js';
 import { splitAddress } from '../shared/address.js';
@@ -18,30 +18,31 @@
   });
 }
 
-/// Connections are accepted for so long at most before a listener closes. Milliseconds; the system keeps up to
-/// 511 waiting, and each turn of the event loop accepts one.
-const LONGEST_ACCEPTING_MS = 2000;
-/// A turn of the event loop in which nothing was accepted counts only if it was shorter: what comes up in a longer
-/// one, after it has looked, would be reset. Milliseconds.
-const QUIET_TURN_MS = 1;
+/// Maximum time for which pending connections are accepted before a listener closes. Milliseconds; the kernel queues
+/// up to 511 of them, and each turn of the event loop accepts one.
+const MAXIMUM_ACCEPT_MS = 2000;
+/// A turn of the event loop without a new connection shows an empty queue only if it was shorter than this: in a
+/// longer one, a connection may have been established after the poll, and it would be reset. Milliseconds.
+const IDLE_TURN_MS = 1;
 
-/// Takes no new connections; those that are open stay. `http.Server.close` would also close idle ones, on
-/// which a request may be coming.
+/// Stops accepting connections; open ones stay open. `http.Server.close` would also close idle ones, on which a
+/// request may be arriving.
 ///
-/// Connections that have come up and wait to be accepted are reset when the listener closes, requests and all,
-/// so they are accepted first, for `timeoutMs` at most: more may come than can be accepted.
-export async function stopListening(server: Server, timeoutMs = LONGEST_ACCEPTING_MS): Promise<void> {
-  const latest = performance.now() + timeoutMs;
+/// Closing the listener resets connections that are established but not yet accepted, together with the requests on
+/// them, so they are accepted first. This takes `timeoutMs` at most (milliseconds), since connections may arrive
+/// faster than they are accepted.
+export async function stopListening(server: Server, timeoutMs = MAXIMUM_ACCEPT_MS): Promise<void> {
+  const deadline = performance.now() + timeoutMs;
   let accepted: boolean;
-  const note = (): void => void (accepted = true);
-  server.on('connection', note);
+  const onConnection = (): void => void (accepted = true);
+  server.on('connection', onConnection);
   let turnMs: number;
   do {
     accepted = false;
     const startedAt = performance.now();
     await new Promise((resolve) => setImmediate(resolve));
     turnMs = performance.now() - startedAt;
-  } while ((accepted || turnMs >= QUIET_TURN_MS) && performance.now() < latest);
-  server.off('connection', note);
+  } while ((accepted || turnMs >= IDLE_TURN_MS) && performance.now() < deadline);
+  server.off('connection', onConnection);
   Server.prototype.close.call(server);
 }
--- a/src/adapters/listener-check.ts
+++ b/src/adapters/listener-check.ts
@@ -1,37 +1,37 @@
 /**
- * Finds out whether somebody still listens at an address, by a connection on which nothing is said: a request
- * would wait for its turn at a back end that is only busy.
+ * Checks whether a process still listens at an address, by opening a connection without sending anything: a request
+ * would have to queue at a back end that is only busy.
  */
 import { createConnection } from 'node:net';
 import type { BackendCheck } from '../quarantine/break-watch.js';
 import { splitAddress } from '../shared/address.js';
 
-/** A connection that does not come up within this time tells nothing. Milliseconds. */
+/** A connection attempt that takes longer is inconclusive. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
 /**
- * What stands for a listener that is gone, or one that is full, closes a new connection at once.
- * Milliseconds.
+ * A connection must stay open for this time to count as accepted: a proxy in front of a listener that is gone, or
+ * a listener that is full, closes a new connection at once. Milliseconds.
  */
 const HOLD_MS = 30;
 
-/** Checks an address. Never rejects. */
+/** Checks an address (`ip:port`). Never rejects. */
 export function checkListener(address: string): Promise<BackendCheck> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve) => {
     const socket = createConnection({ host, port });
-    const end = (check: BackendCheck): void => {
+    const finish = (check: BackendCheck): void => {
       clearTimeout(timer);
       socket.destroy();
       resolve(check);
     };
-    let timer = setTimeout(() => end('unclear'), CONNECT_TIMEOUT_MS);
+    let timer = setTimeout(() => finish('unclear'), CONNECT_TIMEOUT_MS);
     socket.once('connect', () => {
       clearTimeout(timer);
-      timer = setTimeout(() => end('answered'), HOLD_MS);
+      timer = setTimeout(() => finish('answered'), HOLD_MS);
     });
     socket.once('error', ({ code }: NodeJS.ErrnoException) =>
-      end(code === 'ECONNREFUSED' ? 'ended' : 'unclear'),
+      finish(code === 'ECONNREFUSED' ? 'ended' : 'unclear'),
     );
-    socket.once('close', () => end('unclear'));
+    socket.once('close', () => finish('unclear'));
   });
 }
--- a/src/adapters/peer-codec.ts
+++ b/src/adapters/peer-codec.ts
@@ -1,4 +1,4 @@
-/** The form of messages between daemons: devalue text, one message a line, checked on arrival. */
+/** Codec of messages between daemons: devalue text, one message per line, validated on receipt. */
 import { parse, stringify } from 'devalue';
 import * as z from 'zod';
 import { serviceRowSchema } from '../configuration/service-row.js';
@@ -38,7 +38,7 @@
   roleChangeMs: count,
 });
 
-/** The checked form of an engine's report; the HTTP adapter uses it too. */
+/** Schema of an engine's report; the HTTP engine client uses it too. */
 export const engineReportSchema = z.object({
   assignment,
   phase,
@@ -52,7 +52,7 @@
   sequence: count,
 });
 
-/** The form of every message between daemons. */
+/** Schema of every message between daemons. */
 export const peerMessageSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('ping'), sequence: count, target: text, updates, wallMs: count.optional() }),
   z.object({ kind: z.literal('ack'), sequence: count, updates, wallMs: count.optional() }),
@@ -97,16 +97,16 @@
 
 const helloSchema = z.object({ kind: z.literal('hello'), id: text, address: text });
 
-/** The first line on a connection: who speaks. */
+/** The first line on a connection, which identifies the sender. */
 export type PeerHello = z.infer<typeof helloSchema>;
 
-/** One message as a line, without the line end. devalue escapes line ends inside strings. */
+/** Encodes a message as a line, without the line break. devalue escapes line breaks inside strings. */
 export function encodePeerMessage(message: PeerMessage | PeerHello): string {
   return stringify(message);
 }
 
 /**
- * Reads a line.
+ * Decodes a line.
  * @throws PeerProtocolError when it is not devalue text or not a known message.
  */
 export function decodePeerMessage(line: string): PeerMessage {
@@ -114,7 +114,7 @@
 }
 
 /**
- * Reads the first line of a connection.
+ * Decodes the first line of a connection.
  * @throws PeerProtocolError when it is not a hello.
  */
 export function decodePeerHello(line: string): PeerHello {
--- a/src/adapters/peer-transport.ts
+++ b/src/adapters/peer-transport.ts
@@ -1,6 +1,6 @@
 /**
- * Connections between daemons: TCP, one line a message, one connection each way. Nothing is queued for a
- * peer that cannot be reached beyond a small bound: every protocol above repeats what matters.
+ * Transport between daemons: TCP, one message per line, one connection in each direction. Apart from a bounded
+ * socket buffer nothing is queued for a peer that can't be reached: the protocols above resend what matters.
  */
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import type { PeerMessage } from '../daemon/peer-messages.js';
@@ -10,65 +10,65 @@
 import { startListening } from './listen.js';
 import { decodePeerHello, decodePeerMessage, encodePeerMessage, type PeerHello } from './peer-codec.js';
 
-/** What the transport tells its user. */
+/** Callbacks of the transport. */
 export interface PeerTransportListener {
-  /** A message arrived from the daemon that named itself in the connection's hello. */
+  /** A message arrived from the daemon that identified itself in the connection's hello. */
   onMessage(fromId: string, fromAddress: string, message: PeerMessage): void;
   /** A line was not a message; the connection is closed. */
   onProtocolError(error: PulleyledgeError, remote: string): void;
-  /** Traffic, for metrics. Bytes include the line end but no TCP headers. */
+  /** A message was sent or received, for metrics. Bytes include the line break but no TCP headers. */
   onTraffic(direction: 'sent' | 'received', kind: string, bytes: number): void;
 }
 
-/** A connection that does not come up within this time has failed. Milliseconds. */
+/** A connection attempt that takes longer has failed. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000;
-/** Messages to a peer that failed are dropped for so long before it is tried again. Milliseconds. */
+/** After a failed connection, messages to the peer are dropped for this time before a reconnect. Milliseconds. */
 const RECONNECT_DELAY_MS = 500;
 /**
- * A connection without a byte for so long is closed: probes go round the whole fleet, and a connection
- * kept for each peer would be hundreds. Milliseconds.
+ * Idle time after which an outgoing connection is closed: probes go to every daemon of the fleet in turn, and
+ * keeping a connection to each would take hundreds. Milliseconds.
  */
 const IDLE_TIMEOUT_MS = 20_000;
 /**
- * An incoming connection without a byte for so long belongs to a daemon that is gone: it would have closed it
- * before. Milliseconds.
+ * Idle time after which an incoming connection is closed: its daemon must be gone, or it would have closed the
+ * connection earlier. Milliseconds.
  */
 const INCOMING_IDLE_TIMEOUT_MS = 30_000;
 /**
- * What was read is acknowledged within this time by an empty line, so that a connection that fell silent
- * shows. Milliseconds.
+ * Received data is acknowledged by an empty line within this time, so that the sender detects a silent connection.
+ * Milliseconds.
  */
 const ACKNOWLEDGE_MS = 750;
-/** Interval between looks at which connections were heard. Milliseconds. */
+/** Interval of the checks for silent connections. Milliseconds. */
 const CHECK_INTERVAL_MS = 250;
 /**
- * A connection on which nothing was heard for so many checks after a message is replaced: 2 s, half of the 4
- * s within which contact has to be found again. Checks are counted, since nobody can be heard while this
- * process stands still.
+ * A connection on which a message was not acknowledged for this number of checks is replaced: after 2 s, half of
+ * the 4 s within which contact must be re-established. Checks are counted instead of time, since nothing can be
+ * received while this process is paused.
  */
 const SILENT_CHECKS = 8;
-/** Messages to a peer that reads more slowly than this piles up are dropped. Bytes. */
+/** While more than this is buffered for a peer that reads slowly, messages to it are dropped. Bytes. */
 const MAXIMUM_BUFFERED_BYTES = 1024 * 1024;
-/** A longer line is no message. Characters. */
+/** An incoming connection with a longer line is closed. Characters. */
 const MAXIMUM_LINE_LENGTH = 8 * 1024 * 1024;
 
-interface Outgoing {
+interface OutgoingConnection {
   readonly socket: Socket;
   failedAt: number | undefined;
-  /** The peer acknowledges on this connection: daemons of an older version do not. */
+  /** Whether the peer acknowledges on this connection; daemons of an older version don't. */
   acknowledges: boolean;
-  /** Checks since the first message that was not acknowledged; undefined when all were. */
-  unheardChecks: number | undefined;
+  /** Checks since the first message that is not acknowledged yet; undefined when all are. */
+  unansweredChecks: number | undefined;
 }
 
 /** The TCP transport of one daemon. */
 export class PeerTransport {
-  private readonly outgoing = new Map<string, Outgoing>();
+  private readonly outgoing = new Map<string, OutgoingConnection>();
   private readonly incoming = new Set<Socket>();
   private readonly server: Server;
   private readonly timer: NodeJS.Timeout;
   private closed = false;
-  private made = 0;
+  private connectionsMade = 0;
   private lastMessage: PeerMessage | undefined;
   private lastLine = '';
 
@@ -76,32 +76,35 @@
     private readonly hello: PeerHello,
     private readonly listener: PeerTransportListener,
   ) {
-    this.server = createServer((socket) => this.accept(socket));
+    this.server = createServer((socket) => this.onConnection(socket));
     this.timer = setInterval(() => this.tick(), CHECK_INTERVAL_MS).unref();
   }
 
-  /** Starts to listen on the daemon's peer address. */
+  /**
+   * Starts listening on the daemon's peer address.
+   * @throws ListenError naming the address.
+   */
   listen(): Promise<void> {
     return startListening(this.server, this.hello.address);
   }
 
-  /** Connections made to peers so far. */
+  /** Number of connections opened to peers so far. */
   getConnectionsMade(): number {
-    return this.made;
+    return this.connectionsMade;
   }
 
-  /** Sends a message, or drops it when the peer cannot be reached or does not read. */
+  /** Sends a message, or drops it when the peer can't be reached or doesn't read. */
   send(address: string, message: PeerMessage): void {
     if (this.closed) return;
-    const peer = this.connectionTo(address);
+    const peer = this.getConnection(address);
     if (peer.failedAt !== undefined || peer.socket.writableLength > MAXIMUM_BUFFERED_BYTES) return;
     const line = this.encode(message);
     this.listener.onTraffic('sent', message.kind, Buffer.byteLength(line));
     peer.socket.write(line);
-    peer.unheardChecks ??= 0;
+    peer.unansweredChecks ??= 0;
   }
 
-  /** The same message goes to many peers in a row and is encoded once. */
+  /** Caches the last message's line, since one message is sent to many peers in a row. */
   private encode(message: PeerMessage): string {
     if (message !== this.lastMessage) {
       this.lastLine = `${encodePeerMessage(message)}\n`;
@@ -110,7 +113,7 @@
     return this.lastLine;
   }
 
-  /** Closes every connection after what was written has gone out. */
+  /** Closes outgoing connections after what was written has been sent, incoming ones at once. */
   close(): void {
     this.closed = true;
     clearInterval(this.timer);
@@ -119,23 +122,28 @@
     for (const socket of this.incoming) socket.destroy();
   }
 
-  /** Drops connections that have fallen silent; the next message makes a new one. */
+  /** Closes connections that have gone silent; the next message opens a new one. */
   private tick(): void {
     for (const peer of this.outgoing.values()) {
-      if (peer.unheardChecks === undefined || !peer.acknowledges) continue;
-      peer.unheardChecks += 1;
-      if (peer.unheardChecks > SILENT_CHECKS) peer.socket.destroy();
+      if (peer.unansweredChecks === undefined || !peer.acknowledges) continue;
+      peer.unansweredChecks += 1;
+      if (peer.unansweredChecks > SILENT_CHECKS) peer.socket.destroy();
     }
   }
 
-  private connectionTo(address: string): Outgoing {
+  private getConnection(address: string): OutgoingConnection {
     const known = this.outgoing.get(address);
     const waiting = known?.failedAt !== undefined && performance.now() - known.failedAt < RECONNECT_DELAY_MS;
     if (known && (known.failedAt === undefined || waiting)) return known;
     const { host, port } = splitAddress(address);
-    this.made += 1;
+    this.connectionsMade += 1;
     const socket = createConnection({ host, port, noDelay: true });
-    const peer: Outgoing = { socket, failedAt: undefined, acknowledges: false, unheardChecks: undefined };
+    const peer: OutgoingConnection = {
+      socket,
+      failedAt: undefined,
+      acknowledges: false,
+      unansweredChecks: undefined,
+    };
     const fail = (): void => {
       peer.failedAt ??= performance.now();
       socket.destroy();
@@ -150,14 +158,14 @@
     });
     socket.on('data', () => {
       peer.acknowledges = true;
-      peer.unheardChecks = undefined;
+      peer.unansweredChecks = undefined;
     });
     socket.write(`${encodePeerMessage(this.hello)}\n`);
     this.outgoing.set(address, peer);
     return peer;
   }
 
-  private accept(socket: Socket): void {
+  private onConnection(socket: Socket): void {
     this.incoming.add(socket);
     socket.setNoDelay(true);
     socket.on('error', () => socket.destroy());
@@ -165,16 +173,16 @@
     socket.setTimeout(INCOMING_IDLE_TIMEOUT_MS, () => socket.destroy());
     const acknowledge = createAcknowledger(socket);
     let peer: PeerHello | undefined;
-    const lines = new LineSplitter(MAXIMUM_LINE_LENGTH);
+    const splitter = new LineSplitter(MAXIMUM_LINE_LENGTH);
     socket.setEncoding('utf8');
     socket.on('data', (chunk: string) => {
       acknowledge();
-      const whole = lines.push(chunk);
-      if (!whole) {
+      const completeLines = splitter.push(chunk);
+      if (!completeLines) {
         socket.destroy();
         return;
       }
-      for (const line of whole) {
+      for (const line of completeLines) {
         if (socket.destroyed) return;
         try {
           if (peer) this.receive(peer, line);
@@ -195,7 +203,7 @@
   }
 }
 
-/** Writes an empty line at once for what is read first, and within a bounded time for what is read later. */
+/** Acknowledges the first data at once, and later data within `ACKNOWLEDGE_MS`, by an empty line. */
 function createAcknowledger(socket: Socket): () => void {
   let timer: NodeJS.Timeout | undefined;
   let first = true;
--- a/src/adapters/platform-client.ts
+++ b/src/adapters/platform-client.ts
@@ -1,4 +1,4 @@
-/** The platform's table service and machine list over HTTP. docs/PROTOCOLS.md gives the form. */
+/** Client for the platform's table service and machine list over HTTP. docs/PROTOCOLS.md describes the protocol. */
 import type { IncomingHttpHeaders } from 'node:http';
 import { Agent, request } from 'undici';
 import * as z from 'zod';
@@ -7,19 +7,19 @@
 import { STATUS_OK, STATUS_TOO_MANY_REQUESTS } from '../shared/http-status.js';
 import { readRetryAfterMs, type UnreadableRetryAfterListener } from './retry-after-header.js';
 
-/** The platform as the daemon's process uses it. Calls never reject; a failure is a result. */
+/** Client for the platform. Calls never reject: a failure is a result. */
 export interface PlatformClient {
   sendTableRequest(request: TableRequest): Promise<TableResult>;
-  /** The machine list, or undefined when there was no answer. */
+  /** Reads the machine list; undefined when there was no valid answer. */
   listMachines(cells: readonly string[]): Promise<MachineListing | undefined>;
   close(): Promise<void>;
 }
 
-/** An answer later than this counts as none. Milliseconds. */
+/** Time-out of a call. Milliseconds. */
 const TIMEOUT_MS = 1500;
-/** A connection that does not come up within this time counts as refused. Milliseconds. */
+/** A connection attempt that takes longer counts as refused. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000;
-/** When to ask again where the platform limits the rate and does not say. Milliseconds. */
+/** Delay before a retry where the platform limits the rate without naming one. Milliseconds. */
 const DEFAULT_RETRY_AFTER_MS = 500;
 
 const rowSchema = z.object({
@@ -51,17 +51,17 @@
   ),
 });
 
-/** The HTTP adapter. Any of the addresses may be asked; they are tried in turn after a failure. */
+/** Platform client over HTTP. All addresses are equivalent; after a failure the next one is used. */
 export class HttpPlatformClient implements PlatformClient {
   private readonly agent = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
     headersTimeout: TIMEOUT_MS,
     bodyTimeout: TIMEOUT_MS,
   });
-  private current = 0;
+  private addressIndex = 0;
   private listingFailures = 0;
 
-  /** `onListingFailure` hears why the machine list could not be read, and how often that has been so. */
+  /** `onListingFailure` receives the reason of each failure to read the machine list, and the failures so far. */
   constructor(
     private readonly addresses: readonly string[],
     private readonly onListingFailure: (reason: string, count: number) => void,
@@ -79,9 +79,9 @@
         };
       const parsed = tableResultSchema.safeParse(value);
       if (statusCode === STATUS_OK && parsed.success) return parsed.data as TableResult;
-      return this.failed(`status ${statusCode}`);
+      return this.failOver(`status ${statusCode}`);
     } catch (error) {
-      return this.failed((error as Error).message);
+      return this.failOver((error as Error).message);
     }
   }
 
@@ -90,12 +90,12 @@
       const { statusCode, body } = await this.post('/v1/machines', { cells });
       const parsed = listingSchema.safeParse(await body.json());
       if (statusCode === STATUS_OK && parsed.success) return parsed.data;
-      return this.listingFailed(
-        statusCode === STATUS_OK ? 'a listing of an unknown form' : `status ${statusCode}`,
+      return this.addListingFailure(
+        statusCode === STATUS_OK ? 'invalid machine list' : `status ${statusCode}`,
       );
     } catch (error) {
-      this.current += 1;
-      return this.listingFailed((error as Error).message);
+      this.addressIndex += 1;
+      return this.addListingFailure((error as Error).message);
     }
   }
 
@@ -104,7 +104,7 @@
   }
 
   private post(path: string, value: unknown): ReturnType<typeof request> {
-    const address = this.addresses[this.current % this.addresses.length];
+    const address = this.addresses[this.addressIndex % this.addresses.length];
     return request(`http://${address}${path}`, {
       method: 'POST',
       dispatcher: this.agent,
@@ -114,20 +114,20 @@
     });
   }
 
-  private listingFailed(reason: string): undefined {
+  private addListingFailure(reason: string): undefined {
     this.listingFailures += 1;
     this.onListingFailure(reason, this.listingFailures);
   }
 
-  private failed(reason: string): TableResult {
-    this.current += 1;
+  private failOver(reason: string): TableResult {
+    this.addressIndex += 1;
     return { kind: 'noAnswer', reason };
   }
 
-  /** The platform's own header counts milliseconds. */
+  /** The platform's own header, `retry-after-ms`, takes precedence over `Retry-After`. */
   private getRetryAfterMs(headers: IncomingHttpHeaders): number {
-    const ownMs = Number(headers['retry-after-ms']);
-    if (Number.isFinite(ownMs)) return ownMs;
+    const headerMs = Number(headers['retry-after-ms']);
+    if (Number.isFinite(headerMs)) return headerMs;
     const ms = readRetryAfterMs(STATUS_TOO_MANY_REQUESTS, headers, this.onUnreadable);
     return ms ?? DEFAULT_RETRY_AFTER_MS;
   }
--- a/src/adapters/reset-watch.ts
+++ b/src/adapters/reset-watch.ts
@@ -1,28 +1,28 @@
 /**
- * Connections on which a reset can be told from an orderly end. undici takes a reset for the end of an answer
- * that has no length; such an answer is not whole. The watch hears of the reset first, since its listener is
- * the first.
+ * Detects connection resets while an answer is read. undici treats a reset as the end of an answer without a
+ * length, although such an answer is incomplete. The detector's error listener is prepended, so it runs before
+ * undici's.
  */
 import type { Socket } from 'node:net';
 import { buildConnector } from 'undici';
 
-/** Watches every connection that its connectors make. */
+/** Detects resets on every connection that its connectors open. */
 export class ResetDetector {
-  private reporting = false;
+  private handlingReset = false;
   private readonly connect: buildConnector.connector;
 
-  /** @param connectTimeoutMs a connection that does not come up within this time fails */
+  /** @param connectTimeoutMs a connection attempt that takes longer fails; milliseconds */
   constructor(connectTimeoutMs: number) {
     this.connect = buildConnector({ timeout: connectTimeoutMs });
   }
 
-  /** A connector that reports each connection that came up. */
+  /** Creates a connector that reports each connection that was established. */
   createConnector(onConnected: (socket: Socket) => void): buildConnector.connector {
     return (options, callback) => {
       this.connect(options, (...outcome) => {
         const [, socket] = outcome;
         if (socket) {
-          this.watch(socket);
+          this.addResetListener(socket);
           onConnected(socket);
         }
         callback(...outcome);
@@ -30,15 +30,15 @@
     };
   }
 
-  /** Whether what a handler is being called with right now follows from the failure of its connection. */
+  /** Whether the current callback of a handler was caused by an error of its connection. */
   isHandlingReset(): boolean {
-    return this.reporting;
+    return this.handlingReset;
   }
 
-  private watch(socket: Socket): void {
+  private addResetListener(socket: Socket): void {
     socket.prependListener('error', () => {
-      this.reporting = true;
-      process.nextTick(() => (this.reporting = false));
+      this.handlingReset = true;
+      process.nextTick(() => (this.handlingReset = false));
     });
   }
 }
--- a/src/adapters/retry-after-header.ts
+++ b/src/adapters/retry-after-header.ts
@@ -1,20 +1,20 @@
-/** The header with which a server says when it wants to be asked again (RFC 9110, 10.2.3). */
+/** The Retry-After header (RFC 9110, 10.2.3). */
 import { parseDecimal } from '../shared/decimal.js';
 import { STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE } from '../shared/http-status.js';
 import { SECOND_MS } from '../shared/units.js';
 
-/** Statuses with which a server turns a request away and may say until when it wants none. */
+/** Statuses of a rejected request whose Retry-After is read. */
 export const RETRY_AFTER_STATUSES: ReadonlySet<number> = new Set([
   STATUS_TOO_MANY_REQUESTS,
   STATUS_UNAVAILABLE,
 ]);
 
-/** The one form of dates that is sent; `Date.parse` takes much else for one. */
+/** The format in which HTTP dates are generated; `Date.parse` accepts many others. */
 const HTTP_DATE = /^[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/;
 
 /**
- * The time that a Retry-After names, in milliseconds from the answer on: a decimal number of seconds, or a date, which is
- * taken against the date of the answer itself. Undefined for anything else.
+ * Parses a Retry-After value into milliseconds from the answer on: a decimal number of seconds, or a date, which is
+ * compared with the date of the answer itself. Undefined for anything else.
  */
 export function parseRetryAfterMs(text: string, answerDate: string | undefined): number | undefined {
   const seconds = parseDecimal(text);
@@ -24,10 +24,13 @@
   return Number.isFinite(ms) ? Math.max(0, ms) : undefined;
 }
 
-/** Hears of a Retry-After that cannot be read, as it came. It counts as none. */
+/** Receives the text of a Retry-After that can't be parsed and is ignored. */
 export type UnreadableRetryAfterListener = (text: string) => void;
 
-/** The same from the head of an answer; undefined also for one that is no refusal, or says nothing. */
+/**
+ * Reads the Retry-After of an answer, in milliseconds; undefined also where the answer is no rejection or has no
+ * such header.
+ */
 export function readRetryAfterMs(
   status: number,
   { 'retry-after': text, date }: Readonly<Record<string, string | string[] | undefined>>,
--- a/src/adapters/server-pool.ts
+++ b/src/adapters/server-pool.ts
@@ -1,7 +1,7 @@
 /**
- * The connections to one server. A connection may fall silent for good without a reset while new ones work;
- * only time tells. A request that hears nothing while no other connection of its age is heard either makes
- * all of them suspect: they get nothing new.
+ * The connections to one server. A connection may permanently stop delivering data without a reset while new
+ * connections work; this can only be inferred from elapsed time. When a request gets no response and no connection
+ * that was open when it was sent has received anything since, all of those are suspect and get no new requests.
  */
 import { Pool } from 'undici';
 import type { Socket } from 'node:net';
@@ -10,18 +10,18 @@
 /** Settings of one pool. */
 interface ServerPoolSettings {
   readonly connections: number;
-  /** How long a connection may rest. Milliseconds. */
+  /** Maximum idle time of a connection. Milliseconds. */
   readonly maximumIdleMs: number;
 }
 
 /**
- * An idle connection is dropped this long before the server would close it. Milliseconds; far above the
- * way there.
+ * An idle connection is closed this long before the server would close it. Milliseconds; far above the network
+ * latency.
  */
 const KEEP_ALIVE_MARGIN_MS = 1000;
 /**
- * How long a connection may rest where the server does not say. Milliseconds; undici's default, a second
- * below that of Node.js servers.
+ * Maximum idle time where the server names none. Milliseconds; undici's default, a second below that of Node.js
+ * servers.
  */
 const DEFAULT_KEEP_ALIVE_MS = 4000;
 
@@ -29,76 +29,78 @@
   readonly socket: Socket;
   readonly openedAt: number;
   bytesRead: number;
-  /** The last check that found new bytes. */
-  heardAtCheck: number;
+  /** Number of the last check that found new bytes. */
+  receivedAtCheck: number;
 }
 
-/** One pool. Checks are counted, not timed: while this process stood still nobody could be heard. */
+/** One pool. Checks are counted instead of time, since nothing is received while this process is paused. */
 export class ServerPool {
   readonly pool: Pool;
   private readonly connections = new Set<Connection>();
-  private checks = 0;
+  private checkCount = 0;
 
   constructor(
     private readonly address: string,
     private readonly settings: ServerPoolSettings,
     private readonly resets: ResetDetector,
   ) {
-    const { connections, maximumIdleMs: maximumRestMs } = settings;
+    const { connections, maximumIdleMs } = settings;
     this.pool = new Pool(`http://${address}`, {
       connections,
       pipelining: 1,
-      connect: resets.createConnector((socket) => this.watch(socket)),
-      keepAliveTimeout: Math.min(DEFAULT_KEEP_ALIVE_MS, maximumRestMs),
-      keepAliveMaxTimeout: maximumRestMs,
+      connect: resets.createConnector((socket) => this.addConnection(socket)),
+      keepAliveTimeout: Math.min(DEFAULT_KEEP_ALIVE_MS, maximumIdleMs),
+      keepAliveMaxTimeout: maximumIdleMs,
       keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
     });
   }
 
-  /** A pool with connections of its own to the same server. */
+  /** Creates a pool with separate connections to the same server. */
   createSuccessor(): ServerPool {
     return new ServerPool(this.address, this.settings, this.resets);
   }
 
-  /** The number of the last check. */
-  getCheck(): number {
-    return this.checks;
+  /** Number of checks so far. */
+  getCheckCount(): number {
+    return this.checkCount;
   }
 
-  /** Notes which connections were heard since the last check. */
+  /** Records which connections have received data since the last check. */
   tick(): void {
-    this.checks += 1;
+    this.checkCount += 1;
     for (const connection of this.connections) {
       const { bytesRead } = connection.socket;
-      if (bytesRead !== connection.bytesRead) connection.heardAtCheck = this.checks;
+      if (bytesRead !== connection.bytesRead) connection.receivedAtCheck = this.checkCount;
       connection.bytesRead = bytesRead;
     }
   }
 
   /**
-   * Whether all connections that were open at `sentAt` are suspect: none was heard after check `sentAtCheck`,
-   * and there are two at least. With one there is nothing else to suspect, and its request may just take
-   * long.
+   * Whether all connections that were open at `sentAt` are suspect: none has received data after check
+   * `sentAtCheck`, and there are at least two. With a single one, the request on it may just take long, and no other
+   * connection could show the difference.
    */
   isSuspect(sentAt: number, sentAtCheck: number): boolean {
     const older = [...this.connections].filter(({ openedAt }) => openedAt < sentAt);
-    // What was heard between the check and the sending shows at the next check.
-    return older.length > 1 && older.every(({ heardAtCheck }) => heardAtCheck <= sentAtCheck + 1);
+    // Data received between the check and the sending is only seen by the next check.
+    return (
+      older.length > 1 && older.every(({ receivedAtCheck: heardAtCheck }) => heardAtCheck <= sentAtCheck + 1)
+    );
   }
 
-  /** Whether anything was ever heard here. */
+  /** Whether any open connection has ever received data. */
   hasReceived(): boolean {
-    return [...this.connections].some(({ heardAtCheck }) => heardAtCheck > 0);
+    return [...this.connections].some(({ receivedAtCheck: heardAtCheck }) => heardAtCheck > 0);
   }
 
-  /** Closes the connections when their requests are over. */
+  /** Closes each connection when its request has ended. */
   close(): void {
-    // It fails only where the pool was destroyed before, and then there is nothing left to close.
+    // Rejects only if the pool has been destroyed already, and then nothing is left to close.
     this.pool.close().catch(() => undefined);
   }
 
-  private watch(socket: Socket): void {
-    const connection = { socket, openedAt: performance.now(), bytesRead: 0, heardAtCheck: 0 };
+  private addConnection(socket: Socket): void {
+    const connection = { socket, openedAt: performance.now(), bytesRead: 0, receivedAtCheck: 0 };
     this.connections.add(connection);
     socket.once('close', () => this.connections.delete(connection));
   }
