--- a/test/attempt-arrivals.test.ts
+++ b/test/attempt-arrivals.test.ts
@@ -1,6 +1,6 @@
 /**
- * What reaches back ends against what the daemon charges to its retry budget: an arrival past the first of a request that nobody charged would let
- * a fleet break the budget without any daemon knowing.
+ * Compares the arrivals at back ends with what the daemon charges to its retry budget. A repeated arrival that is not
+ * charged would let the fleet exceed the budget without any daemon noticing.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -14,11 +14,11 @@
 import { ENGINES, Forwarding, PLAIN, prompt } from './forwarding-harness.js';
 
 const SEED = 20261204;
-const AMPLE = 1_000_000;
+const AMPLE_BUDGET = 1_000_000;
 const ATTEMPTS = 600;
 const IDLE_MS = 5;
 
-/** What a back end makes of an attempt, as the daemon hears of it, and whether the request reached it. */
+/** Outcomes of an attempt, as the daemon receives them, and whether the request arrived at the back end. */
 const OUTCOMES: readonly { readonly event: ForwardAttemptEvent; readonly arrives: boolean }[] = [
   { event: { kind: 'unreachable', reason: 'refused' }, arrives: false },
   { event: { kind: 'notExecuted', status: 503, wrongIncarnation: false }, arrives: true },
@@ -28,30 +28,30 @@
 ];
 const PREFILLED: ForwardAttemptEvent = { kind: 'prefilled', handle: 'h' };
 
-/** Counts arrivals past the first: the first call that had only the prompt computed is none. */
+/** Counts repeated arrivals. The first prefill that a back end accepts is not an arrival. */
 class ArrivalCount {
   private arrivals = 0;
-  private takenUp = false;
+  private prefillAccepted = false;
 
   add(start: AttemptStart, event: ForwardAttemptEvent, arrives: boolean): void {
     if (!arrives) return;
-    const free = start.prefillOnly && event.kind !== 'notExecuted' && !this.takenUp;
-    if (start.prefillOnly && event.kind !== 'notExecuted') this.takenUp = true;
-    if (!free) this.arrivals += 1;
+    const isFree = start.prefillOnly && event.kind !== 'notExecuted' && !this.prefillAccepted;
+    if (start.prefillOnly && event.kind !== 'notExecuted') this.prefillAccepted = true;
+    if (!isFree) this.arrivals += 1;
   }
 
-  getRepeats(): number {
+  getRepeatedArrivals(): number {
     return Math.max(0, this.arrivals - 1);
   }
 }
 
 function makeSite(route: Partial<Route>, engines: boolean): Forwarding {
   const backends = engines ? ENGINES : PLAIN;
-  return new Forwarding([labRoute({ timeoutMs: 60_000, ...route })], backends, AMPLE);
+  return new Forwarding([labRoute({ timeoutMs: 60_000, ...route })], backends, AMPLE_BUDGET);
 }
 
-/** Plays one request to its end and returns the repeats that back ends saw. */
-function play(site: Forwarding, draws: readonly number[], engines: boolean): number {
+/** Runs one request to its end and returns the number of repeated arrivals at back ends. */
+function runRequest(site: Forwarding, draws: readonly number[], engines: boolean): number {
   const fields = engines ? { prompt: prompt(2000, 8000) } : {};
   site.begin({ callerDeadlineMs: 60_000, ...fields });
   const count = new ArrivalCount();
@@ -65,11 +65,11 @@
     count.add(start, event, event === PREFILLED || outcome.arrives);
     site.event(event, 10 * (step + 1));
   }
-  return count.getRepeats();
+  return count.getRepeatedArrivals();
 }
 
 describe('arrivals at back ends', () => {
-  it('past the first of a request are all charged to the retry budget, whatever becomes of the attempts', () => {
+  it('are all charged to the retry budget beyond the first of a request, whatever the outcome of the attempts', () => {
     const cases = fc.record({
       draws: fc.array(fc.nat(29), { minLength: 8, maxLength: 8 }),
       engines: fc.boolean(),
@@ -80,15 +80,15 @@
     fc.assert(
       fc.property(cases, ({ draws, engines, ...route }) => {
         const site = makeSite(route, engines);
-        const seen = play(site, draws, engines);
+        const repeated = runRequest(site, draws, engines);
         const charged = site.retries.takeUsage(1, 1000).reduce((sum, { taken }) => sum + taken, 0);
-        expect(charged).to.be.at.least(seen);
+        expect(charged).to.be.at.least(repeated);
       }),
       { seed: SEED, numRuns: 2000 },
     );
   });
 
-  it('come at most once for each attempt, however the back end treats its connections', async () => {
+  it('occur at most once per attempt, however the back end closes its connections', async () => {
     const random = new SeededRandom(SEED);
     const backend = new ScriptedBackend((_request, socket) => {
       const drawn = random.next();
@@ -125,7 +125,7 @@
   });
 });
 
-/** Sends one attempt and waits until it is over. */
+/** Sends one attempt and waits until it has ended. */
 function send(client: BackendClient, attemptId: string, address: string, once: boolean): Promise<void> {
   const head = {
     callerId: attemptId,
--- a/test/caller-gone.test.ts
+++ b/test/caller-gone.test.ts
@@ -1,6 +1,6 @@
 /**
- * What servers still do for a caller that has left: every stage of a request by every way of leaving, on real sockets. A server works on a
- * request until it has answered or its connection is closed.
+ * Checks what servers still execute for a caller that has disconnected, for every stage of a request and every way to
+ * disconnect, on real sockets. A server works on a request until it has answered or its connection is closed.
  */
 import { connect, type Socket } from 'node:net';
 import { expect } from 'chai';
@@ -12,21 +12,21 @@
 import type { AttemptStart } from '../src/forwarding/forward-messages.js';
 import type { EngineStage, Route } from '../src/forwarding/routes/route.js';
 
-/** A server may still be at work so long after its caller has left. Milliseconds; the platform's rule. */
+/** Time for which a server may still work after its caller has disconnected. Milliseconds; a rule of the platform. */
 const ALLOWED_MS = 500;
-/** Silence after which nothing new is taken to come. Milliseconds. */
+/** Time after which no further requests are expected at servers. Milliseconds. */
 const QUIET_MS = 200;
 const SIGNED = 'X-Server-Signature: s1\r\n';
 
 /** What a server does with one request. */
 type Behaviour = 'hold' | 'answer' | 'reset' | 'prefill' | 'stream';
 
-/** One server that tells on which requests it is at work. */
+/** A server that records on which requests it is working. */
 class WorkingServer {
   readonly atWork = new Map<string, Socket>();
   /**
-   * Exported handles by the connections on which they were told. One whose connection is closed has crossed the closing: nobody read it, and it
-   * runs out by itself. A daemon that has read it leaves the connection open and must free it.
+   * Exported handles, with the connections on which they were sent. If the connection is closed, the answer was not
+   * read and the handle expires by itself. A daemon that has read it leaves the connection open and must free it.
    */
   readonly handles = new Map<string, Socket>();
   readonly freed = new Set<string>();
@@ -54,7 +54,7 @@
     const { head } = request;
     const callerId = headerOf(head, 'x-attempt-id');
     if (callerId === undefined) {
-      this.serveSmallCall(head, socket);
+      this.serveInternalCall(head, socket);
       return;
     }
     this.arrivals.push({ callerId, at: performance.now() });
@@ -63,7 +63,7 @@
     this.act(this.behave(callerId, request), callerId, head, socket);
   }
 
-  /** Work for a connection that is closed is over. */
+  /** Ends the work on a connection's requests when it is closed. */
   private watch(socket: Socket): void {
     if (this.watched.has(socket)) return;
     this.watched.add(socket);
@@ -89,7 +89,7 @@
         setTimeout(() => this.exportHandle(callerId, headers, socket), this.prefillMs);
         break;
       case 'stream':
-        if (source !== undefined) taken.add(source);
+        if (source !== undefined) fetched.add(source);
         socket.write(`HTTP/1.1 200 OK\r\n${headers}Transfer-Encoding: chunked\r\n\r\n`);
         this.streamForever(socket, 1);
     }
@@ -110,7 +110,7 @@
     setTimeout(() => this.streamForever(socket, event + 1), 5);
   }
 
-  private serveSmallCall(head: string, socket: Socket): void {
+  private serveInternalCall(head: string, socket: Socket): void {
     const freed = /^DELETE \/v1\/kv-handle\/(\S+)/.exec(head);
     if (freed) this.freed.add(freed[1]);
     const status = head.startsWith('GET /healthz') ? '200 OK' : '404 Not Found';
@@ -118,14 +118,14 @@
   }
 }
 
-/** Handles that an engine has taken over, as `address/handle`. */
-const taken = new Set<string>();
+/** Handles that an engine has fetched, as `address/handle`. */
+const fetched = new Set<string>();
 
-/** A caller that stops reading leaves so much later. Milliseconds. */
+/** Time between a caller's last read and its disconnection, for callers that stop reading first. Milliseconds. */
 const UNREAD_MS = 30;
 
-/** The ways in which a caller leaves; each is done when the caller has left. */
-const WAYS: Readonly<Record<string, (socket: Socket) => Promise<unknown>>> = {
+/** The ways in which a caller disconnects; each resolves when it has disconnected. */
+const DISCONNECTS: Readonly<Record<string, (socket: Socket) => Promise<unknown>>> = {
   closes: async (socket) => socket.destroy(),
   'ends and reads on': async (socket) => socket.end(),
   resets: async (socket) => socket.resetAndDestroy(),
@@ -141,17 +141,17 @@
   },
 };
 
-/** A stage of a request, reached with these servers. */
+/** A stage of a request, and the servers with which it is reached. */
 interface Stage {
   readonly name: string;
   readonly route?: Partial<Route>;
   readonly servers: () => WorkingServer[];
-  /** What the caller writes. */
+  /** Creates the text that the caller writes. */
   readonly write: (callerId: string) => string;
-  /** Arrivals at servers for one caller once the stage is reached. */
+  /** Number of arrivals at servers for one caller once the stage is reached. */
   readonly arrivals: number;
-  /** Servers that may go on with the request. */
-  readonly mayGoOn?: boolean;
+  /** Whether servers may continue to work on the request. */
+  readonly mayContinue?: boolean;
 }
 
 const STREAM: Partial<Route> = { kind: 'stream', resumable: true, timeoutMs: 10_000 };
@@ -165,7 +165,7 @@
   return `POST /a/x HTTP/1.1\r\nHost: site.example\r\nX-Attempt-Id: ${callerId}\r\nX-Deadline-Ms: 2000\r\nContent-Length: 3\r\n\r\n`;
 }
 
-/** The first server that a caller's request reaches resets, the second one behaves so. */
+/** Servers of which the first that a caller's request reaches resets the connection and the second behaves as given. */
 function afterReset(second: Behaviour): () => WorkingServer[] {
   return () => {
     const seen = new Set<string>();
@@ -198,7 +198,13 @@
     write: (id) => get(id, PROMPT),
     arrivals: 1,
   },
-  { name: 'hand-over', route: STREAM, servers: engines('hold'), write: (id) => get(id, PROMPT), arrivals: 2 },
+  {
+    name: 'KV hand-over',
+    route: STREAM,
+    servers: engines('hold'),
+    write: (id) => get(id, PROMPT),
+    arrivals: 2,
+  },
   {
     name: 'generation',
     route: STREAM,
@@ -215,7 +221,7 @@
     arrivals: 2,
   },
   {
-    name: 'pipelined behind a request that is held',
+    name: 'pipelined behind an unanswered request',
     servers: plain('hold'),
     write: (id) => get(`${id}#1`) + get(`${id}#2`) + get(`${id}#3`),
     arrivals: 3,
@@ -228,16 +234,16 @@
     arrivals: 2,
   },
   {
-    name: 'server at work on what may not be repeated',
+    name: 'server at work on a request that may not be retried',
     route: { kind: 'nonIdempotent', timeoutMs: 2000 },
     servers: plain('hold'),
     write: (id) => `${post(id)}pay`,
     arrivals: 1,
-    mayGoOn: true,
+    mayContinue: true,
   },
 ];
 
-describe('callers that have left', () => {
+describe('callers that have disconnected', () => {
   let site: ForwardingSite;
   let servers: WorkingServer[];
 
@@ -264,14 +270,14 @@
       .length;
   }
 
-  /** What is wrong for a caller that has left. */
-  function getFaults(caller: string, leftAt: number, mayGoOn = false): string[] {
+  /** Rules that are violated for a caller that has disconnected. */
+  function getFaults(caller: string, leftAt: number, mayContinue = false): string[] {
     const faults: string[] = [];
     for (const { id, address, atWork, handles, freed, arrivals } of servers) {
       const working = [...atWork.keys()].filter((callerId) => isOf(callerId, caller));
-      if (working.length > 0 && !mayGoOn) faults.push(`${id} at work on ${working.join(' and ')}`);
-      for (const [handle, told] of handles) {
-        const known = told.destroyed || freed.has(handle) || taken.has(`${address}/${handle}`);
+      if (working.length > 0 && !mayContinue) faults.push(`${id} at work on ${working.join(' and ')}`);
+      for (const [handle, connection] of handles) {
+        const known = connection.destroyed || freed.has(handle) || fetched.has(`${address}/${handle}`);
         if (isOf(handle.slice(2), caller) && !known) faults.push(`${handle} not freed`);
       }
       const late = arrivals.filter(({ callerId, at }) => isOf(callerId, caller) && at > leftAt + QUIET_MS);
@@ -295,7 +301,7 @@
       await start(stage);
       const faults: Record<string, string[]> = {};
       await Promise.all(
-        Object.entries(WAYS).map(async ([way, leave], index) => {
+        Object.entries(DISCONNECTS).map(async ([way, leave], index) => {
           const caller = `c${index}`;
           const socket = await call(stage.write(caller));
           await until(() => getArrivals(caller) >= stage.arrivals);
@@ -303,7 +309,7 @@
           await leave(socket);
           const leftAt = performance.now();
           await delay(ALLOWED_MS + 30);
-          const found = getFaults(caller, leftAt, stage.mayGoOn);
+          const found = getFaults(caller, leftAt, stage.mayContinue);
           if (found.length > 0) faults[way] = found;
           socket.destroy();
         }),
@@ -312,7 +318,7 @@
     });
   }
 
-  it('a request that was not read before its caller left is not sent', async () => {
+  it('a request that was not read before its caller disconnected is not sent', async () => {
     await start({ servers: plain('answer') });
     const warm = await call(get('warm'));
     await until(() => getArrivals('warm') === 1);
@@ -328,7 +334,7 @@
     expect(servers[0].arrivals.map(({ callerId }) => callerId)).to.deep.equal(['warm']);
   });
 
-  it('an order that a server has begun is run to its end, and is sent nowhere else', async () => {
+  it('a request that may not be retried and has reached a server is executed to its end, and is sent nowhere else', async () => {
     const order = new WorkingServer('s1', undefined, () => 'hold');
     await start({ servers: () => [order], route: { kind: 'nonIdempotent', timeoutMs: 1200 } });
     const socket = await call(`${post('order')}pay`);
@@ -341,7 +347,7 @@
     expect(order.arrivals).to.have.length(1);
   });
 
-  it('at any moment of a long prompt, nothing is left at work and no handle is kept', async () => {
+  it('at any time during a long prompt, no work continues and no handle is kept', async () => {
     await start({
       route: STREAM,
       servers: () => [
@@ -352,17 +358,20 @@
     const warm = await call(get('warm', PROMPT));
     await until(() => getArrivals('warm') === 2);
     warm.destroy();
-    const moments = fc.array(fc.record({ way: fc.constantFrom(...Object.keys(WAYS)), afterMs: fc.nat(40) }), {
-      minLength: 60,
-      maxLength: 60,
-    });
+    const moments = fc.array(
+      fc.record({ way: fc.constantFrom(...Object.keys(DISCONNECTS)), afterMs: fc.nat(40) }),
+      {
+        minLength: 60,
+        maxLength: 60,
+      },
+    );
     const [leaves] = fc.sample(moments, { numRuns: 1, seed: 20261202 });
     const results = leaves.map(async ({ way, afterMs }, index) => {
       const caller = `m${index}`;
       await delay(index * 5);
       const socket = await call(get(caller, PROMPT));
       await delay(afterMs);
-      await WAYS[way](socket);
+      await DISCONNECTS[way](socket);
       const leftAt = performance.now();
       await delay(ALLOWED_MS + 30);
       socket.destroy();
@@ -372,7 +381,7 @@
   });
 });
 
-/** An attempt without anything special. */
+/** Defaults of an attempt. */
 const ATTEMPT: Omit<AttemptStart, 'requestId' | 'attemptId' | 'backend'> = {
   tenant: undefined,
   prefillOnly: false,
@@ -390,8 +399,8 @@
   getLastEventId: () => undefined,
 };
 
-describe('connections to servers when callers leave', () => {
-  it('an order that waits for a connection when its caller leaves is not sent', async () => {
+describe('connections to servers when callers disconnect', () => {
+  it('a request that waits for a connection when its caller disconnects is not sent', async () => {
     const order = new WorkingServer('s1', undefined, () => 'answer');
     await order.listen();
     const dialect = new HttpDialect();
--- a/test/platform-connection.test.ts
+++ b/test/platform-connection.test.ts
@@ -5,12 +5,12 @@
 import { StoreClient } from '../platform/store-client.js';
 import { TableClient } from '../platform/table-client.js';
 
-/** Far longer than a new connection takes to answer. */
+/** Far longer than an answer takes on a new connection. Milliseconds. */
 const TIMEOUT_MS = 500;
 const ANSWER_BODY = JSON.stringify({ ver: 1, rows: [] });
 const ANSWER = `HTTP/1.1 200 OK\r\ncontent-length: ${ANSWER_BODY.length}\r\n\r\n${ANSWER_BODY}`;
 
-/** A service that is silent for good on connections that are marked so: it neither answers nor closes them. */
+/** A service that neither answers on connections marked as silent nor closes them. */
 class SilentService {
   readonly served: number[] = [];
   private readonly silent = new Set<number>();
@@ -23,7 +23,7 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** From now on the newest connection says nothing. */
+  /** Marks the newest connection as silent. */
   silence(): void {
     this.silent.add(this.count);
   }
@@ -45,7 +45,7 @@
   }
 }
 
-/** A client that is silent for good after its first answer, and whose socket nobody else closes. */
+/** A client that never answers again after its first answer, and whose socket is only closed by `destroy`. */
 class SilentClient implements ConnectedClient {
   destroyed = false;
   private calls = 0;
@@ -67,7 +67,7 @@
   };
 }
 
-describe('a connection that falls silent for good', () => {
+describe('a connection that goes silent', () => {
   const service = new SilentService();
   let address: string;
 
@@ -77,7 +77,7 @@
 
   after(() => service.stop());
 
-  it('is not used again after a time-out: the next call goes over a new one and is answered', async () => {
+  it('is not reused after a time-out: the next call is answered on a new one', async () => {
     const connection = new PlatformConnection(address);
     const call = { method: 'GET' as const, path: '/', timeoutMs: TIMEOUT_MS };
     expect((await connection.call(call)).status).to.equal(200);
@@ -89,7 +89,7 @@
     connection.close();
   });
 
-  it('is closed and replaced also when the client underneath would go on with it', async () => {
+  it('is closed and replaced even if the underlying client would keep using it', async () => {
     const clients: SilentClient[] = [];
     const connection = new PlatformConnection(address, () => {
       const client = new SilentClient(new Client(`http://${address}`));
@@ -110,7 +110,7 @@
     connection.close();
   });
 
-  it('is one lost answer to the readers of records and of the table', async () => {
+  it('costs the record store and the table store a single answer', async () => {
     const store = new StoreClient(address, () => undefined);
     const table = new TableClient(address);
     const read = { collection: 'configuration' as const, after: undefined, waitMs: 0, answerMs: 800 };
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -1,4 +1,4 @@
-/** The platform's forms: bad input gives a typed error that names the field; nothing outside the folder knows them. */
+/** Tests of platform/: invalid input gives a typed error that names the field, and no other folder uses its names. */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { readdirSync, readFileSync } from 'node:fs';
@@ -15,7 +15,10 @@
 const ROOT = fileURLToPath(new URL('../../', import.meta.url));
 const SEED = 20261202;
 
-/** For a read of some 4 ms, a choice that is made just before it, and the way to the back end. */
+/**
+ * Time for a read of about 4 ms, a routing decision made just before it, and the latency to the back end.
+ * Milliseconds.
+ */
 const SECOND_READ_MS = 100;
 const SETTINGS = `
 node = "n1"
@@ -57,18 +60,18 @@
   return JSON.stringify({ version: 7, routes: [route], services: [{ name: 's' }] });
 }
 
-function files(folder: string): string[] {
+function listFiles(folder: string): string[] {
   return readdirSync(join(ROOT, folder), { withFileTypes: true }).flatMap((entry) =>
-    entry.isDirectory() ? files(join(folder, entry.name)) : [join(folder, entry.name)],
+    entry.isDirectory() ? listFiles(join(folder, entry.name)) : [join(folder, entry.name)],
   );
 }
 
 describe('platform settings', () => {
-  it('known fields are read and unknown ones passed over', () => {
+  it('known fields are read and unknown ones are ignored', () => {
     expect(checkPlatformSettings(SETTINGS).listen.front).to.equal('10.1.0.35:8144');
   });
 
-  it('the region of each zone is known to the daemon; without the table there is one region', () => {
+  it('the region of each zone is read; without the table there is one region', () => {
     const zones = `${SETTINGS}\n[zones]\nz = "r"\ny = "q"`;
     expect(createProcessSettings(checkPlatformSettings(zones)).daemon.regionByZone).to.deep.equal({
       z: 'r',
@@ -77,7 +80,7 @@
     expect(createProcessSettings(checkPlatformSettings(SETTINGS)).daemon.regionByZone).to.deep.equal({});
   });
 
-  it('each duty is done where the platform asks for it', () => {
+  it('each duty is enabled where the platform requests it', () => {
     const duties = (names: string, bounds = ''): [boolean, boolean] | undefined => {
       const text = SETTINGS.replace('lease_ms = 3000', `lease_ms = 3000\n${bounds}`);
       const cloud = `${text}\n[cloud]\naddr = "10.200.0.1:80"\nduties = ${names}`;
@@ -93,7 +96,7 @@
     expect(duties('["metering", "autoscale"]', windows)).to.deep.equal([true, true]);
   });
 
-  it('patience, a lost read, a pause and a second read fit into the bound', () => {
+  it('the fallback delay, a lost read, a back-off and a second read fit into the bound', () => {
     for (const boundMs of [2000, 3000, 4000, 6000]) {
       const text = SETTINGS.replace(/config_ms = \d+/, `config_ms = ${boundMs}`);
       const { replica } = createProcessSettings(checkPlatformSettings(text)).daemon;
@@ -106,7 +109,7 @@
     expect(createProcessSettings(checkPlatformSettings(short)).daemon.replica.firstAnswerMs).to.equal(100);
   });
 
-  it('a missing or wrong field is named', () => {
+  it('errors name a missing or invalid field', () => {
     const wrong: [string, string, RegExp][] = [
       ['front = "10.1.0.35:8144"', '', /listen\.front/],
       ['grace_s = 8', 'grace_s = "8"', /bounds\.grace_s/],
@@ -120,14 +123,14 @@
 });
 
 describe('records of the store', () => {
-  it('a configuration is read into routes', () => {
+  it('a configuration is parsed into routes', () => {
     const { version, routes } = readConfiguration(configuration(ROUTE));
     expect(version).to.equal(7);
     expect(routes[0]).to.include({ kind: 'stream', resumable: true, targetLatencyMs: 300 });
     expect(routes[0].targets).to.deep.equal([{ service: 's', weight: 1 }]);
   });
 
-  it('a wrong field is named', () => {
+  it('errors name an invalid field', () => {
     const wrong = configuration({ ...ROUTE, timeout_ms: 'soon' });
     expect(() => readConfiguration(wrong)).to.throw(ValidationError, /routes\.0\.timeout_ms/);
     expect(() => readServer('i', '{"service":"s","addr":"a","zone":"z","slots":0,"state":"ready"}')).to.throw(
@@ -177,7 +180,7 @@
     server.closeAllConnections();
   });
 
-  it('a bad record is told and passed over, the others count', async () => {
+  it('an invalid record is reported and skipped, and the others are used', async () => {
     const bad: string[] = [];
     const store = new StoreClient(address, (key) => bad.push(key));
     const good = { service: 's', addr: '10.0.0.1:80', zone: 'z', slots: 4, state: 'ready' };
@@ -198,7 +201,7 @@
       ]);
   });
 
-  it('entries of other writers name no server, and the others hold', async () => {
+  it('entries of other writers are not servers, and the others are used', async () => {
     const bad: string[] = [];
     const store = new StoreClient(address, (key) => bad.push(key));
     const good = {
@@ -210,7 +213,7 @@
       born: 1_800_000_000_000,
     };
     const encode = (value: unknown): string => Buffer.from(JSON.stringify(value)).toString('base64');
-    const foreign: Record<string, unknown> = {
+    const invalid: Record<string, unknown> = {
       noState: { ...good, state: undefined },
       otherState: { ...good, state: 'warming' },
       otherType: { ...good, slots: '4' },
@@ -224,7 +227,7 @@
     };
     const rows = [
       { key: 'good', ver: 3, value: encode(good) },
-      ...Object.entries(foreign).map(([key, value], i) => ({ key, ver: 4 + i, value: encode(value) })),
+      ...Object.entries(invalid).map(([key, value], i) => ({ key, ver: 4 + i, value: encode(value) })),
       { key: 'bytes', ver: 20, value: Buffer.from([0xff, 0xfe, 0x00, 0x80]).toString('base64') },
       { key: 'noText', ver: 21, value: 7 },
       { ver: 22 },
@@ -244,10 +247,10 @@
         ['goodToo', good.born],
       ]);
     }
-    expect(new Set(bad)).to.deep.equal(new Set([...Object.keys(foreign), 'bytes', 'noText', '(row)']));
+    expect(new Set(bad)).to.deep.equal(new Set([...Object.keys(invalid), 'bytes', 'noText', '(row)']));
   });
 
-  it('refusals, gone histories and answers that are none are told apart', async () => {
+  it('rejections, discarded histories and missing answers are distinguished', async () => {
     const store = new StoreClient(address, () => undefined);
     const read = { collection: 'configuration' as const, after: 5, waitMs: 10, answerMs: 800 };
     answer = () => ({ status: 429 });
@@ -260,7 +263,7 @@
     expect((await store.read(read)).kind).to.equal('noAnswer');
   });
 
-  it('a stored row that cannot be read is told and counts as empty', async () => {
+  it('an invalid stored row is reported and counts as empty', async () => {
     const bad: string[] = [];
     const table = new TableClient(address, (key, error) => bad.push(`${key} ${error.code}`));
     const value = Buffer.from('{"writeId":').toString('base64');
@@ -271,7 +274,7 @@
     expect(bad).to.deep.equal(['k invalid-input']);
   });
 
-  it('finds a row whose key has spaces: the store takes a plus sign for itself', async () => {
+  it('a row whose key has spaces is found, although the store reads + as a plus sign', async () => {
     const value = Buffer.from(JSON.stringify({ writeId: 'w', value: 'held' })).toString('base64');
     const key = 'duties of the fleet';
     answer = (url) => {
@@ -285,7 +288,7 @@
     });
   });
 
-  it('a commit whose answer was lost counts as done when its write stands in the row', async () => {
+  it('a commit whose answer was lost counts as committed when its write is in the row', async () => {
     const table = new TableClient(address);
     const commit = {
       kind: 'commit' as const,
@@ -308,16 +311,19 @@
 });
 
 describe('layout', () => {
-  it("the platform's names stand in its folder only", () => {
+  it("the platform's names occur in its folder only", () => {
     const names =
       /X-Attempt-Id|X-Expect-Instance|X-Kv-Source|X-Prefix-Hash|X-Not-Executed|X-Token-Usage|rows-(tx|get|feed)|PULLEYLEDGE_NODE_FILE/i;
-    const found = files('src').filter((file) => names.test(readFileSync(join(ROOT, file), 'utf8')));
+    const found = listFiles('src').filter((file) => names.test(readFileSync(join(ROOT, file), 'utf8')));
     expect(found).to.deep.equal([]);
   });
 
-  it('the folder stays under a fifth of the source', () => {
+  it('the folder is smaller than a fifth of the source', () => {
     const lines = (folder: string): number =>
-      files(folder).reduce((sum, file) => sum + readFileSync(join(ROOT, file), 'utf8').split('\n').length, 0);
+      listFiles(folder).reduce(
+        (sum, file) => sum + readFileSync(join(ROOT, file), 'utf8').split('\n').length,
+        0,
+      );
     expect(lines('platform')).to.be.lessThan(lines('src') / 5);
   });
 });
--- a/test/retry-after-header.test.ts
+++ b/test/retry-after-header.test.ts
@@ -1,4 +1,4 @@
-/** What engines, application servers and the store say in refusals of when they want to be asked again. */
+/** Tests of Retry-After in rejections by engines, application servers and the store. */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
@@ -14,8 +14,8 @@
 
 const DATE = 'Thu, 03 Dec 2026 10:00:00 GMT';
 
-/** Runs a server that turns everything away. */
-async function withRefusing<Result>(
+/** Runs `use` against a server that rejects every request. */
+async function withRejectingServer<Result>(
   retryAfter: string | undefined,
   use: (address: string) => Promise<Result>,
 ): Promise<Result> {
@@ -34,7 +34,7 @@
 }
 
 async function askEngine(retryAfter: string | undefined, unreadable: string[] = []): Promise<AttemptEvent> {
-  return withRefusing(retryAfter, async (address) => {
+  return withRejectingServer(retryAfter, async (address) => {
     const client = new HttpEngineClient((text) => unreadable.push(text));
     const attempt = {
       address,
@@ -49,8 +49,8 @@
   });
 }
 
-describe('Retry-After of others', () => {
-  it('is a decimal number of seconds or a date, and nothing else', () => {
+describe('headers by which servers limit requests', () => {
+  it('a Retry-After is a decimal number of seconds or a date, and nothing else', () => {
     expect(parseRetryAfterMs('3', undefined)).to.equal(3000);
     expect(parseRetryAfterMs(' 0.25 ', undefined)).to.equal(250);
     expect(parseRetryAfterMs('Thu, 03 Dec 2026 10:00:02 GMT', DATE)).to.equal(2000);
@@ -60,7 +60,7 @@
     expect(parseRetryAfterMs('Thu, 03 Dec 2026 10:00:02 GMT', undefined)).to.equal(undefined);
   });
 
-  it('counts in refusals of back ends only, and is told when it cannot be read', () => {
+  it('a Retry-After of a back end counts in rejections only, and is reported when it is invalid', () => {
     const dialect = new HttpDialect();
     expect(dialect.parseSignals(503, ['Retry-After', '3']).retryAfterMs).to.equal(3000);
     expect(dialect.parseSignals(200, ['Retry-After', '3']).retryAfterMs).to.equal(undefined);
@@ -69,7 +69,7 @@
     expect(unreadable).to.deep.equal(['Retry-After: soon']);
   });
 
-  it('leaves a limit that cannot be read without effect', () => {
+  it('an invalid Server-Limit is ignored and reported', () => {
     const signals = (text: string) => new HttpDialect().parseSignals(200, ['Server-Limit', text]);
     expect(signals('0.5').requestsPerSecond).to.equal(0.5);
     expect(signals('many')).to.deep.include({
@@ -78,7 +78,7 @@
     });
   });
 
-  it('of an engine of the completions interface reaches the daemon', async () => {
+  it('the Retry-After of an engine of the completions interface reaches the daemon', async () => {
     expect(await askEngine('1.5')).to.deep.equal({ kind: 'refused', reason: 'full', retryAfterMs: 1500 });
     expect(await askEngine(undefined)).to.deep.include({ kind: 'refused', retryAfterMs: undefined });
     const unreadable: string[] = [];
@@ -86,7 +86,7 @@
     expect(unreadable).to.deep.equal(['soon']);
   });
 
-  it('keeps work from an engine until then, whatever it says later', () => {
+  it('an engine gets no work until the latest time that it has named', () => {
     const engine = new EngineView('e1', '10.0.0.1:1', 'z', 'c', 10_000);
     const takesWork = (now: number): boolean => {
       engine.phase = 'active';
@@ -101,7 +101,7 @@
     expect(takesWork(3000)).to.equal(true);
   });
 
-  it('keeps calls from an application server, also from the only one, and tells when there is one', () => {
+  it('an application server gets no calls until then, even if it is the only one, and the waiting time is known', () => {
     const servers = new ApplicationServers(new SeededRandom(1));
     servers.setServers([{ id: 'a', address: '10.0.0.1:1', leaving: false }]);
     const server = servers.pick(new Set(), 0);
@@ -112,10 +112,10 @@
     expect(servers.pick(new Set(), 3000)?.id).to.equal('a');
   });
 
-  it('of the store is heeded in place of the usual pause, within bounds', async () => {
+  it('the Retry-After of the store replaces the default delay, within bounds', async () => {
     const unreadable: string[] = [];
     const ask = (retryAfter: string | undefined) =>
-      withRefusing(retryAfter, (address) =>
+      withRejectingServer(retryAfter, (address) =>
         new TableClient(address, (key) => unreadable.push(key)).perform({
           kind: 'read',
           table: 'leases',
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -1,4 +1,4 @@
-/** Connections that pass nothing any more, without a reset, while new ones work. */
+/** Tests of connections that stop delivering data without a reset, while new connections work. */
 import { expect } from 'chai';
 import { labBackend, labRoute, startForwardingSite, type ForwardingSite } from '../lab/forwarding-site.js';
 import { findFreeAddresses } from '../lab/free-ports.js';
@@ -7,8 +7,8 @@
 import { PeerTransport, type PeerTransportListener } from '../src/adapters/peer-transport.js';
 import type { PeerMessage } from '../src/daemon/peer-messages.js';
 
-/** A silent connection is replaced within this time; the platform allows 4 s for contact. Milliseconds. */
-const FOUND_MS = 2500;
+/** Time within which a silent connection is replaced. Milliseconds; the platform allows 4 s to restore contact. */
+const REPLACED_MS = 2500;
 const SIGNED = 'X-Server-Signature: s1\r\n';
 
 describe('silent connections between daemons', () => {
@@ -21,16 +21,16 @@
   beforeEach(async () => {
     received = [];
     errors = 0;
-    const ignore: PeerTransportListener = {
+    const listener: PeerTransportListener = {
       onMessage: () => undefined,
       onProtocolError: () => (errors += 1),
       onTraffic: () => undefined,
     };
     const [nearAddress, farAddress] = await findFreeAddresses(2);
-    near = new PeerTransport({ kind: 'hello', id: 'near', address: nearAddress }, ignore);
+    near = new PeerTransport({ kind: 'hello', id: 'near', address: nearAddress }, listener);
     far = new PeerTransport(
       { kind: 'hello', id: 'far', address: farAddress },
-      { ...ignore, onMessage: () => received.push(performance.now()) },
+      { ...listener, onMessage: () => received.push(performance.now()) },
     );
     await Promise.all([near.listen(), far.listen()]);
     proxy = new FaultProxy(() => farAddress);
@@ -52,23 +52,23 @@
     }
   }
 
-  it('are replaced well before the daemons count as out of contact', async () => {
+  it('are replaced well before the daemons count as unreachable', async () => {
     const address = await proxy.start();
     await sendFor(address, 600);
     proxy.silenceLive();
     const silencedAt = performance.now();
-    await sendFor(address, FOUND_MS);
+    await sendFor(address, REPLACED_MS);
     const after = received.filter((at) => at > silencedAt + 100);
     expect(after.length).to.be.greaterThan(3);
     expect(errors).to.equal(0);
   });
 
-  it('are not seen where a peer only has nothing to say', async () => {
+  it('are not assumed where a peer only has nothing to send', async () => {
     const address = await proxy.start();
     near.send(address, ping());
-    await delay(FOUND_MS);
+    await delay(REPLACED_MS);
     const before = near.getConnectionsMade();
-    await sendFor(address, FOUND_MS);
+    await sendFor(address, REPLACED_MS);
     expect(near.getConnectionsMade()).to.equal(before);
   });
 });
@@ -78,13 +78,13 @@
   let backend: ScriptedBackend;
   let spare: ScriptedBackend;
   let site: ForwardingSite;
-  /** Requests with these ids are held by the server. */
-  const held = new Set<string>();
+  /** Ids of requests that the server never answers. */
+  const unanswered = new Set<string>();
 
   beforeEach(async () => {
     const answer = (request: { head: string }, socket: { write(text: string): unknown }): void => {
       const id = headerOf(request.head, 'x-attempt-id');
-      if (id !== undefined && held.has(id)) return;
+      if (id !== undefined && unanswered.has(id)) return;
       const identity = id === undefined ? 'X-Instance-Id: b1\r\n' : `X-Attempt-Id: ${id}\r\n`;
       socket.write(`HTTP/1.1 200 OK\r\n${identity}${SIGNED}Content-Length: 2\r\n\r\nok`);
     };
@@ -110,7 +110,7 @@
     return { status: answer.status, ms: performance.now() - startedAt };
   }
 
-  it('one makes the older ones suspect: requests after a second take new ones', async () => {
+  it('a silent one makes the older ones suspect: after a second, requests use new ones', async () => {
     site = await startForwardingSite(
       [labRoute({ host: '127.0.0.1' })],
       [labBackend('b1', await proxy.start())],
@@ -125,7 +125,7 @@
     await first;
   });
 
-  it('a request that waits on one is moved, when its server answers on new ones', async () => {
+  it('a request that waits on a silent one is retried elsewhere once its server answers on new ones', async () => {
     const route = labRoute({ host: '127.0.0.1', timeoutMs: 8000, maximumAttempts: 2 });
     const proxied = labBackend('b1', await proxy.start());
     site = await startForwardingSite([route], [proxied]);
@@ -149,13 +149,13 @@
     expect(Math.max(...moved.map(({ ms }) => ms))).to.be.lessThan(4000);
   });
 
-  it('a server that is only slow keeps its connections', async () => {
+  it('the connections to a server that is only slow are kept', async () => {
     site = await startForwardingSite(
       [labRoute({ host: '127.0.0.1' })],
       [labBackend('b1', await proxy.start())],
     );
     await Promise.all(Array.from({ length: 4 }, (_, index) => ask(`warm${index}`)));
-    held.add('slow');
+    unanswered.add('slow');
     const slow = ask('slow', 1900);
     const before = proxy.connectionsMade();
     const end = performance.now() + 1800;
