--- a/src/adapters/attempt-handler.ts
+++ b/src/adapters/attempt-handler.ts
@@ -56,7 +56,7 @@
   /** The pool whose connections the attempt is sent over. */
   readonly pool: ServerPool;
   readonly dialect: BackendDialect;
-  readonly resets: ResetDetector;
+  readonly resetDetector: ResetDetector;
   readonly start: AttemptStart;
   readonly request: CallerRequest;
   /** Receives the parts of a streamed answer. */
@@ -85,16 +85,16 @@
 
   readonly pool: ServerPool;
   private readonly dialect: BackendDialect;
-  private readonly resets: ResetDetector;
+  private readonly resetDetector: ResetDetector;
   private readonly start: AttemptStart;
   private readonly request: CallerRequest;
   private readonly sink: StreamSink;
   private readonly onEvent: (event: ForwardAttemptEvent) => void;
 
-  constructor({ pool, dialect, resets, start, request, sink, onEvent }: AttemptOptions) {
+  constructor({ pool, dialect, resetDetector, start, request, sink, onEvent }: AttemptOptions) {
     this.pool = pool;
     this.dialect = dialect;
-    this.resets = resets;
+    this.resetDetector = resetDetector;
     this.start = start;
     this.request = request;
     this.sink = sink;
@@ -181,7 +181,7 @@
 
   onResponseEnd(): void {
     if (this.finished) return;
-    if (this.resets.isHandlingReset()) {
+    if (this.resetDetector.isHandlingReset()) {
       this.fail({ kind: 'broken', reason: 'reset before the end of the answer' });
       return;
     }
--- a/src/adapters/backend-client.ts
+++ b/src/adapters/backend-client.ts
@@ -94,7 +94,7 @@
   /** The successor of each pool that gets no new requests. */
   private readonly successors = new Map<ServerPool, ServerPool>();
   private readonly attempts = new Map<string, AttemptHandler>();
-  private readonly resets: ResetDetector;
+  private readonly resetDetector: ResetDetector;
   private readonly timer: NodeJS.Timeout;
   private readonly silentChecks: number;
 
@@ -105,7 +105,7 @@
     private readonly onSignals: SignalListener = () => undefined,
   ) {
     this.silentChecks = Math.ceil(settings.silentConnectionMs / CHECK_INTERVAL_MS);
-    this.resets = new ResetDetector(settings.connectTimeoutMs);
+    this.resetDetector = new ResetDetector(settings.connectTimeoutMs);
     this.timer = setInterval(() => this.tick(), CHECK_INTERVAL_MS).unref();
   }
 
@@ -123,7 +123,7 @@
     const handler = new AttemptHandler({
       pool,
       dialect: this.dialect,
-      resets: this.resets,
+      resetDetector: this.resetDetector,
       start: resumed,
       request,
       sink,
@@ -314,7 +314,7 @@
     let pool = this.pools.get(key);
     if (!pool) {
       const { connectionsPerBackend: connections } = this.settings;
-      pool = new ServerPool(address, { connections, maximumIdleMs }, this.resets);
+      pool = new ServerPool(address, { connections, maximumIdleMs }, this.resetDetector);
       this.pools.set(key, pool);
     }
     return pool;
--- a/src/adapters/http-headers.ts
+++ b/src/adapters/http-headers.ts
@@ -34,13 +34,13 @@
 
 /** The end-to-end headers (RFC 9110, 7.6.1), without those named in `dropped` (lower case). */
 export function pickEndToEndHeaders(headers: RawHeaders, dropped: ReadonlySet<string>): string[] {
-  const hopByHop = new Set(
+  const connectionOptions = new Set(
     (getHeaderValue(headers, 'connection') ?? '').split(',').map((token) => token.trim().toLowerCase()),
   );
   const kept: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index].toLowerCase();
-    if (CONNECTION_HEADERS.has(name) || hopByHop.has(name) || dropped.has(name)) continue;
+    if (CONNECTION_HEADERS.has(name) || connectionOptions.has(name) || dropped.has(name)) continue;
     kept.push(headers[index], headers[index + 1]);
   }
   return kept;
--- a/src/adapters/platform-client.ts
+++ b/src/adapters/platform-client.ts
@@ -124,7 +124,7 @@
     return { kind: 'noAnswer', reason };
   }
 
-  /** The platform's own header, `retry-after-ms`, takes precedence over `Retry-After`. */
+  /** The platform's own header, `retry-after-ms` (milliseconds), takes precedence over `Retry-After`. */
   private getRetryAfterMs(headers: IncomingHttpHeaders): number {
     const headerMs = Number(headers['retry-after-ms']);
     if (Number.isFinite(headerMs)) return headerMs;
--- a/src/adapters/server-pool.ts
+++ b/src/adapters/server-pool.ts
@@ -42,13 +42,13 @@
   constructor(
     private readonly address: string,
     private readonly settings: ServerPoolSettings,
-    private readonly resets: ResetDetector,
+    private readonly resetDetector: ResetDetector,
   ) {
     const { connections, maximumIdleMs } = settings;
     this.pool = new Pool(`http://${address}`, {
       connections,
       pipelining: 1,
-      connect: resets.createConnector((socket) => this.addConnection(socket)),
+      connect: resetDetector.createConnector((socket) => this.addConnection(socket)),
       keepAliveTimeout: Math.min(DEFAULT_KEEP_ALIVE_MS, maximumIdleMs),
       keepAliveMaxTimeout: maximumIdleMs,
       keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
@@ -57,7 +57,7 @@
 
   /** Creates a pool with separate connections to the same server. */
   createSuccessor(): ServerPool {
-    return new ServerPool(this.address, this.settings, this.resets);
+    return new ServerPool(this.address, this.settings, this.resetDetector);
   }
 
   /** Number of checks so far. */
