--- a/src/adapters/backend-client.ts
+++ b/src/adapters/backend-client.ts
@@ -20,7 +20,7 @@
 import { ResetDetector } from './reset-watch.js';
 import { ServerPool } from './server-pool.js';
 
-export type { CallerRequest, BufferedAnswer as BufferedAnswer, StreamSink } from './attempt-handler.js';
+export type { CallerRequest, BufferedAnswer, StreamSink } from './attempt-handler.js';
 
 /** A call that the daemon makes for itself, not for a caller. */
 interface InternalCall extends PlainCall {
@@ -72,7 +72,7 @@
  */
 const MAXIMUM_IDLE_ONCE_MS = 200;
 /**
- * Interval of the checks which connections have received data. Milliseconds; a quarter of the default of
+ * Interval of the checks for data received on connections. Milliseconds; a quarter of the default of
  * `silentConnectionMs`.
  */
 const CHECK_INTERVAL_MS = 250;
