--- a/src/forwarding/permits/permit-manager.ts
+++ b/src/forwarding/permits/permit-manager.ts
@@ -142,7 +142,7 @@
 
   /// Any message of a daemon shows that it runs.
   hear(fromId: string, now: number): void {
-    this.buckets.hear(fromId, now)
+    this.buckets.onContact(fromId, now)
   }
 
   /// Takes a message about permits.
@@ -154,7 +154,7 @@
   /// This process stood still until now: what it was granted before is out of date.
   resumeAfterPause(now: number): void {
     for (const view of this.states.keys()) view.permits = 0
-    this.buckets.resumeAfterPause(now)
+    this.buckets.onProcessResumed(now)
   }
 
   /// Advances timers.
--- a/test/daemon-parts.test.ts
+++ b/test/daemon-parts.test.ts
@@ -32,7 +32,7 @@
     kvIndex: new KvIndex(),
     emit: () => undefined,
     members: () => [],
-    fleet: () => ({ members: [], known: 1, joined: true }),
+    fleet: () => ({ members: [], knownCount: 1, joined: true }),
     decideQuota: () => undefined,
     isFirstReader: () => true,
     routes: () => undefined,
--- a/test/forwarding-harness.ts
+++ b/test/forwarding-harness.ts
@@ -35,7 +35,7 @@
   return new PermitManager({
     selfId: 'daemon-1',
     random: new SeededRandom(SEED),
-    getFleet: () => ({ members: [], known: 1, joined: true }),
+    getFleet: () => ({ members: [], knownCount: 1, joined: true }),
     onSettled: () => undefined,
     emit: () => undefined,
   });
