--- a/src/allocation/stage-coordinator.ts
+++ b/src/allocation/stage-coordinator.ts
@@ -215,7 +215,7 @@
   ): ReadonlyMap<string, readonly BackendView[]> {
     const serving = views.filter(
       (view) =>
-        view.takesWork() && (view.changing || this.isChanging(view.record.id) || !view.isEjected(now)),
+        view.takesWork() && (view.isChangingStage || this.isChanging(view.record.id) || !view.isEjected(now)),
     );
     return groupByRegion(serving, ({ record }) => regionOf?.(record.zone) ?? '');
   }
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -245,7 +245,7 @@
   private setReaderRank(): void {
     if (!this.membersChanged) return;
     this.membersChanged = false;
-    this.machines.directory.peers.setDaemons(this.machines.membership.active().length);
+    this.machines.directory.peers.setDaemonCount(this.machines.membership.active().length);
     this.readerRank = getRendezvousPlace(
       STORE_READER_KEY,
       this.machines.membership.activeIds(),
--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -141,7 +141,7 @@
     selfId: identity.id,
     random,
     getFleet: () => getFleetView(membership),
-    onSettled: resumeWaiting,
+    onDecision: resumeWaiting,
     emit,
   });
   const limits = new BackendLimits(directory, ({ record }, requestsPerSecond, at) => {
--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -139,7 +139,7 @@
       },
       now,
     );
-    for (const view of views) view.changing = coordinator.isChanging(view.record.id);
+    for (const view of views) view.isChangingStage = coordinator.isChanging(view.record.id);
   }
 
   private getCoordinator(service: string, now: number): StageCoordinator {
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -126,7 +126,7 @@
   private avoidCrashed(incarnation: string): void {
     for (const record of this.records.values())
       if (getIncarnation(record) === incarnation)
-        this.context.directory.get(record.id)?.health.onProcessEnded(this.eventAt)
+        this.context.directory.get(record.id)?.health.onContactLost(this.eventAt)
   }
 }
 
--- a/test/forwarding-harness.ts
+++ b/test/forwarding-harness.ts
@@ -36,7 +36,7 @@
     selfId: 'daemon-1',
     random: new SeededRandom(SEED),
     getFleet: () => ({ members: [], knownCount: 1, joined: true }),
-    onSettled: () => undefined,
+    onDecision: () => undefined,
     emit: () => undefined,
   });
 }
