--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -12,7 +12,7 @@
 import { AttemptListener, type AttemptBackend } from '../routing/run-listener.js';
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { RandomSource } from '../shared/random.js';
-import { getRendezvousPlace } from '../shared/rendezvous-hash.js';
+import { getRendezvousRank } from '../shared/rendezvous-hash.js';
 import { makeQuarantineChange } from './change-log.js';
 import type { CompletionDaemonEffect } from './completion-messages.js';
 
@@ -46,7 +46,7 @@
     const context = {
       selfId,
       members: () => options.members(),
-      isFirst: () => getRendezvousPlace(CLEANER_KEY, getMemberIds(), selfId) === 0,
+      isFirst: () => getRendezvousRank(CLEANER_KEY, getMemberIds(), selfId) === 0,
       hasOlderRun: ({ id }: BackendIncarnation, before: number) => options.hasOlderAttempt(id, before),
     };
     const onEffect = (effect: QuarantineEffect): void => this.onQuarantineEffect(effect);
