--- a/test/forwarding-bytes.test.ts
+++ b/test/forwarding-bytes.test.ts
@@ -268,7 +268,7 @@
       const reply = new CallerReply(response, () => false, undefined);
       reply.head(200, ['X-Own', '1'], true);
       reply.events(Buffer.from('id: 1\n\n'), '1');
-      setTimeout(() => reply.own({ status: 504, failure: 'deadline', retryAfterMs: undefined }), 50);
+      setTimeout(() => reply.sendFailure({ status: 504, failure: 'deadline', retryAfterMs: undefined }), 50);
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const { port } = server.address() as AddressInfo;
--- a/test/names.test.ts
+++ b/test/names.test.ts
@@ -88,13 +88,13 @@
 
   it('metrics and their labels', () => {
     const forwarding = new ForwardingMetrics({
-      ready: () => true,
-      requestsInHand: () => 0,
-      configurationVersion: () => 1,
-      configurationAgeMs: () => 1,
-      members: () => 1,
-      droppedLogLines: () => 0,
-      partFigures: () => ({ quotas: { owned: 1 } }),
+      isReady: () => true,
+      getOpenRequestCount: () => 0,
+      getConfigurationVersion: () => 1,
+      getConfigurationAgeMs: () => 1,
+      getMemberCount: () => 1,
+      getDroppedLineCount: () => 0,
+      getPartFigures: () => ({ quotas: { owned: 1 } }),
     });
     const requests = { active: 0, waiting: 0, applicationCalls: 0 };
     const status = { ready: true, requests, members: [], leases: [], roleChanges: 0 };
