--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -53,16 +53,16 @@
       await serve();
       break;
     case 'settings':
-      checkCommand(args);
+      runSettingsCommand(args);
       break;
     case 'status':
-      print(await runStatusCommand(operators(), cli.flags.json));
+      writeOutput(await runStatusCommand(getOperatorAddresses(), cli.flags.json));
       break;
     case 'explain':
-      print(explainRequest(requestIdOf(args), readLogs()));
+      writeOutput(explainRequest(getRequestId(args), readLogs()));
       break;
     case 'services':
-      print(await runServicesCommand(new OperatorClient(operators()[0]), args, cli.flags));
+      writeOutput(await runServicesCommand(new OperatorClient(getOperatorAddresses()[0]), args, cli.flags));
       break;
     default:
       cli.showHelp(command === undefined ? EXIT_OK : EXIT_FAILURE);
@@ -78,17 +78,17 @@
   await daemon.start();
 }
 
-function checkCommand(args: readonly string[]): void {
+function runSettingsCommand(args: readonly string[]): void {
   if (args[0] !== 'check') throw new ValidationError('settings', 'must be: check');
   readSettings();
-  print('settings are valid');
+  writeOutput('settings are valid');
 }
 
 function readSettings(): Settings {
-  return loadSettings(settingsPath(), cli.flags.set ?? []);
+  return loadSettings(getSettingsPath(), cli.flags.set ?? []);
 }
 
-function requestIdOf(args: readonly string[]): string {
+function getRequestId(args: readonly string[]): string {
   if (args.length !== 1) throw new ValidationError('REQUEST-ID', 'must be given, once');
   return args[0];
 }
@@ -105,22 +105,22 @@
   });
 }
 
-function settingsPath(): string {
+function getSettingsPath(): string {
   if (cli.flags.settings === undefined) throw new ValidationError('--settings', 'is missing');
   return cli.flags.settings;
 }
 
-function operators(): string[] {
+function getOperatorAddresses(): string[] {
   const addresses = (cli.flags.operator ?? '').split(',').filter((address) => address !== '');
   if (addresses.length === 0) throw new ValidationError('--operator', 'is missing');
   return addresses;
 }
 
-function print(text: string): void {
+function writeOutput(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-function fail(error: unknown): never {
+function exitWithError(error: unknown): never {
   if (!(error instanceof PulleyledgeError)) throw error;
   process.stderr.write(`${error.code}: ${error.message}\n`);
   if (Object.keys(error.context).length > 0)
@@ -131,4 +131,4 @@
   process.exit(conflict ? EXIT_CONFLICT : EXIT_FAILURE);
 }
 
-run().catch(fail);
+run().catch(exitWithError);
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -23,9 +23,9 @@
 }
 
 /** Changes older than this before a request's first line are not shown. Milliseconds. */
-const CHANGE_WINDOW_MS = 10_000;
+const CONTEXT_WINDOW_MS = 10_000;
 /** Changes that bear on any request. */
-const GENERAL_EVENTS: ReadonlySet<string> = new Set([
+const DAEMON_WIDE_EVENTS: ReadonlySet<string> = new Set([
   'process.started',
   'drain.started',
   'process.stopped',
@@ -35,7 +35,14 @@
   'log.dropped',
 ]);
 /** Fields that have a place of their own in a line, or none. */
-const SHOWN_APART: ReadonlySet<string> = new Set(['daemon', 'event', 'clock', 'time', 'level', 'requestId']);
+const UNLISTED_FIELDS: ReadonlySet<string> = new Set([
+  'daemon',
+  'event',
+  'clock',
+  'time',
+  'level',
+  'requestId',
+]);
 
 /**
  * The time line of `requestId` in the logs.
@@ -46,39 +53,39 @@
   const own = lines.filter((line) => line.requestId === requestId);
   if (own.length === 0) throw new NotFoundError(`request ${requestId}`);
   const daemons = [...new Set(own.map((line) => line.daemon))];
-  daemons.sort((left, right) => firstTime(own, left) - firstTime(own, right));
-  return daemons.map((daemon) => section(daemon, own, lines)).join('\n\n');
+  daemons.sort((left, right) => getFirstTime(own, left) - getFirstTime(own, right));
+  return daemons.map((daemon) => formatDaemonSection(daemon, own, lines)).join('\n\n');
 }
 
-function section(daemon: string, own: readonly LogLine[], lines: readonly LogLine[]): string {
-  const mine = own.filter((line) => line.daemon === daemon);
-  const first = Math.min(...mine.map((line) => line.clock));
-  const last = Math.max(...mine.map((line) => line.clock));
-  const backends = new Set(mine.flatMap(getBackends));
+function formatDaemonSection(daemon: string, own: readonly LogLine[], lines: readonly LogLine[]): string {
+  const requestLines = own.filter((line) => line.daemon === daemon);
+  const first = Math.min(...requestLines.map((line) => line.clock));
+  const last = Math.max(...requestLines.map((line) => line.clock));
+  const backends = new Set(requestLines.flatMap(getBackends));
   const changes = lines.filter((line) => {
-    const near = line.clock >= first - CHANGE_WINDOW_MS && line.clock <= last;
-    const bears =
-      GENERAL_EVENTS.has(line.event) || (line.backend !== undefined && backends.has(line.backend));
-    return line.daemon === daemon && line.requestId === undefined && near && bears;
+    const near = line.clock >= first - CONTEXT_WINDOW_MS && line.clock <= last;
+    const relevant =
+      DAEMON_WIDE_EVENTS.has(line.event) || (line.backend !== undefined && backends.has(line.backend));
+    return line.daemon === daemon && line.requestId === undefined && near && relevant;
   });
-  const shown = [...mine, ...changes].sort((left, right) => left.clock - right.clock);
-  return [daemon, ...shown.map((line) => describe(line, first))].join('\n');
+  const shown = [...requestLines, ...changes].sort((left, right) => left.clock - right.clock);
+  return [daemon, ...shown.map((line) => formatLine(line, first))].join('\n');
 }
 
 function getBackends({ backend, backends = [] }: LogLine): readonly string[] {
   return backend === undefined ? backends : [backend, ...backends];
 }
 
-function describe(line: LogLine, origin: number): string {
+function formatLine(line: LogLine, origin: number): string {
   const at = `${line.clock - origin} ms`.padStart(10);
   const mark = line.requestId === undefined ? '~' : ' ';
   const fields = Object.entries(line)
-    .filter(([name, value]) => !SHOWN_APART.has(name) && value !== undefined)
+    .filter(([name, value]) => !UNLISTED_FIELDS.has(name) && value !== undefined)
     .map(([name, value]) => `${name}=${String(value)}`);
   return `${at} ${mark} ${line.event.padEnd(24)} ${fields.join(' ')}`.trimEnd();
 }
 
-function firstTime(lines: readonly LogLine[], daemon: string): number {
+function getFirstTime(lines: readonly LogLine[], daemon: string): number {
   return Math.min(...lines.filter((line) => line.daemon === daemon).map((line) => line.time));
 }
 
--- a/src/cli/services-command.ts
+++ b/src/cli/services-command.ts
@@ -29,15 +29,15 @@
   const [action, ...rest] = args;
   switch (action) {
     case 'list':
-      return list(client, options);
+      return listServices(client, options);
     case 'get':
-      return JSON.stringify(await find(client, required(rest[0], 'NAME')), null, 2);
+      return JSON.stringify(await findService(client, checkRequired(rest[0], 'NAME')), null, 2);
     case 'set':
-      return set(client, required(rest[0], 'NAME'), rest.slice(1), options);
+      return setService(client, checkRequired(rest[0], 'NAME'), rest.slice(1), options);
     case 'delete':
-      return remove(client, required(rest[0], 'NAME'), options);
+      return removeService(client, checkRequired(rest[0], 'NAME'), options);
     case 'import':
-      return importCsv(client, required(rest[0], 'FILE'), options);
+      return importCsv(client, checkRequired(rest[0], 'FILE'), options);
     case 'export':
       return exportCsv(client, rest[0]);
     case 'columns':
@@ -50,7 +50,7 @@
   }
 }
 
-async function list(client: OperatorClient, options: ServicesOptions): Promise<string> {
+async function listServices(client: OperatorClient, options: ServicesOptions): Promise<string> {
   const { revision, services } = await client.getServices();
   if (options.json) return JSON.stringify({ revision, services }, null, 2);
   const columns = [
@@ -71,14 +71,14 @@
   return `revision ${revision}\n${formatTable([...columns, 'revision'], rows)}`;
 }
 
-async function find(client: OperatorClient, name: string): Promise<VersionedRow> {
+async function findService(client: OperatorClient, name: string): Promise<VersionedRow> {
   const { services } = await client.getServices();
   const found = services.find((entry) => entry.name === name);
   if (!found) throw new UnknownServiceError(name);
   return found;
 }
 
-async function set(
+async function setService(
   client: OperatorClient,
   name: string,
   assignments: readonly string[],
@@ -86,7 +86,7 @@
 ): Promise<string> {
   if (assignments.length === 0) throw new ValidationError('services set', 'needs at least one column=value');
   const { services } = await client.getServices();
-  const present = services.find((entry) => entry.name === name);
+  const current = services.find((entry) => entry.name === name);
   const changes: Record<string, unknown> = {};
   for (const assignment of assignments) {
     const equals = assignment.indexOf('=');
@@ -94,27 +94,31 @@
     const column = assignment.slice(0, equals);
     changes[column] = parseCell(name, column, assignment.slice(equals + 1));
   }
-  const row = parseServiceRow({ ...present?.row, ...changes, name });
-  return submit(
+  const row = parseServiceRow({ ...current?.row, ...changes, name });
+  return sendEdits(
     client,
-    [{ name, expectedRevision: options.revision ?? present?.revision ?? 0, row }],
+    [{ name, expectedRevision: options.revision ?? current?.revision ?? 0, row }],
     options,
   );
 }
 
-async function remove(client: OperatorClient, name: string, options: ServicesOptions): Promise<string> {
-  const present = await find(client, name);
-  return submit(
+async function removeService(
+  client: OperatorClient,
+  name: string,
+  options: ServicesOptions,
+): Promise<string> {
+  const current = await findService(client, name);
+  return sendEdits(
     client,
-    [{ name, expectedRevision: options.revision ?? present.revision, row: null }],
+    [{ name, expectedRevision: options.revision ?? current.revision, row: null }],
     options,
   );
 }
 
 async function importCsv(client: OperatorClient, path: string, options: ServicesOptions): Promise<string> {
-  const imported = parseServicesCsv(readText(path));
+  const imported = parseServicesCsv(readFileText(path));
   const edits = imported.map(({ row, expectedRevision }) => ({ name: row.name, expectedRevision, row }));
-  return submit(client, edits, options);
+  return sendEdits(client, edits, options);
 }
 
 async function exportCsv(client: OperatorClient, path: string | undefined): Promise<string> {
@@ -125,7 +129,7 @@
   return `wrote ${services.length} rows to ${path}`;
 }
 
-async function submit(
+async function sendEdits(
   client: OperatorClient,
   edits: readonly RowEdit[],
   options: ServicesOptions,
@@ -136,7 +140,7 @@
     : `accepted ${edits.length} row(s) at revision ${revision}`;
 }
 
-function readText(path: string): string {
+function readFileText(path: string): string {
   try {
     return readFileSync(path, 'utf8');
   } catch (error) {
@@ -144,7 +148,7 @@
   }
 }
 
-function required(value: string | undefined, name: string): string {
+function checkRequired(value: string | undefined, name: string): string {
   if (value === undefined || value === '') throw new ValidationError(name, 'is missing');
   return value;
 }
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -5,13 +5,13 @@
 import { formatTable } from '../shared/table.js';
 
 /** One daemon's status, or why it did not answer. */
-type Answer =
+type StatusResult =
   | { readonly address: string; readonly status: CompletionDaemonStatus }
   | { readonly address: string; readonly error: PulleyledgeError };
 
 /** Asks every daemon named and returns what to print. */
 export async function runStatusCommand(addresses: readonly string[], json: boolean): Promise<string> {
-  const answers = await Promise.all(addresses.map(ask));
+  const answers = await Promise.all(addresses.map(readStatus));
   if (json) {
     return JSON.stringify(
       answers.map((answer) =>
@@ -22,10 +22,15 @@
     );
   }
   const reached = answers.flatMap((answer) => ('status' in answer ? [answer.status] : []));
-  return [daemonTable(answers), engineTable(reached), leaseTable(reached), limitTable(reached)].join('\n\n');
+  return [
+    formatDaemonTable(answers),
+    formatEngineTable(reached),
+    formatLeaseTable(reached),
+    formatLimitTable(reached),
+  ].join('\n\n');
 }
 
-async function ask(address: string): Promise<Answer> {
+async function readStatus(address: string): Promise<StatusResult> {
   try {
     return { address, status: await new OperatorClient(address).getStatus() };
   } catch (error) {
@@ -33,7 +38,7 @@
   }
 }
 
-function daemonTable(answers: readonly Answer[]): string {
+function formatDaemonTable(answers: readonly StatusResult[]): string {
   const rows = answers.map((answer) => {
     if (!('status' in answer))
       return [answer.address, '', `no answer (${answer.error.code})`, '', '', '', ''];
@@ -53,7 +58,7 @@
   return formatTable(['daemon', 'zone', 'state', 'revision', 'members', 'active', 'waiting'], rows);
 }
 
-function engineTable(statuses: readonly CompletionDaemonStatus[]): string {
+function formatEngineTable(statuses: readonly CompletionDaemonStatus[]): string {
   const engines = new Map(statuses.flatMap((status) => status.engines).map((engine) => [engine.id, engine]));
   const rows = [...engines.values()]
     .sort((left, right) => left.id.localeCompare(right.id))
@@ -72,7 +77,7 @@
   return formatTable(['engine', 'cell', 'role', 'model', 'adapters', 'phase', 'streams'], rows);
 }
 
-function leaseTable(statuses: readonly CompletionDaemonStatus[]): string {
+function formatLeaseTable(statuses: readonly CompletionDaemonStatus[]): string {
   const rows = statuses.flatMap((status) =>
     status.leases
       .filter((lease) => lease.heldHere)
@@ -81,7 +86,7 @@
   return formatTable(['cell', 'lease holder', 'epoch', 'changes ordered'], rows);
 }
 
-function limitTable(statuses: readonly CompletionDaemonStatus[]): string {
+function formatLimitTable(statuses: readonly CompletionDaemonStatus[]): string {
   const rows = statuses.flatMap((status) =>
     status.limits.map((limit) => [limit.service, status.id, limit.held, limit.waiting]),
   );
--- a/src/gateway/caller-server.ts
+++ b/src/gateway/caller-server.ts
@@ -1,7 +1,7 @@
 /**
  * The HTTP server that callers use: completions, and application calls under a path per service. It reads and
- * checks a call, and hands it on with the sink that answers it; a caller that leaves is reported. Bad input
- * is answered here with a problem document.
+ * validates a call and passes it to the handler with the sink for its answer; a caller that disconnects is
+ * reported as a cancellation. Invalid input is answered here with a problem document. Owns no state.
  */
 import { randomUUID } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
@@ -15,17 +15,17 @@
 import { readBody, readJson } from './read-body.js';
 import { StreamingReply, BufferedReply, type CompletionForm, type ReplySink } from './reply-sink.js';
 
-/** Where an application answer goes. */
+/** Receives the answer of one application call: one of the two methods is called, once. */
 export interface ApplicationSink {
   respond(status: number, contentType: string, body: Uint8Array): void;
   fail(error: PulleyledgeError): void;
 }
 
-/** What the server hands on. Requests are identified by their request id from then on. */
+/** Handles validated calls, each identified by its request id. */
 export interface CallerHandler {
   onCompletion(request: CompletionRequest, sink: ReplySink): void;
   onApplicationCall(call: ApplicationCall, payload: ApplicationPayload, sink: ApplicationSink): void;
-  /** The caller closed its connection before the answer was whole. */
+  /** Called when the caller closed its connection before the answer was complete. */
   onCancelled(requestId: string): void;
 }
 
@@ -33,47 +33,47 @@
 const KEY_HEADER = 'idempotency-key';
 const REQUEST_ID_HEADER = 'x-request-id';
 const APPLICATION_PREFIX = '/app/';
-/** Keys are stored in rows of the ledger's table. Characters. */
+/** Bounded because keys are stored in rows of the ledger's table. Characters. */
 const MAXIMUM_KEY_LENGTH = 128;
-/** The headers of an application call that travel on. */
+/** The request headers of an application call that are forwarded. */
 const FORWARDED_HEADERS = ['content-type', 'accept', 'authorization', KEY_HEADER];
 
-/** Creates the server; the caller listens. */
+/** Creates the server without listening. `maximumBodyBytes` limits the body of a call. */
 export function createCallerServer(handler: CallerHandler, maximumBodyBytes: number): Server {
   return createServer((request, response) => {
     const requestId = randomUUID();
     response.setHeader(REQUEST_ID_HEADER, requestId);
-    route({ request, response, requestId }, handler, maximumBodyBytes).catch((error: unknown) => {
+    handleRequest({ request, response, requestId }, handler, maximumBodyBytes).catch((error: unknown) => {
       if (error instanceof PulleyledgeError) sendProblem(response, error, requestId);
       else throw error;
     });
   });
 }
 
-/** One call: what came, what answers it, and the id by which the daemon knows it. */
+/** One call with its response and the id by which the daemon identifies it. */
 interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly requestId: string;
 }
 
-async function route(exchange: Exchange, handler: CallerHandler, limitBytes: number): Promise<void> {
+async function handleRequest(exchange: Exchange, handler: CallerHandler, limitBytes: number): Promise<void> {
   const { request } = exchange;
   const path = (request.url ?? '/').split('?')[0];
   if (request.method === 'POST' && path === '/v1/completions') {
     const body = parseCompletionBody(await readJson(request, limitBytes));
-    beginCompletion(exchange, 'completion', body, handler);
+    startCompletion(exchange, 'completion', body, handler);
   } else if (request.method === 'POST' && path === '/v1/chat/completions') {
     const body = parseChatBody(await readJson(request, limitBytes));
-    beginCompletion(exchange, 'chat', body, handler);
+    startCompletion(exchange, 'chat', body, handler);
   } else if (path.startsWith(APPLICATION_PREFIX)) {
-    await beginApplication(exchange, handler, limitBytes);
+    await startApplicationCall(exchange, handler, limitBytes);
   } else {
     throw new NotFoundError(path);
   }
 }
 
-function beginCompletion(
+function startCompletion(
   { request, response, requestId }: Exchange,
   form: CompletionForm,
   body: CompletionBody,
@@ -85,23 +85,23 @@
     prompt: describePrompt(body.prompt),
     maximumTokens: body.maximumTokens,
     receivedAt: performance.now(),
-    timeoutMs: timeoutOf(request),
-    key: keyOfRequest(request, JSON.stringify(body)),
+    timeoutMs: readTimeoutMs(request),
+    key: createRequestKey(request, JSON.stringify(body)),
   };
   const Reply = body.stream ? StreamingReply : BufferedReply;
-  watchClose(response, requestId, handler);
+  reportCancellation(response, requestId, handler);
   handler.onCompletion(completion, new Reply(response, requestId, form, body.service));
 }
 
-async function beginApplication(
+async function startApplicationCall(
   { request, response, requestId }: Exchange,
   handler: CallerHandler,
   limitBytes: number,
 ): Promise<void> {
   const url = request.url ?? '/';
   const [service, ...rest] = url.slice(APPLICATION_PREFIX.length).split('/');
-  const timeoutMs = timeoutOf(request);
-  const idempotencyKey = keyOf(request) ?? requestId;
+  const timeoutMs = readTimeoutMs(request);
+  const idempotencyKey = readIdempotencyKey(request) ?? requestId;
   const body = await readBody(request, limitBytes);
   const call: ApplicationCall = {
     requestId,
@@ -109,15 +109,15 @@
     idempotencyKey,
     receivedAt: performance.now(),
     timeoutMs,
-    key: keyOfRequest(request, body),
+    key: createRequestKey(request, body),
   };
   const payload: ApplicationPayload = {
     method: request.method ?? 'GET',
     path: `/${service}/${rest.join('/')}`,
-    headers: forwardedHeaders(request),
+    headers: pickForwardedHeaders(request),
     body,
   };
-  watchClose(response, requestId, handler);
+  reportCancellation(response, requestId, handler);
   handler.onApplicationCall(call, payload, {
     respond(status, contentType, bytes) {
       response.writeHead(status, contentType === '' ? {} : { 'content-type': contentType });
@@ -127,7 +127,7 @@
   });
 }
 
-function forwardedHeaders(request: IncomingMessage): Record<string, string> {
+function pickForwardedHeaders(request: IncomingMessage): Record<string, string> {
   const headers: Record<string, string> = {};
   for (const name of FORWARDED_HEADERS) {
     const value = request.headers[name];
@@ -136,13 +136,13 @@
   return headers;
 }
 
-function watchClose(response: ServerResponse, requestId: string, handler: CallerHandler): void {
+function reportCancellation(response: ServerResponse, requestId: string, handler: CallerHandler): void {
   response.on('close', () => {
     if (!response.writableFinished) handler.onCancelled(requestId);
   });
 }
 
-function timeoutOf(request: IncomingMessage): number | undefined {
+function readTimeoutMs(request: IncomingMessage): number | undefined {
   const text = request.headers[TIMEOUT_HEADER];
   if (text === undefined) return undefined;
   const value = Number(text);
@@ -152,10 +152,10 @@
 }
 
 /**
- * What makes this the same request as another one. Callers show no key that is checked here, so they are
- * known by their addresses.
+ * The key by which a repeated request is recognized. Callers present no API key that is verified here, so they
+ * are told apart by their addresses.
  */
-function keyOfRequest(
+function createRequestKey(
   { method = '', headers, url = '', socket }: IncomingMessage,
   body: Buffer | string,
 ): string {
@@ -163,7 +163,7 @@
   return makeRequestKey(digestContent(content), socket.remoteAddress ?? '');
 }
 
-function keyOf(request: IncomingMessage): string | undefined {
+function readIdempotencyKey(request: IncomingMessage): string | undefined {
   const key = request.headers[KEY_HEADER];
   if (key === undefined) return undefined;
   if (typeof key !== 'string' || key === '' || key.length > MAXIMUM_KEY_LENGTH) {
--- a/src/gateway/forward-server.ts
+++ b/src/gateway/forward-server.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP server that callers of forwarded requests connect to. It reads requests whole and hands each on
- * with the reply that answers it. Owns the callers' connections: how many are open, which rest, which give
- * way to new ones.
+ * The HTTP server that callers of forwarded requests connect to. It reads each request completely and passes it
+ * to a handler together with the reply to write to. Owns the callers' connections: how many are open, which are
+ * idle, and which idle ones are closed to accept new ones.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -12,58 +12,58 @@
 import { STATUS_TOO_LARGE } from '../shared/http-status.js';
 import { SECOND_MS } from '../shared/units.js';
 
-/** A request that was read whole. */
+/** A request whose head and body were read completely. */
 export interface ReceivedRequest {
   readonly method: string;
   readonly path: string;
   readonly host: string;
-  /** Names and values in turn. */
+  /** Names and values alternate. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** Where the connection comes from, without its port; empty when it is gone. */
+  /** The remote IP address, without its port; empty once the connection is closed. */
   readonly callerAddress: string;
   /** When its head arrived. Monotonic milliseconds. */
   readonly arrivedAt: number;
 }
 
-/** Takes requests. */
+/** Receives requests. */
 interface ForwardHandler {
   onRequest(request: ReceivedRequest, reply: CallerReply): void;
 }
 
-/** An answer of the daemon's own. */
-interface OwnAnswer {
+/** A failure that the daemon itself answers with, as opposed to a back end's response. */
+interface FailureAnswer {
   readonly status: number;
   readonly failure: string;
   readonly retryAfterMs: number | undefined;
 }
 
-/** Connections that the system keeps while the process is busy. */
+/** Length of the accept queue: connections that the kernel completes while the process is busy. */
 const BACKLOG = 1024;
 /**
- * Callers keep to the configured limit; this one only protects the process. Bytes; four times the limit's
- * default.
+ * Callers stay within the configured limit; this one only protects the process. Bytes; four times the default
+ * of the configured limit.
  */
 const MAXIMUM_HEADER_BYTES = 64 * 1024;
 /**
- * Interval between looks for connections over their time limits. Milliseconds; short against the limits'
+ * Interval between checks for connections over their time limits. Milliseconds; short compared with the limits'
  * defaults of 3 and 15 s.
  */
 const KEEP_ALIVE_CHECK_MS = 1000;
-/** Limit of a body until a configuration is known. Bytes; the default of the configuration. */
+/** Body limit until a configuration is known. Bytes; the configuration's default. */
 const INITIAL_MAXIMUM_BODY_BYTES = 4 * 1024 * 1024;
 /**
- * A connection that has rested for less is not closed to make room: its request may be on its way.
- * Milliseconds; some times the way to a caller and back in any region that the platform names.
+ * A connection that has been idle for less is not closed to make room, since a request may be in flight on it.
+ * Milliseconds; several times the round trip to a caller in any region that the platform names.
  */
-const MINIMUM_REST_MS = 200;
+const MINIMUM_IDLE_MS = 200;
 
-/** The answer to one request. Every method but the first has an effect once only. */
+/** The reply to one request. It is finished once; what is written after that is ignored. */
 export class CallerReply implements StreamSink {
   private lastId: string | undefined;
-  private over = false;
+  private finished = false;
   private headSent = false;
-  /** Called when the caller goes away before the answer is whole. */
+  /** Called when the caller disconnects before the reply is complete. */
   onCallerGone: () => void = () => undefined;
 
   constructor(
@@ -76,63 +76,63 @@
     response.on('close', () => this.onConnectionClosed());
   }
 
-  /** Nothing more is written: the answer is whole, or there will be none. */
+  /** Whether nothing more will be written: the reply is complete, or was aborted. */
   isFinished(): boolean {
-    return this.over;
+    return this.finished;
   }
 
-  /** The caller has closed its connection, or its side of it. */
+  /** Called when the caller has closed its connection, or its side of it. */
   onConnectionClosed(): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.finished) return;
+    this.finished = true;
     this.onCallerGone();
   }
 
-  /** The id of the last event passed on. */
+  /** The id of the last event passed on to the caller; undefined before the head was sent. */
   lastEventId(): string | undefined {
     return this.headSent ? this.lastId : undefined;
   }
 
-  /** Begins a streamed answer; the head of a back end that goes on with it is not the caller's business. */
+  /** Starts a streamed reply. Later heads, of back ends that resume the stream, are not passed on. */
   head(status: number, headers: string[], framed: boolean): void {
-    if (this.over || this.headSent) return;
+    if (this.finished || this.headSent) return;
     this.headSent = true;
-    this.markClosing();
-    if (!framed) this.endWithConnection();
-    this.response.writeHead(status, pairs(headers, new Set(['content-length'])));
+    this.disableKeepAliveWhenClosing();
+    if (!framed) this.delimitByClosing();
+    this.response.writeHead(status, createHeaderPairs(headers, new Set(['content-length'])));
     this.response.flushHeaders();
   }
 
-  /** Passes on whole events. */
+  /** Passes on complete events. */
   events(bytes: Buffer, lastEventId: string | undefined): void {
-    if (this.over) return;
+    if (this.finished) return;
     if (lastEventId !== undefined) this.lastId = lastEventId;
     this.response.write(bytes);
   }
 
-  /** Ends the answer: a stream, or one that was kept. */
+  /** Finishes the reply: ends a stream that has begun, or sends a buffered answer. */
   sendAnswer(answer: KeptAnswer): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.finished) return;
+    this.finished = true;
     if (this.headSent) {
       this.response.end();
       return;
     }
-    this.markClosing();
-    const headers = pairs(answer.headers, new Set(['content-length']));
+    this.disableKeepAliveWhenClosing();
+    const headers = createHeaderPairs(answer.headers, new Set(['content-length']));
     const bodiless = this.response.req.method === 'HEAD';
-    if (!answer.framed) this.endWithConnection();
+    if (!answer.framed) this.delimitByClosing();
     else if (!bodiless) headers.push(['Content-Length', String(answer.body.length)]);
     this.response.writeHead(answer.status, headers);
     this.response.end(answer.body);
   }
 
-  /** Answers with a failure of the daemon's own; an answer that has begun is broken off instead. */
-  sendFailure(answer: OwnAnswer): void {
+  /** Replies with a failure of the daemon itself; a reply that has begun is aborted instead. */
+  sendFailure(answer: FailureAnswer): void {
     if (this.headSent) this.abort();
-    if (this.over) return;
-    this.over = true;
-    this.markClosing();
+    if (this.finished) return;
+    this.finished = true;
+    this.disableKeepAliveWhenClosing();
     const body = JSON.stringify({ type: `urn:pulleyledge:${answer.failure}`, status: answer.status });
     const headers: [string, string][] = [
       ['Content-Type', 'application/problem+json'],
@@ -144,20 +144,20 @@
     this.response.end(body);
   }
 
-  /** Breaks off an answer that cannot be finished, so that it does not look complete. */
+  /** Closes the connection of a reply that cannot be finished, so that it does not look complete. */
   abort(): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.finished) return;
+    this.finished = true;
     this.response.destroy();
   }
 
-  /** An answer whose end only the back end's closing told is passed on in the same way. */
-  private endWithConnection(): void {
+  /** An answer that the back end delimited by closing its connection is delimited in the same way here. */
+  private delimitByClosing(): void {
     this.response.useChunkedEncodingByDefault = false;
     this.response.shouldKeepAlive = false;
   }
 
-  private markClosing(): void {
+  private disableKeepAliveWhenClosing(): void {
     if (this.closing()) this.response.shouldKeepAlive = false;
   }
 }
@@ -166,12 +166,11 @@
 export class ForwardServer {
   private readonly server: Server;
   /**
-   * Open connections, and the answers that are due on each: more than one where requests were sent without
-   * waiting.
+   * Open connections, and the unfinished replies on each: more than one where the caller pipelines requests.
    */
   private readonly connections = new Map<Socket, Set<CallerReply>>();
-  /** Connections without a due answer and since when, the longest at rest first. Monotonic milliseconds. */
-  private readonly resting = new Map<Socket, number>();
+  /** Connections without an unfinished reply and since when, longest idle first. Monotonic milliseconds. */
+  private readonly idle = new Map<Socket, number>();
   private maximumBodyBytes = INITIAL_MAXIMUM_BODY_BYTES;
   private closing = false;
 
@@ -179,8 +178,8 @@
     private readonly handler: ForwardHandler,
     private readonly clock: () => number,
     /**
-     * Connections that callers may have open at once: what the process may open, without what it needs for
-     * servers and peers.
+     * Connections that callers may have open at once: the file descriptors that the process may open, less those
+     * it needs for back ends and peers.
      */
     private readonly maximumConnections = Infinity,
   ) {
@@ -189,106 +188,117 @@
       noDelay: true,
       maxHeaderSize: MAXIMUM_HEADER_BYTES,
     });
-    this.server.on('request', (request, response) => this.accept(request, response));
-    this.server.on('connection', (socket: Socket) => this.watch(socket));
+    this.server.on('request', (request, response) => this.onRequest(request, response));
+    this.server.on('connection', (socket: Socket) => this.onConnection(socket));
     this.server.on('timeout', closeIfIdle);
   }
 
-  /** Starts to listen on `ip:port`. */
+  /**
+   * Starts to listen on `ip:port`.
+   * @throws ListenError naming the address.
+   */
   listen(address: string): Promise<void> {
     return startListening(this.server, address, BACKLOG);
   }
 
-  /** Takes new limits into force. */
+  /** Applies the limits of a configuration. */
   setLimits(limits: CallerLimits): void {
     this.maximumBodyBytes = limits.maximumBodyBytes;
     this.server.headersTimeout = limits.headerTimeoutMs;
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
   }
 
-  /** From now on answers ask callers to close their connections. */
+  /** From now on replies ask callers to close their connections. */
   startClosing(): void {
     this.closing = true;
   }
 
-  /** Takes no new connections; those that have come up are accepted first, for `timeoutMs` at most. */
+  /**
+   * Stops listening for new connections. Those that wait in the accept queue are accepted first, for `timeoutMs`
+   * milliseconds at most.
+   */
   stopListening(timeoutMs: number): Promise<void> {
     return stopListening(this.server, timeoutMs);
   }
 
-  /** Requests without a whole answer. */
+  /** Number of requests without a complete reply. */
   getOpenRequestCount(): number {
     let requests = 0;
     for (const replies of this.connections.values()) requests += replies.size;
     return requests;
   }
 
-  /** Open connections. */
   getOpenConnectionCount(): number {
     return this.connections.size;
   }
 
-  /** Whether a new connection would be served: there is room, or one that rests can give way. */
+  /** Whether a new connection would be served: the limit is not reached, or an idle connection can be closed. */
   hasCapacity(): boolean {
-    return this.connections.size < this.maximumConnections || this.getLongestAtRest() !== undefined;
+    return this.connections.size < this.maximumConnections || this.findLongestIdle() !== undefined;
   }
 
-  /** Closes everything. */
+  /** Stops listening and closes all connections at once. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
 
   /**
-   * Notices that a caller leaves. Only the response whose turn it is hears of the end of its connection;
-   * those behind it on the same connection would be worked on for nobody. A caller that ends its side is
-   * taken to have left: a connection that is closed looks the same until something is written.
+   * Tracks a connection and detects when its caller disconnects. Node.js emits 'close' only on the response being
+   * written; pipelined requests behind it would be worked on with nobody waiting for them. A caller that
+   * half-closes is treated as disconnected: a closed connection looks the same until something is written.
    */
-  private watch(socket: Socket): void {
-    if (!this.makeRoom()) {
+  private onConnection(socket: Socket): void {
+    if (!this.reserveConnection()) {
       socket.destroy();
       return;
     }
     const replies = new Set<CallerReply>();
-    const leave = (): void => replies.forEach((reply) => reply.onConnectionClosed());
+    const onClosed = (): void => replies.forEach((reply) => reply.onConnectionClosed());
     this.connections.set(socket, replies);
-    this.resting.set(socket, this.clock());
-    socket.on('end', leave);
+    this.idle.set(socket, this.clock());
+    socket.on('end', onClosed);
     socket.on('close', () => {
       this.connections.delete(socket);
-      this.resting.delete(socket);
-      leave();
+      this.idle.delete(socket);
+      onClosed();
     });
   }
 
   /**
-   * At the limit the connection that has rested longest is closed for a new one. A process without
-   * descriptors accepts nothing at all.
+   * At the limit, the longest idle connection is closed in favor of a new one. Without a limit the process could
+   * run out of file descriptors and would then accept nothing at all. Returns whether the new one may stay.
    */
-  private makeRoom(): boolean {
+  private reserveConnection(): boolean {
     if (this.connections.size < this.maximumConnections) return true;
-    const longest = this.getLongestAtRest();
+    const longest = this.findLongestIdle();
     if (longest === undefined) return false;
-    this.resting.delete(longest);
-    runAfterNextPoll(() => this.closeUnlessAsked(longest));
+    this.idle.delete(longest);
+    runAfterNextPoll(() => this.closeIfStillIdle(longest));
     return true;
   }
 
-  /** A request may have waited in the socket while this process was busy: one poll more shows it. */
-  private closeUnlessAsked(socket: Socket): void {
-    if ((this.connections.get(socket)?.size ?? 0) > 0 || this.resting.has(socket)) return;
+  /**
+   * Closes a connection that was chosen to give way, unless a request has arrived on it: one that waited in the
+   * socket while this process was busy has been read by now.
+   */
+  private closeIfStillIdle(socket: Socket): void {
+    if ((this.connections.get(socket)?.size ?? 0) > 0 || this.idle.has(socket)) return;
     this.connections.delete(socket);
     socket.destroy();
   }
 
-  /** A connection that gives way; one that has only just come or been answered is about to ask. */
-  private getLongestAtRest(): Socket | undefined {
-    for (const [socket, since] of this.resting)
-      return this.clock() - since >= MINIMUM_REST_MS ? socket : undefined;
+  /**
+   * The connection to close at the limit. One that was opened or answered a moment ago is not returned, since
+   * its caller is likely to send a request.
+   */
+  private findLongestIdle(): Socket | undefined {
+    for (const [socket, since] of this.idle)
+      return this.clock() - since >= MINIMUM_IDLE_MS ? socket : undefined;
     return undefined;
   }
 
-  private accept(request: IncomingMessage, response: ServerResponse): void {
+  private onRequest(request: IncomingMessage, response: ServerResponse): void {
     const arrivedAt = this.clock();
     const { socket } = request;
     const replies = this.connections.get(socket);
@@ -298,10 +308,10 @@
       undefined,
     );
     replies?.add(reply);
-    this.resting.delete(socket);
+    this.idle.delete(socket);
     response.on('close', () => {
       replies?.delete(reply);
-      if (replies?.size === 0 && !socket.destroyed) this.resting.set(socket, this.clock());
+      if (replies?.size === 0 && !socket.destroyed) this.idle.set(socket, this.clock());
     });
     const chunks: Buffer[] = [];
     let length = 0;
@@ -315,7 +325,7 @@
           retryAfterMs: undefined,
         });
     });
-    // A caller that breaks off is noticed by the end of its connection (see `watch`), which tells the reply.
+    // A disconnect is detected by the end of the connection (see `onConnection`), which notifies the reply.
     request.on('error', () => undefined);
     request.on('end', () => {
       if (!request.complete || length > this.maximumBodyBytes) return;
@@ -335,12 +345,12 @@
   }
 }
 
-/** Only the last answer due on a connection may end it: the others are followed by answers to requests that have come. */
+/** Only the last reply of a connection may close it: closing earlier would cut replies to pipelined requests. */
 function isLast(replies: ReadonlySet<CallerReply> | undefined, reply: CallerReply): boolean {
   return replies === undefined || [...replies].pop() === reply;
 }
 
-function pairs(headers: readonly string[], dropped: ReadonlySet<string>): [string, string][] {
+function createHeaderPairs(headers: readonly string[], dropped: ReadonlySet<string>): [string, string][] {
   const list: [string, string][] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     if (!dropped.has(headers[index].toLowerCase())) list.push([headers[index], headers[index + 1]]);
--- a/src/gateway/kept-connections.ts
+++ b/src/gateway/kept-connections.ts
@@ -1,88 +1,88 @@
 /**
- * The connections that callers keep to an HTTP server between their requests. Owns when such a connection may
- * be closed. Each answer tells its caller for how long it may send a further request; a connection that is
- * closed sooner resets the request that is on its way, and its caller cannot know whether it ran.
+ * The keep-alive connections of an HTTP server. Owns the decision when such a connection may be closed. Each
+ * response advertises how long its caller may reuse the connection; closing it sooner resets a request in
+ * flight, and the caller cannot know whether that request was executed.
  *
- * Relies on Node's `http` telling `keepAliveTimeout` in whole seconds, rounded down, with each answer.
+ * Relies on Node's `http` to advertise `keepAliveTimeout` with each response, in whole seconds rounded down.
  */
 import type { Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { SECOND_MS } from '../shared/units.js';
 import { closeIfIdle } from './after-next-poll.js';
 
-/** For how long an answer tells its caller that the connection is kept. Milliseconds. */
-const TOLD_REST_MS = 5 * SECOND_MS;
+/** How long a connection may be reused after a response, as advertised to the caller. Milliseconds. */
+const ADVERTISED_IDLE_MS = 5 * SECOND_MS;
 /**
- * A connection is kept for so much longer than told: the answer and the next request are on their way for as
- * long. Milliseconds; under a second, so that it is not told.
+ * A connection stays open this much longer than advertised, to cover the network latency of the response and of
+ * the next request. Milliseconds; under a second, so that rounding down keeps it out of the advertised value.
  */
-const WAY_MARGIN_MS = 900;
+const LATENCY_MARGIN_MS = 900;
 
 interface CallerConnection {
-  /** Answers that are due on it: more than one where requests were sent without waiting. */
-  readonly due: Set<ServerResponse>;
-  /** A further request may come until then. Monotonic milliseconds. */
-  keptUntil: number;
+  /** Responses not yet finished on it: more than one where the caller pipelines requests. */
+  readonly pending: Set<ServerResponse>;
+  /** The caller may send a further request until then. Monotonic milliseconds. */
+  reusableUntil: number;
 }
 
-/** The kept connections of one server. */
+/** Tracks the keep-alive connections of one server. Creating it sets the server's `keepAliveTimeout`. */
 export class KeepAliveConnections {
   private readonly connections = new Map<Socket, CallerConnection>();
   private closing = false;
 
   constructor(private readonly server: Server) {
-    server.keepAliveTimeout = TOLD_REST_MS + WAY_MARGIN_MS;
-    server.on('connection', (socket: Socket) => this.add(socket));
-    server.prependListener('request', ({ socket }, response) => this.addDue(socket, response));
+    server.keepAliveTimeout = ADVERTISED_IDLE_MS + LATENCY_MARGIN_MS;
+    server.on('connection', (socket: Socket) => this.addConnection(socket));
+    server.prependListener('request', ({ socket }, response) => this.addPendingResponse(socket, response));
     server.on('timeout', closeIfIdle);
   }
 
-  /** From now on answers tell callers to close their connections, also those whose requests have come already. */
+  /** From now on responses ask callers to close their connections, including responses already pending. */
   startClosing(): void {
     this.closing = true;
-    for (const { due } of this.connections.values()) closeAfterLast(due);
+    for (const { pending } of this.connections.values()) closeAfterLast(pending);
   }
 
-  /** Whether an answer is due on any connection. */
+  /** Whether a response is pending on any connection. */
   hasPendingResponses(): boolean {
-    for (const { due } of this.connections.values()) if (due.size > 0) return true;
+    for (const { pending } of this.connections.values()) if (pending.size > 0) return true;
     return false;
   }
 
-  /** Connections on which a request may still come, by what their callers were told. */
+  /** Number of connections that their callers may still reuse, by the time advertised to them. */
   getReusableCount(): number {
     const now = performance.now();
     let count = 0;
-    for (const { keptUntil } of this.connections.values()) if (keptUntil > now) count += 1;
+    for (const { reusableUntil } of this.connections.values()) if (reusableUntil > now) count += 1;
     return count;
   }
 
-  private add(socket: Socket): void {
-    const connection = { due: new Set<ServerResponse>(), keptUntil: this.getRestEnd() };
+  private addConnection(socket: Socket): void {
+    const connection = { pending: new Set<ServerResponse>(), reusableUntil: this.getIdleDeadline() };
     this.connections.set(socket, connection);
     socket.on('close', () => this.connections.delete(socket));
   }
 
-  private addDue(socket: Socket, response: ServerResponse): void {
+  private addPendingResponse(socket: Socket, response: ServerResponse): void {
     const connection = this.connections.get(socket);
     if (!connection) return;
-    connection.due.add(response);
-    if (this.closing) closeAfterLast(connection.due);
+    connection.pending.add(response);
+    if (this.closing) closeAfterLast(connection.pending);
     response.on('close', () => {
-      connection.due.delete(response);
-      connection.keptUntil = this.getRestEnd();
+      connection.pending.delete(response);
+      connection.reusableUntil = this.getIdleDeadline();
     });
   }
 
-  private getRestEnd(): number {
+  private getIdleDeadline(): number {
     return performance.now() + this.server.keepAliveTimeout;
   }
 }
 
-/** Only the last answer ends its connection: the others are followed by answers to requests that have come. */
-function closeAfterLast(due: ReadonlySet<ServerResponse>): void {
-  const waiting = [...due].filter((response) => !response.headersSent);
-  const last = waiting.pop();
-  for (const response of waiting) response.shouldKeepAlive = true;
+/** Only the last response closes its connection: closing earlier would cut responses to pipelined requests. */
+function closeAfterLast(pending: ReadonlySet<ServerResponse>): void {
+  const unsent = [...pending].filter((response) => !response.headersSent);
+  const last = unsent.pop();
+  for (const response of unsent) response.shouldKeepAlive = true;
   if (last) last.shouldKeepAlive = false;
 }
--- a/src/gateway/operator-server.ts
+++ b/src/gateway/operator-server.ts
@@ -1,4 +1,7 @@
-/** The HTTP server for operators and monitoring: health, readiness, metrics, status, edits of the table. */
+/**
+ * The HTTP server for operators and monitoring: health, readiness, metrics, status, and edits of the services
+ * table. Owns no state; everything is answered by the handler it is given.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import * as z from 'zod';
 import { parseServiceRow, type VersionedRow } from '../configuration/service-row.js';
@@ -8,7 +11,7 @@
 import { readJson } from './read-body.js';
 import { STATUS_OK, STATUS_UNAVAILABLE } from '../shared/http-status.js';
 
-/** What the server asks of the daemon. */
+/** Answers the server's requests from the daemon's state. */
 interface OperatorHandler {
   getStatus(): CompletionDaemonStatus;
   getMetrics(): Promise<{ contentType: string; text: string }>;
@@ -16,15 +19,15 @@
   applyEdit(editId: string, edits: readonly RowEdit[]): Promise<number>;
 }
 
-/** What `GET /v1/services` answers. */
+/** The response body of `GET /v1/services`. */
 export interface ServicesResponse {
   readonly revision: number;
   readonly services: readonly VersionedRow[];
 }
 
-/** Body of an edit at most. Bytes. */
+/** Maximum size of an edit's body. Bytes. */
 const MAXIMUM_EDIT_BYTES = 8 * 1024 * 1024;
-/** Ids of edits at most. Characters. */
+/** Maximum length of an edit's id. Characters. */
 const MAXIMUM_EDIT_ID_LENGTH = 128;
 
 const editSchema = z.object({
@@ -34,17 +37,17 @@
     .min(1),
 });
 
-/** Creates the server; the caller listens. */
+/** Creates the server without listening. */
 export function createOperatorServer(handler: OperatorHandler): Server {
   return createServer((request, response) => {
-    route(request, response, handler).catch((error: unknown) => {
+    handleRequest(request, response, handler).catch((error: unknown) => {
       if (error instanceof PulleyledgeError) sendProblem(response, error);
       else throw error;
     });
   });
 }
 
-async function route(
+async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
   handler: OperatorHandler,
--- a/src/gateway/read-body.ts
+++ b/src/gateway/read-body.ts
@@ -1,12 +1,12 @@
-/** Reads the body of a call up to a limit. */
+/** Reads request bodies up to a limit. Owns no state. */
 import type { IncomingMessage } from 'node:http';
 import { PayloadTooLargeError, ValidationError } from '../errors/index.js';
 import { parseJson } from '../shared/json.js';
 
 /**
- * The whole body.
- * @throws PayloadTooLargeError when it is longer than `limitBytes`; ValidationError when the caller broke
- * off.
+ * Reads the complete body.
+ * @throws PayloadTooLargeError when it is longer than `limitBytes`; ValidationError when the caller disconnects
+ * before its end.
  */
 export async function readBody(message: IncomingMessage, limitBytes: number): Promise<Buffer> {
   const chunks: Buffer[] = [];
@@ -25,8 +25,8 @@
 }
 
 /**
- * The body as JSON.
- * @throws ValidationError when it is not JSON.
+ * Reads the complete body and parses it as JSON.
+ * @throws ValidationError when it is not JSON; otherwise as `readBody`.
  */
 export async function readJson(message: IncomingMessage, limitBytes: number): Promise<unknown> {
   const body = await readBody(message, limitBytes);
--- a/src/gateway/reply-sink.ts
+++ b/src/gateway/reply-sink.ts
@@ -1,25 +1,28 @@
-/** Writes the answer of a completion to its caller: as server-sent events or as one document. */
+/**
+ * Writes the answer of a completion to its caller, as server-sent events or as one JSON document. Each sink owns
+ * the response to one request.
+ */
 import type { ServerResponse } from 'node:http';
 import type { PulleyledgeError } from '../errors/index.js';
 import { sendProblem, toProblem } from './problem.js';
 import { STATUS_OK } from '../shared/http-status.js';
 
-/** Where the answer of one request goes. Called in order; nothing follows `end` or `failed`. */
+/** Receives the answer of one request in order; nothing is called after `end` or `fail`. */
 export interface ReplySink {
   writeTokens(texts: readonly string[]): void;
   end(tokens: number, finishReason: string): void;
   fail(error: PulleyledgeError, tokensSent: number): void;
 }
 
-/** Which of the two call forms is answered. */
+/** Which of the two APIs the request came by. */
 export type CompletionForm = 'completion' | 'chat';
 
-const OBJECT_NAMES: Readonly<Record<CompletionForm, { whole: string; part: string }>> = {
-  completion: { whole: 'text_completion', part: 'text_completion' },
-  chat: { whole: 'chat.completion', part: 'chat.completion.chunk' },
+const OBJECT_NAMES: Readonly<Record<CompletionForm, { complete: string; chunk: string }>> = {
+  completion: { complete: 'text_completion', chunk: 'text_completion' },
+  chat: { complete: 'chat.completion', chunk: 'chat.completion.chunk' },
 };
 
-/** Streams tokens as they come. A stream that breaks ends with an `error` event and without `[DONE]`. */
+/** Streams tokens as they arrive. A stream that fails ends with an `error` event and without `[DONE]`. */
 export class StreamingReply implements ReplySink {
   private started = false;
   private readonly head: string;
@@ -30,7 +33,7 @@
     private readonly form: CompletionForm,
     service: string,
   ) {
-    const object = OBJECT_NAMES[form].part;
+    const object = OBJECT_NAMES[form].chunk;
     const id = JSON.stringify(requestId);
     const model = JSON.stringify(service);
     this.head = `data: {"id":${id},"object":"${object}","model":${model},"choices":[{"index":0,`;
@@ -63,7 +66,7 @@
   }
 }
 
-/** Collects the whole answer; a broken one becomes a problem document and never looks complete. */
+/** Buffers the answer until it is complete; a failed one becomes a problem document, so it never looks complete. */
 export class BufferedReply implements ReplySink {
   private readonly texts: string[] = [];
 
@@ -83,7 +86,7 @@
     const content = this.form === 'chat' ? { message: { role: 'assistant', content: text } } : { text };
     const body = {
       id: this.requestId,
-      object: OBJECT_NAMES[this.form].whole,
+      object: OBJECT_NAMES[this.form].complete,
       model: this.service,
       choices: [{ index: 0, ...content, finish_reason: finishReason }],
       usage: { completion_tokens: tokens },
--- a/src/process/completion-actors.ts
+++ b/src/process/completion-actors.ts
@@ -22,7 +22,7 @@
 >;
 
 /** What the actors work with. */
-interface CompletionActorParts {
+interface CompletionActorDependencies {
   readonly daemon: CompletionDaemon;
   readonly peers: PeerTransport;
   readonly platform: PlatformClient;
@@ -43,31 +43,31 @@
 /** The running actors. */
 export class CompletionActors {
   private readonly system = nact.start();
-  private readonly machine: Ref<CompletionDaemonEvent>;
+  private readonly daemonActor: Ref<CompletionDaemonEvent>;
   private readonly peerActor: Ref<PeerEffect>;
   private readonly platformActor: Ref<PlatformEffect>;
   private readonly engineActor: Ref<EngineEffect>;
   private readonly applicationActor: Ref<ApplicationEffect>;
   private readonly suspension = new SuspensionWatch();
   /** How to cancel attempts and application calls, by attempt id. */
-  private readonly cancels = new Map<string, () => void>();
+  private readonly cancelFunctions = new Map<string, () => void>();
 
   /** Starts the actors. */
-  constructor(private readonly parts: CompletionActorParts) {
+  constructor(private readonly dependencies: CompletionActorDependencies) {
     this.peerActor = spawnActor(this.system, 'peers', ({ address, message }) =>
-      parts.peers.send(address, message),
+      dependencies.peers.send(address, message),
     );
     this.platformActor = spawnActor(this.system, 'platform', (effect) => this.performPlatform(effect));
     this.engineActor = spawnActor(this.system, 'engines', (effect) => this.performEngine(effect));
     this.applicationActor = spawnActor(this.system, 'applications', (effect) =>
       this.performApplication(effect),
     );
-    this.machine = spawnActor(this.system, 'daemon', (event) => this.step(event));
+    this.daemonActor = spawnActor(this.system, 'daemon', (event) => this.onEvent(event));
   }
 
   /** Sends an event to the state machine. */
   dispatch(event: CompletionDaemonEvent): void {
-    nact.dispatch(this.machine, event);
+    nact.dispatch(this.daemonActor, event);
   }
 
   /** Stops all actors; effects that were not performed are dropped. */
@@ -79,17 +79,17 @@
    * Before anything is decided the clocks are compared: the first event after a suspension may lead to an
    * order.
    */
-  private step(event: CompletionDaemonEvent): void {
-    const { daemon, onTransition } = this.parts;
+  private onEvent(event: CompletionDaemonEvent): void {
+    const { daemon, onTransition } = this.dependencies;
     const now = performance.now();
     const forMs = this.suspension.observe(now, Date.now());
-    if (forMs > 0) this.performAll(daemon.handle({ kind: 'clockStoodStill', forMs }, now));
+    if (forMs > 0) this.performEffects(daemon.handle({ kind: 'clockStoodStill', forMs }, now));
     const effects = daemon.handle(event, now);
     onTransition(event.kind, performance.now() - now);
-    this.performAll(effects);
+    this.performEffects(effects);
   }
 
-  private performAll(effects: readonly CompletionDaemonEffect[]): void {
+  private performEffects(effects: readonly CompletionDaemonEffect[]): void {
     for (const effect of effects) this.perform(effect);
   }
 
@@ -115,7 +115,7 @@
         nact.dispatch(this.applicationActor, effect);
         break;
       default:
-        this.parts.onReply(effect);
+        this.dependencies.onReply(effect);
     }
   }
 
@@ -126,7 +126,7 @@
   }
 
   private performPlatform(effect: PlatformEffect): void {
-    const { platform } = this.parts;
+    const { platform } = this.dependencies;
     if (effect.kind === 'tableRequest') {
       const { tag, request } = effect;
       void platform.table(request).then((result) => this.dispatch({ kind: 'tableResult', tag, result }));
@@ -140,7 +140,7 @@
   private performEngine(effect: EngineEffect): void {
     switch (effect.kind) {
       case 'engineControl':
-        this.controlEngine(effect);
+        this.sendEngineControl(effect);
         break;
       case 'startAttempt':
         this.startAttempt(effect);
@@ -151,19 +151,19 @@
     }
   }
 
-  private controlEngine({ purpose, cell, engineId, address, request }: EffectOf<'engineControl'>): void {
-    void this.parts.engines
+  private sendEngineControl({ purpose, cell, engineId, address, request }: EffectOf<'engineControl'>): void {
+    void this.dependencies.engines
       .control(address, request)
       .then((result) => this.dispatch({ kind: 'engineControlResult', purpose, cell, engineId, result }));
   }
 
   private startAttempt({ start }: EffectOf<'startAttempt'>): void {
     const { attemptId, requestId } = start;
-    const cancel = this.parts.engines.start(start, (event) => {
-      if (event.kind !== 'tokens') this.cancels.delete(attemptId);
+    const cancel = this.dependencies.engines.start(start, (event) => {
+      if (event.kind !== 'tokens') this.cancelFunctions.delete(attemptId);
       this.dispatch({ kind: 'attemptEvent', requestId, attemptId, event });
     });
-    this.cancels.set(attemptId, cancel);
+    this.cancelFunctions.set(attemptId, cancel);
   }
 
   private performApplication(effect: ApplicationEffect): void {
@@ -173,18 +173,18 @@
 
   private startApplicationCall(effect: EffectOf<'startApplicationCall'>): void {
     const { attemptId, requestId, address, remainingMs } = effect;
-    const payload = this.parts.getPayload(requestId);
+    const payload = this.dependencies.getPayload(requestId);
     // The caller has left: its cancellation is before this in the queue, and nobody waits for the call.
     if (!payload) return;
-    const cancel = this.parts.applications.start({ address, payload, remainingMs }, (event) => {
-      this.cancels.delete(attemptId);
+    const cancel = this.dependencies.applications.start({ address, payload, remainingMs }, (event) => {
+      this.cancelFunctions.delete(attemptId);
       this.dispatch({ kind: 'applicationEvent', requestId, attemptId, event });
     });
-    this.cancels.set(attemptId, cancel);
+    this.cancelFunctions.set(attemptId, cancel);
   }
 
   private cancel(attemptId: string): void {
-    this.cancels.get(attemptId)?.();
-    this.cancels.delete(attemptId);
+    this.cancelFunctions.get(attemptId)?.();
+    this.cancelFunctions.delete(attemptId);
   }
 }
--- a/src/process/completion-metrics.ts
+++ b/src/process/completion-metrics.ts
@@ -59,7 +59,7 @@
   private readonly transitionSeconds: Counter<'event'>;
   private readonly requests: Counter<'outcome'>;
   private readonly tokens: Counter;
-  private readonly firstToken: Histogram;
+  private readonly firstTokenSeconds: Histogram;
 
   constructor(status: () => CompletionDaemonStatus) {
     const registers = [this.registry];
@@ -93,7 +93,7 @@
       help: 'Tokens passed to callers',
       registers,
     });
-    this.firstToken = new Histogram({
+    this.firstTokenSeconds = new Histogram({
       name: 'pulleyledge_first_token_seconds',
       help: 'Time from receipt to the first token',
       buckets: LATENCY_BUCKETS_SECONDS,
@@ -120,7 +120,7 @@
 
   /** Records the time to the first token. */
   addFirstToken(milliseconds: number): void {
-    this.firstToken.observe(milliseconds / SECOND_MS);
+    this.firstTokenSeconds.observe(milliseconds / SECOND_MS);
   }
 
   /** Counts a request that is over. */
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -67,7 +67,7 @@
   private readonly metrics: CompletionMetrics;
   private readonly logger: Logger;
   private readonly completions = new Map<string, OpenCompletion>();
-  private readonly calls = new Map<string, OpenApplication>();
+  private readonly applicationCalls = new Map<string, OpenApplication>();
   private readonly edits = new Map<string, OpenEdit>();
   private ticker: NodeJS.Timeout | undefined;
   private stopping = false;
@@ -77,7 +77,7 @@
     const { identity, seeds, random } = createDaemonStart(settings);
     const { id } = identity;
     this.logger = pino({ level: settings.logLevel, base: { daemon: id } });
-    this.metrics = new CompletionMetrics(() => this.status());
+    this.metrics = new CompletionMetrics(() => this.getStatus());
     this.daemon = new CompletionDaemon(
       identity,
       seeds,
@@ -92,9 +92,9 @@
     );
     this.peers = this.createPeers(identity);
     this.actors = this.createActors();
-    this.callerServer = createCallerServer(this.callerHandler(), settings.maximumBodyBytes);
+    this.callerServer = createCallerServer(this.createCallerHandler(), settings.maximumBodyBytes);
     this.callerConnections = new KeepAliveConnections(this.callerServer);
-    this.operatorServer = this.createOperators();
+    this.operatorServer = this.createOperatorEndpoint();
   }
 
   /** Opens the servers and starts the timers. */
@@ -106,13 +106,13 @@
       this.settings.tickIntervalMs,
     );
     this.logger.info({ event: 'process.started', operators: this.settings.operatorAddress });
-    await this.listenWhenReady();
+    await this.startListeningWhenReady();
   }
 
   /**
    * Callers can connect only once the daemon knows the configuration, so that none is refused for a restart.
    */
-  private async listenWhenReady(): Promise<void> {
+  private async startListeningWhenReady(): Promise<void> {
     while (!this.stopping && !this.daemon.readiness(performance.now()).ready) await delay(READY_POLL_MS);
     if (this.stopping) return;
     await startListening(this.callerServer, this.settings.callerAddress);
@@ -130,11 +130,11 @@
    * one on a connection that it was told to keep. Asked again, it resolves no sooner: the program ends then.
    */
   stop(): Promise<void> {
-    this.stopped ??= this.runStop();
+    this.stopped ??= this.stopGracefully();
     return this.stopped;
   }
 
-  private async runStop(): Promise<void> {
+  private async stopGracefully(): Promise<void> {
     this.stopping = true;
     this.actors.dispatch({ kind: 'beginDrain' });
     this.callerConnections.startClosing();
@@ -152,7 +152,7 @@
     );
     this.logger.info({
       event: 'process.stopped',
-      unfinished: this.openRequests(),
+      unfinished: this.getOpenRequestCount(),
       closedEarly: this.callerConnections.getReusableCount(),
     });
     await this.close();
@@ -160,7 +160,7 @@
 
   /** Whether a request waits for its answer, or is being read or answered. */
   private hasRequests(): boolean {
-    return this.openRequests() > 0 || this.callerConnections.hasPendingResponses();
+    return this.getOpenRequestCount() > 0 || this.callerConnections.hasPendingResponses();
   }
 
   private async close(): Promise<void> {
@@ -191,43 +191,43 @@
       platform: this.platform,
       engines: this.engines,
       applications: this.applications,
-      getPayload: (requestId) => this.calls.get(requestId)?.payload,
-      onReply: (effect) => this.reply(effect),
+      getPayload: (requestId) => this.applicationCalls.get(requestId)?.payload,
+      onReply: (effect) => this.sendReply(effect),
       onTransition: (event, milliseconds) => this.metrics.addTransition(event, milliseconds),
     });
   }
 
-  private createOperators(): Server {
+  private createOperatorEndpoint(): Server {
     const { registry } = this.metrics;
     return createOperatorServer({
-      getStatus: () => this.status(),
+      getStatus: () => this.getStatus(),
       getMetrics: async () => ({ contentType: registry.contentType, text: await registry.metrics() }),
-      applyEdit: (editId, edits) => this.edit(editId, edits),
+      applyEdit: (editId, edits) => this.applyEdit(editId, edits),
     });
   }
 
-  private openRequests(): number {
-    return this.completions.size + this.calls.size;
+  private getOpenRequestCount(): number {
+    return this.completions.size + this.applicationCalls.size;
   }
 
   /**
    * Not ready before callers can connect: the listener opens up to READY_POLL_MS after the daemon is, and
    * whoever was sent here in between was refused the connection.
    */
-  private status(): CompletionDaemonStatus {
+  private getStatus(): CompletionDaemonStatus {
     const status = this.daemon.status(performance.now());
     if (!status.ready || this.callerServer.listening) return status;
     return { ...status, ready: false, reason: 'callers cannot connect yet' };
   }
 
-  private edit(editId: string, edits: readonly RowEdit[]): Promise<number> {
+  private applyEdit(editId: string, edits: readonly RowEdit[]): Promise<number> {
     return new Promise((resolve, reject) => {
       this.edits.set(editId, { resolve, reject });
       this.actors.dispatch({ kind: 'editServices', editId, edits });
     });
   }
 
-  private callerHandler(): CallerHandler {
+  private createCallerHandler(): CallerHandler {
     return {
       onCompletion: (request: CompletionRequest, sink: ReplySink) => {
         this.completions.set(request.requestId, {
@@ -238,31 +238,33 @@
         this.actors.dispatch({ kind: 'submitCompletion', request });
       },
       onApplicationCall: (call: ApplicationCall, payload: ApplicationPayload, sink: ApplicationSink) => {
-        this.calls.set(call.requestId, { sink, payload });
+        this.applicationCalls.set(call.requestId, { sink, payload });
         this.actors.dispatch({ kind: 'submitApplication', call });
       },
       onCancelled: (requestId: string) => {
-        const open = this.completions.delete(requestId) || this.calls.delete(requestId);
+        const open = this.completions.delete(requestId) || this.applicationCalls.delete(requestId);
         if (open) this.actors.dispatch({ kind: 'cancelRequest', requestId });
       },
     };
   }
 
-  private reply(effect: ReplyEffect): void {
+  private sendReply(effect: ReplyEffect): void {
     switch (effect.kind) {
       case 'replyTokens':
-        this.replyTokens(effect.requestId, effect.texts);
+        this.sendTokens(effect.requestId, effect.texts);
         break;
       case 'replyEnd':
         this.completions.get(effect.requestId)?.sink.end(effect.tokens, effect.finishReason);
-        this.requestOver(effect.requestId, 'ok');
+        this.onRequestFinished(effect.requestId, 'ok');
         break;
       case 'replyFailed':
-        this.replyFailed(effect.requestId, effect.error, effect.tokensSent);
+        this.sendFailure(effect.requestId, effect.error, effect.tokensSent);
         break;
       case 'replyApplication':
-        this.calls.get(effect.requestId)?.sink.respond(effect.status, effect.contentType, effect.body);
-        this.requestOver(effect.requestId, 'ok');
+        this.applicationCalls
+          .get(effect.requestId)
+          ?.sink.respond(effect.status, effect.contentType, effect.body);
+        this.onRequestFinished(effect.requestId, 'ok');
         break;
       case 'editAccepted':
         this.edits.get(effect.editId)?.resolve(effect.revision);
@@ -280,7 +282,7 @@
     }
   }
 
-  private replyTokens(requestId: string, texts: readonly string[]): void {
+  private sendTokens(requestId: string, texts: readonly string[]): void {
     const open = this.completions.get(requestId);
     if (!open) return;
     if (!open.firstTokenSeen) {
@@ -291,7 +293,7 @@
     open.sink.writeTokens(texts);
   }
 
-  private replyFailed(requestId: string, error: PulleyledgeError, tokensSent: number): void {
+  private sendFailure(requestId: string, error: PulleyledgeError, tokensSent: number): void {
     this.logger.info({
       event: 'request.failed',
       requestId,
@@ -301,8 +303,8 @@
       ...error.context,
     });
     this.completions.get(requestId)?.sink.fail(error, tokensSent);
-    this.calls.get(requestId)?.sink.fail(error);
-    this.requestOver(requestId, error.code);
+    this.applicationCalls.get(requestId)?.sink.fail(error);
+    this.onRequestFinished(requestId, error.code);
   }
 
   /** Once for what a system says in answer after answer. */
@@ -312,9 +314,9 @@
     this.logger.warn({ event: 'retry-after.unreadable', from, text });
   }
 
-  private requestOver(requestId: string, outcome: string): void {
+  private onRequestFinished(requestId: string, outcome: string): void {
     this.completions.delete(requestId);
-    this.calls.delete(requestId);
+    this.applicationCalls.delete(requestId);
     this.metrics.addRequest(outcome);
   }
 }
--- a/src/process/decision-log.ts
+++ b/src/process/decision-log.ts
@@ -27,22 +27,22 @@
 /** Hashes of texts are below this. */
 const HASH_RANGE = 2 ** 32;
 /** Share of requests that is logged whatever their number. */
-const MINIMUM_SHARE = 0.01;
+const MINIMUM_KEPT_SHARE = 0.01;
 /** The rest of a second's lines is kept for failures and changes of state. */
-const REQUEST_LINES_SHARE = 0.6;
+const MAXIMUM_REQUEST_SHARE = 0.6;
 /** The share may grow by this factor a second, so that it does not swing. */
-const SHARE_RECOVERY = 1.5;
+const MAXIMUM_SHARE_GROWTH = 1.5;
 
 /** The log of one process. Times are monotonic milliseconds. */
 export class DecisionLog {
   private readonly logger: Logger;
   private windowStart: number;
-  private lines = 0;
-  private offered = 0;
+  private writtenLines = 0;
+  private offeredRequestLines = 0;
   private droppedInWindow = 0;
-  private droppedTotal = 0;
+  private totalDropped = 0;
   /** Share of requests whose lines are kept. */
-  private share = 1;
+  private keptShare = 1;
 
   constructor(
     base: Readonly<Record<string, unknown>>,
@@ -56,47 +56,51 @@
 
   /** A step of a request: kept or dropped with the request's other lines. */
   writeRequestEvent(event: string, requestId: string, fields: Readonly<Record<string, unknown>>): void {
-    this.roll();
-    this.offered += 1;
-    const kept = hashText(requestId) / HASH_RANGE < this.share;
-    const requestLines = this.settings.maximumLinesPerSecond * REQUEST_LINES_SHARE;
-    if (kept && this.lines < requestLines) this.write(event, { requestId, ...fields });
-    else this.drop();
+    this.startWindowWhenDue();
+    this.offeredRequestLines += 1;
+    const kept = hashText(requestId) / HASH_RANGE < this.keptShare;
+    const requestLines = this.settings.maximumLinesPerSecond * MAXIMUM_REQUEST_SHARE;
+    if (kept && this.writtenLines < requestLines) this.write(event, { requestId, ...fields });
+    else this.addDroppedLine();
   }
 
   /** A failure of a request, a change of state, a step of the process: dropped only over the upper bound. */
   writeImportantEvent(event: string, fields: Readonly<Record<string, unknown>>): void {
-    this.roll();
-    if (this.lines < this.settings.maximumLinesPerSecond) this.write(event, fields);
-    else this.drop();
+    this.startWindowWhenDue();
+    if (this.writtenLines < this.settings.maximumLinesPerSecond) this.write(event, fields);
+    else this.addDroppedLine();
   }
 
   /** Lines dropped since the start. */
   getDroppedLineCount(): number {
-    return this.droppedTotal;
+    return this.totalDropped;
   }
 
   private write(event: string, fields: Readonly<Record<string, unknown>>): void {
-    this.lines += 1;
+    this.writtenLines += 1;
     this.logger.info({ event, clock: Math.round(this.clock()), ...fields });
   }
 
-  private drop(): void {
+  private addDroppedLine(): void {
     this.droppedInWindow += 1;
-    this.droppedTotal += 1;
+    this.totalDropped += 1;
   }
 
-  private roll(): void {
+  private startWindowWhenDue(): void {
     const now = this.clock();
     if (now - this.windowStart < SECOND_MS) return;
     const { linesPerSecond } = this.settings;
-    const fitting = this.offered > linesPerSecond ? linesPerSecond / this.offered : 1;
-    this.share = Math.max(MINIMUM_SHARE, Math.min(fitting, this.share * SHARE_RECOVERY, 1));
+    const sustainableShare =
+      this.offeredRequestLines > linesPerSecond ? linesPerSecond / this.offeredRequestLines : 1;
+    this.keptShare = Math.max(
+      MINIMUM_KEPT_SHARE,
+      Math.min(sustainableShare, this.keptShare * MAXIMUM_SHARE_GROWTH, 1),
+    );
     const dropped = this.droppedInWindow;
     this.windowStart = now;
-    this.lines = 0;
-    this.offered = 0;
+    this.writtenLines = 0;
+    this.offeredRequestLines = 0;
     this.droppedInWindow = 0;
-    if (dropped > 0) this.write('log.dropped', { lines: dropped, keptShare: this.share });
+    if (dropped > 0) this.write('log.dropped', { lines: dropped, keptShare: this.keptShare });
   }
 }
--- a/src/process/forwarding-metrics.ts
+++ b/src/process/forwarding-metrics.ts
@@ -24,7 +24,7 @@
 const LATENCY_BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5];
 /** Services beyond so many share one label, which bounds the series. */
 const MAXIMUM_SERVICES = 50;
-const OTHER_SERVICES = 'other';
+const OTHER_SERVICES_LABEL = 'other';
 
 /** Gauges of the daemon's state, in the order in which they are served. */
 const GAUGES: readonly GaugeDescription<ForwardingState>[] = [
@@ -65,7 +65,7 @@
   readonly registry = new Registry();
   private readonly services = new Set<string>();
   private readonly decisions: Counter<'event' | 'service' | 'reason'>;
-  private readonly firstByte: Histogram<'service'>;
+  private readonly firstByteSeconds: Histogram<'service'>;
   private readonly storeCalls: Counter<'call' | 'outcome'>;
   private readonly changes: Counter<'event'>;
   private readonly dutyCalls: Counter<'call' | 'outcome'>;
@@ -79,7 +79,7 @@
       labelNames: ['event', 'service', 'reason'],
       registers,
     });
-    this.firstByte = new Histogram({
+    this.firstByteSeconds = new Histogram({
       name: 'pulleyledge_forward_first_byte_seconds',
       help: 'Time from the head of a request to its answer, or to the first byte of a stream',
       labelNames: ['service'],
@@ -111,22 +111,22 @@
       registers,
     });
     addGauges(this.registry, GAUGES, () => state);
-    addPartFigures(this.registry, state);
+    addPartGauge(this.registry, state);
   }
 
   /** Counts a decision on a request. */
   addDecision({ event, fields }: Decision): void {
-    const service = this.serviceLabel(fields.service);
+    const service = this.getServiceLabel(fields.service);
     const reason = String(fields.failure ?? fields.reason ?? '');
     this.decisions.inc({ event, service, reason });
     const first = event === 'request.streaming' || (event === 'request.answered' && fields.streamed !== true);
-    if (first) this.firstByte.observe({ service }, Number(fields.afterMs) / SECOND_MS);
+    if (first) this.firstByteSeconds.observe({ service }, Number(fields.afterMs) / SECOND_MS);
   }
 
   /** Counts a change. */
   addChange({ event, fields }: ChangeEffect): void {
     this.changes.inc({ event });
-    if (event === 'retries.used') this.repeated(fields);
+    if (event === 'retries.used') this.addRetries(fields);
   }
 
   /** Counts a call to the store. */
@@ -139,20 +139,20 @@
     this.dutyCalls.inc({ call, outcome });
   }
 
-  private repeated({ service: name, taken, refused }: ChangeEffect['fields']): void {
-    const service = this.serviceLabel(name);
+  private addRetries({ service: name, taken, refused }: ChangeEffect['fields']): void {
+    const service = this.getServiceLabel(name);
     this.retries.inc({ service, outcome: 'taken' }, Number(taken));
     this.retries.inc({ service, outcome: 'refused' }, Number(refused));
   }
 
-  private serviceLabel(service: unknown): string {
+  private getServiceLabel(service: unknown): string {
     if (typeof service !== 'string') return '';
     if (this.services.size < MAXIMUM_SERVICES) this.services.add(service);
-    return this.services.has(service) ? service : OTHER_SERVICES;
+    return this.services.has(service) ? service : OTHER_SERVICES_LABEL;
   }
 }
 
-function addPartFigures(registry: Registry, state: ForwardingState): void {
+function addPartGauge(registry: Registry, state: ForwardingState): void {
   const figures: Gauge<'part' | 'figure'> = new Gauge({
     name: 'pulleyledge_part',
     help: "Figures of the daemon's parts",
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -57,17 +57,17 @@
  * After a stop was asked for, new requests are served for so long, since callers are sent here until the
  * platform has noticed; later ones are refused. Milliseconds.
  */
-const NOTICE_MS = 2800;
+const DRAIN_NOTICE_MS = 2800;
 /** Time kept at the end of the grace for the process to end by itself. Milliseconds. */
 const STOP_MARGIN_MS = 700;
 /**
  * A stopping process accepts its last callers for so long, and waits so long for their answers. Milliseconds; together
  * within STOP_MARGIN_MS.
  */
-const LAST_CALLERS_MS = 300;
-const LAST_ANSWERS_MS = 200;
+const FINAL_ACCEPT_MS = 300;
+const FINAL_ANSWER_MS = 200;
 /** Interval between looks at these. Milliseconds. */
-const LAST_ANSWERS_POLL_MS = 5;
+const FINAL_POLL_MS = 5;
 /** Log lines are written in pieces of this size at least. Bytes; a page of memory. */
 const LOG_BUFFER_BYTES = 4096;
 /** A process that is killed loses the lines of so long. Milliseconds. */
@@ -78,11 +78,11 @@
 /** One forwarding daemon process. */
 export class ForwardingProcess {
   private readonly daemon: ForwardingDaemon;
-  private readonly machine: Ref<ForwardingEvent>;
+  private readonly daemonActor: Ref<ForwardingEvent>;
   private readonly system = nact.start();
   private readonly peers: PeerTransport;
   private readonly backends: BackendClient;
-  private readonly outside: ExternalCalls;
+  private readonly externalCalls: ExternalCalls;
   private readonly server: ForwardServer;
   private readonly readyServer: Server;
   private readonly metricsServer: Server;
@@ -107,7 +107,7 @@
     const { identity, seeds, random } = createDaemonStart(settings);
     this.log = new DecisionLog({ daemon: settings.name }, this.logStream, settings.log, now);
     this.daemon = new ForwardingDaemon(identity, seeds, settings.daemon, random, now());
-    this.machine = spawnActor(this.system, 'daemon', (event) => this.step(event));
+    this.daemonActor = spawnActor(this.system, 'daemon', (event) => this.onEvent(event));
     this.peers = this.createPeers(identity);
     this.backends = this.createBackends();
     this.requests = new OpenRequests(adapters.dialect, this.backends, (event) => this.send(event));
@@ -117,9 +117,11 @@
       settings.maximumCallerConnections,
     );
     this.metrics = this.createMetrics();
-    this.outside = new ExternalCalls(this.backends, adapters, this.metrics, (event) => this.send(event));
+    this.externalCalls = new ExternalCalls(this.backends, adapters, this.metrics, (event) =>
+      this.send(event),
+    );
     this.metricsServer = createMetricsServer(this.metrics);
-    this.readyServer = createReadyServer(settings.readyPath, () => this.ready());
+    this.readyServer = createReadyServer(settings.readyPath, () => this.isReady());
   }
 
   private createPeers({ id, address }: DaemonStart['identity']): PeerTransport {
@@ -148,7 +150,7 @@
 
   private createMetrics(): ForwardingMetrics {
     return new ForwardingMetrics({
-      isReady: () => this.ready(),
+      isReady: () => this.isReady(),
       getOpenRequestCount: () => this.daemon.countOpenRequests(),
       getConfigurationVersion: () => this.daemon.configurationVersion(),
       getConfigurationAgeMs: () => this.daemon.configurationAgeMs(now()),
@@ -165,7 +167,7 @@
     this.flushTimer = setInterval(() => this.logStream.flush(), LOG_FLUSH_MS);
     await Promise.all([
       startListening(this.readyServer, this.settings.readyAddress),
-      this.listenMetrics(),
+      this.startMetricsServer(),
       this.peers.listen(),
       this.server.listen(this.settings.callerAddress),
     ]);
@@ -185,23 +187,27 @@
    * Stops without cutting a request, within the grace. Asked again, it resolves no sooner: the program ends then.
    */
   stop(): Promise<void> {
-    this.stopped ??= this.runStop();
+    this.stopped ??= this.stopGracefully();
     return this.stopped;
   }
 
-  private async runStop(): Promise<void> {
+  private async stopGracefully(): Promise<void> {
     const startedAt = now();
-    const latest = startedAt + this.settings.stopGraceMs - STOP_MARGIN_MS;
+    const deadline = startedAt + this.settings.stopGraceMs - STOP_MARGIN_MS;
     this.send({ kind: 'beginDrain' });
     this.server.startClosing();
-    while (now() < latest) {
-      const noticed = now() - startedAt > NOTICE_MS;
-      if (noticed) this.send({ kind: 'closeForNew' });
-      if (noticed && this.server.getOpenRequestCount() === 0 && this.server.getOpenConnectionCount() === 0)
+    while (now() < deadline) {
+      const noticePassed = now() - startedAt > DRAIN_NOTICE_MS;
+      if (noticePassed) this.send({ kind: 'closeForNew' });
+      if (
+        noticePassed &&
+        this.server.getOpenRequestCount() === 0 &&
+        this.server.getOpenConnectionCount() === 0
+      )
         break;
       await delay(DRAIN_POLL_MS);
     }
-    await this.waitForLastCallers();
+    await this.waitForFinalRequests();
     this.stopTimers();
     this.log.writeImportantEvent('process.stopped', {
       unfinished: this.server.getOpenRequestCount(),
@@ -214,11 +220,11 @@
    * Callers that have connected, or sent a request, since the last look are refused in order: the end of the
    * process would reset them, and they could not know whether their requests ran.
    */
-  private async waitForLastCallers(): Promise<void> {
-    await this.server.stopListening(LAST_CALLERS_MS);
-    const latest = now() + LAST_ANSWERS_MS;
-    do await delay(LAST_ANSWERS_POLL_MS);
-    while (this.server.getOpenRequestCount() > 0 && now() < latest);
+  private async waitForFinalRequests(): Promise<void> {
+    await this.server.stopListening(FINAL_ACCEPT_MS);
+    const deadline = now() + FINAL_ANSWER_MS;
+    do await delay(FINAL_POLL_MS);
+    while (this.server.getOpenRequestCount() > 0 && now() < deadline);
   }
 
   /** Closes every server and connection at once. */
@@ -235,7 +241,7 @@
   }
 
   /** Whether callers should connect here: new connections are taken, and what comes on them can be served. */
-  private ready(): boolean {
+  private isReady(): boolean {
     return this.daemon.ready() && this.server.hasCapacity();
   }
 
@@ -244,8 +250,8 @@
    */
   private tick(): void {
     this.send({ kind: 'tick', wallMs: Date.now() });
-    const pauseMs = this.requests.getCount() > 0 ? TICK_MS : IDLE_TICK_MS;
-    this.tickTimer = setTimeout(() => this.tick(), pauseMs);
+    const intervalMs = this.requests.getCount() > 0 ? TICK_MS : IDLE_TICK_MS;
+    this.tickTimer = setTimeout(() => this.tick(), intervalMs);
   }
 
   private stopTimers(): void {
@@ -254,14 +260,14 @@
   }
 
   private send(event: ForwardingEvent): void {
-    nact.dispatch(this.machine, event);
+    nact.dispatch(this.daemonActor, event);
   }
 
   /**
    * Before anything is decided the clocks are compared: the first event after a suspension may lead to an
    * order.
    */
-  private step(event: ForwardingEvent): void {
+  private onEvent(event: ForwardingEvent): void {
     const at = now();
     const forMs = this.suspension.observe(at, Date.now());
     if (forMs > 0) this.handle({ kind: 'clockStoodStill', forMs }, at);
@@ -307,7 +313,7 @@
         this.backends.forget(effect.backendId);
         break;
       default:
-        this.outside.perform(effect);
+        this.externalCalls.perform(effect);
     }
   }
 
@@ -324,7 +330,7 @@
   }
 
   /** Without its metrics a daemon still serves. */
-  private async listenMetrics(): Promise<void> {
+  private async startMetricsServer(): Promise<void> {
     const { metricsAddress } = this.settings;
     if (metricsAddress === undefined) return;
     try {
--- a/src/process/open-requests.ts
+++ b/src/process/open-requests.ts
@@ -23,7 +23,7 @@
 /** The open requests of one process. */
 export class OpenRequests {
   private readonly open = new Map<string, OpenRequest>();
-  private numbered = 0;
+  private lastNumber = 0;
 
   constructor(
     private readonly dialect: BackendDialect,
@@ -38,8 +38,8 @@
 
   /** Takes a request and hands its outline to the state machine. */
   add(received: ReceivedRequest, reply: CallerReply): void {
-    this.numbered += 1;
-    const id = this.numbered.toString(ID_RADIX);
+    this.lastNumber += 1;
+    const id = this.lastNumber.toString(ID_RADIX);
     const head = this.dialect.callerHead(received.headers);
     const { method, path, host, headers, body, callerAddress } = received;
     this.open.set(id, { reply, request: { method, path, headers, head, body } });
@@ -89,19 +89,19 @@
     switch (effect.kind) {
       case 'replyWhole': {
         const answer = this.backends.take(effect.attemptId);
-        if (answer) this.take(effect.requestId)?.sendAnswer(answer);
+        if (answer) this.removeRequest(effect.requestId)?.sendAnswer(answer);
         break;
       }
       case 'replyFailure':
-        this.take(effect.requestId)?.sendFailure(effect);
+        this.removeRequest(effect.requestId)?.sendFailure(effect);
         break;
       case 'replyBroken':
-        this.take(effect.requestId)?.abort();
+        this.removeRequest(effect.requestId)?.abort();
         break;
     }
   }
 
-  private take(requestId: string): CallerReply | undefined {
+  private removeRequest(requestId: string): CallerReply | undefined {
     const open = this.open.get(requestId);
     this.open.delete(requestId);
     return open?.reply;
--- a/src/process/outside-calls.ts
+++ b/src/process/outside-calls.ts
@@ -21,7 +21,7 @@
 type Effect<Kind extends ForwardingEffect['kind']> = Extract<ForwardingEffect, { kind: Kind }>;
 
 /** The effects that are calls to outside systems. */
-type OutsideEffect = Effect<
+type ExternalEffect = Effect<
   | 'readRecords'
   | 'probeBackend'
   | 'checkBackend'
@@ -44,7 +44,7 @@
   ) {}
 
   /** Makes one call. */
-  perform(effect: OutsideEffect): void {
+  perform(effect: ExternalEffect): void {
     switch (effect.kind) {
       case 'readRecords':
         this.readRecords(effect.read);
@@ -68,12 +68,12 @@
         this.callDuty(effect);
         break;
       default:
-        this.callTableFor(effect);
+        this.callTableAndRoute(effect);
     }
   }
 
   /** Each of the three users of tables gets its results in an event of its own. */
-  private callTableFor(effect: Effect<'quarantineTable' | 'leaseTable' | 'usageTable'>): void {
+  private callTableAndRoute(effect: Effect<'quarantineTable' | 'leaseTable' | 'usageTable'>): void {
     this.callTable(effect.request, (result) => {
       switch (effect.kind) {
         case 'quarantineTable':
--- a/src/process/unanswered-calls.ts
+++ b/src/process/unanswered-calls.ts
@@ -7,14 +7,14 @@
   private readonly counts = new Map<string, number>();
 
   /** `tell` hears of a call that is to be logged. */
-  constructor(private readonly tell: (call: string, reason: string, count: number) => void) {}
+  constructor(private readonly report: (call: string, reason: string, count: number) => void) {}
 
   /** Counts a call. */
   add(call: string, reason: string): void {
     const key = `${call} ${reason}`;
     const count = (this.counts.get(key) ?? 0) + 1;
     this.counts.set(key, count);
-    if (isPowerOfTwo(count)) this.tell(call, reason, count);
+    if (isPowerOfTwo(count)) this.report(call, reason, count);
   }
 }
 
