--- a/src/process/add-gauges.ts
+++ b/src/process/add-gauges.ts
@@ -1,15 +1,15 @@
-/** Gauges that are read when the metrics are asked for. */
+/** Registers gauges whose values are read at each scrape. Owns no state. */
 import { Gauge, type Registry } from 'prom-client';
 
-/** A gauge without labels, read from a state. */
+/** A gauge without labels whose value is computed from a state. */
 export interface GaugeDescription<State> {
   readonly name: string;
   readonly help: string;
-  /** The value now, in the unit that the name ends with. */
+  /** Returns the current value, in the unit at the end of the gauge's name. */
   readonly read: (state: State) => number;
 }
 
-/** Adds gauges to a registry, in their order. `getState` is called at each reading. */
+/** Adds gauges to a registry, in the order given. `getState` is called for each gauge at each scrape. */
 export function addGauges<State>(
   registry: Registry,
   descriptions: readonly GaugeDescription<State>[],
--- a/src/process/completion-actors.ts
+++ b/src/process/completion-actors.ts
@@ -1,7 +1,7 @@
 /**
- * The actors of a completion daemon's process. One owns the state machine; the others perform its effects
- * against one outside system each and send it what came of them. Owns: how to cancel each attempt that is
- * under way. Relies on adapters that never reject.
+ * The actors of a completion daemon's process. One runs the state machine; each of the others performs the
+ * machine's effects on one external system and sends the results back as events. Owns the functions that cancel
+ * the attempts in progress. Relies on adapters whose promises never reject.
  */
 import nact, { type Ref } from 'nact';
 import type { ApplicationClient, ApplicationPayload } from '../adapters/application-client.js';
@@ -16,22 +16,22 @@
 
 type EffectOf<Kind extends CompletionDaemonEffect['kind']> = Extract<CompletionDaemonEffect, { kind: Kind }>;
 
-/** Effects that concern callers and operators; the process answers them. */
+/** Effects that answer callers and operators; the process performs them. */
 export type ReplyEffect = EffectOf<
   'replyTokens' | 'replyEnd' | 'replyFailed' | 'replyApplication' | 'editAccepted' | 'editFailed' | 'log'
 >;
 
-/** What the actors work with. */
+/** The state machine, the adapters and the callbacks that the actors use. */
 interface CompletionActorDependencies {
   readonly daemon: CompletionDaemon;
   readonly peers: PeerTransport;
   readonly platform: PlatformClient;
   readonly engines: EngineClient;
   readonly applications: ApplicationClient;
-  /** The payload of an application call, kept by the gateway until the call is over. */
+  /** The payload of an application call, kept by the process until the call is finished. */
   readonly getPayload: (requestId: string) => ApplicationPayload | undefined;
   readonly onReply: (effect: ReplyEffect) => void;
-  /** Called after each event with its kind and the milliseconds that the state machine took. */
+  /** Called after each event with its kind and the milliseconds that the state machine took to handle it. */
   readonly onTransition: (event: string, milliseconds: number) => void;
 }
 
@@ -40,7 +40,7 @@
 type EngineEffect = EffectOf<'engineControl' | 'startAttempt' | 'cancelAttempt'>;
 type ApplicationEffect = EffectOf<'startApplicationCall' | 'cancelApplicationCall'>;
 
-/** The running actors. */
+/** Runs the actors of one process. */
 export class CompletionActors {
   private readonly system = nact.start();
   private readonly daemonActor: Ref<CompletionDaemonEvent>;
@@ -49,7 +49,7 @@
   private readonly engineActor: Ref<EngineEffect>;
   private readonly applicationActor: Ref<ApplicationEffect>;
   private readonly suspension = new SuspensionWatch();
-  /** How to cancel attempts and application calls, by attempt id. */
+  /** Functions that cancel attempts and application calls, by attempt id. */
   private readonly cancelFunctions = new Map<string, () => void>();
 
   /** Starts the actors. */
@@ -70,14 +70,14 @@
     nact.dispatch(this.daemonActor, event);
   }
 
-  /** Stops all actors; effects that were not performed are dropped. */
+  /** Stops all actors; effects not yet performed are dropped. */
   stop(): void {
     nact.stop(this.system);
   }
 
   /**
-   * Before anything is decided the clocks are compared: the first event after a suspension may lead to an
-   * order.
+   * Compares the clocks before the event is handled: the first event after a suspension of the machine may
+   * otherwise lead to an order under a lease that has expired meanwhile.
    */
   private onEvent(event: CompletionDaemonEvent): void {
     const { daemon, onTransition } = this.dependencies;
@@ -174,7 +174,7 @@
   private startApplicationCall(effect: EffectOf<'startApplicationCall'>): void {
     const { attemptId, requestId, address, remainingMs } = effect;
     const payload = this.dependencies.getPayload(requestId);
-    // The caller has left: its cancellation is before this in the queue, and nobody waits for the call.
+    // The caller has disconnected: its cancellation is ahead in the queue, and nobody waits for the answer.
     if (!payload) return;
     const cancel = this.dependencies.applications.start({ address, payload, remainingMs }, (event) => {
       this.cancelFunctions.delete(attemptId);
--- a/src/process/completion-metrics.ts
+++ b/src/process/completion-metrics.ts
@@ -1,10 +1,10 @@
-/** The metrics of a completion daemon's process, in the Prometheus form. */
+/** The Prometheus metrics of a completion daemon's process. Owns the process's registry. */
 import { collectDefaultMetrics, Counter, Histogram, Registry } from 'prom-client';
 import type { CompletionDaemonStatus } from '../daemon/completion-messages.js';
 import { addGauges, type GaugeDescription } from './add-gauges.js';
 import { SECOND_MS } from '../shared/units.js';
 
-/** Upper bounds of the histogram of times to the first token. Seconds. */
+/** Bucket bounds of the histogram of times to the first token. Seconds. */
 const LATENCY_BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30];
 
 /** Gauges of the daemon's state, in the order in which they are served. */
@@ -102,28 +102,28 @@
     addGauges(this.registry, GAUGES, status);
   }
 
-  /** Counts a message between daemons. */
+  /** Counts a message between daemons and its bytes. */
   addPeerMessage(direction: 'sent' | 'received', kind: string, bytes: number): void {
     this.peerBytes.inc({ direction, kind }, bytes);
     this.peerMessages.inc({ direction, kind });
   }
 
-  /** Counts time in the state machine. */
+  /** Adds the time that the state machine took for an event. */
   addTransition(event: string, milliseconds: number): void {
     this.transitionSeconds.inc({ event }, milliseconds / SECOND_MS);
   }
 
-  /** Counts tokens passed on. */
+  /** Counts tokens sent to callers. */
   addTokens(count: number): void {
     this.tokens.inc(count);
   }
 
-  /** Records the time to the first token. */
+  /** Observes the time from the receipt of a request to its first token. */
   addFirstToken(milliseconds: number): void {
     this.firstTokenSeconds.observe(milliseconds / SECOND_MS);
   }
 
-  /** Counts a request that is over. */
+  /** Counts a finished request by its outcome. */
   addRequest(outcome: string): void {
     this.requests.inc({ outcome });
   }
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -1,4 +1,7 @@
-/** A daemon process: servers, adapters and actors around the state machine, and an orderly stop. */
+/**
+ * The process of a completion daemon: the servers, adapters and actors around its state machine, and the graceful
+ * stop. Owns the sockets, the timers and the open requests. Relies on the state machine for all decisions.
+ */
 import type { Server } from 'node:http';
 import { pino, type Logger } from 'pino';
 import { HttpApplicationClient, type ApplicationPayload } from '../adapters/application-client.js';
@@ -39,13 +42,12 @@
   reject(error: PulleyledgeError): void;
 }
 
-/** Interval between looks at what a stopping process still waits for. Milliseconds. */
+/** Interval at which a stopping process checks for open requests and connections. Milliseconds. */
 const DRAIN_POLL_MS = 50;
-/** Interval between looks at whether the configuration is known. Milliseconds. */
+/** Interval at which a starting process checks whether the configuration is known. Milliseconds. */
 const READY_POLL_MS = 25;
 /**
- * A stopping process waits this long at most for writes to the ledger. Milliseconds; ten repeats of a
- * commit.
+ * A stopping process waits at most this long for writes to the ledger. Milliseconds; ten retries of a commit.
  */
 const LEDGER_FLUSH_TIMEOUT_MS = 5000;
 
@@ -59,7 +61,7 @@
   private readonly applications = new HttpApplicationClient((text) =>
     this.onUnreadableRetryAfter('application', text),
   );
-  /** The last such header of each kind of system, as it came. */
+  /** The last Retry-After header that could not be parsed, by the kind of system that sent it. */
   private readonly unreadableRetryAfter = new Map<string, string>();
   private readonly callerServer: Server;
   private readonly callerConnections: KeepAliveConnections;
@@ -97,7 +99,10 @@
     this.operatorServer = this.createOperatorEndpoint();
   }
 
-  /** Opens the servers and starts the timers. */
+  /**
+   * Opens the servers and starts the timers. Resolves once callers can connect, or the process is stopping.
+   * @throws ListenError when an address cannot be bound.
+   */
   async start(): Promise<void> {
     await this.peers.listen();
     await startListening(this.operatorServer, this.settings.operatorAddress);
@@ -110,7 +115,7 @@
   }
 
   /**
-   * Callers can connect only once the daemon knows the configuration, so that none is refused for a restart.
+   * Starts to listen for callers only once the daemon knows the configuration, so that a restart refuses no request.
    */
   private async startListeningWhenReady(): Promise<void> {
     while (!this.stopping && !this.daemon.readiness(performance.now()).ready) await delay(READY_POLL_MS);
@@ -119,15 +124,16 @@
     this.logger.info({ event: 'process.ready', callers: this.settings.callerAddress });
   }
 
-  /** The settings were written anew. */
+  /** Logs that the settings file was read again; `fields` give the result. */
   onReload(fields: ReloadFields): void {
     this.logger.info({ event: 'process.reloaded', ...fields });
   }
 
   /**
-   * Stops without cutting a request: hands over leases, limits and membership, takes new requests a little
-   * longer, closes the listener, and ends when the last request has its answer and no caller may still send
-   * one on a connection that it was told to keep. Asked again, it resolves no sooner: the program ends then.
+   * Stops without breaking off a request: hands over leases, limits and membership, accepts new requests for
+   * `drainNoticeMs`, closes the listener, and resolves when the last request is answered and no caller may still
+   * reuse a keep-alive connection by the time advertised to it. A further call returns the same promise, because the
+   * program exits as soon as it resolves.
    */
   stop(): Promise<void> {
     this.stopped ??= this.stopGracefully();
@@ -158,7 +164,7 @@
     await this.close();
   }
 
-  /** Whether a request waits for its answer, or is being read or answered. */
+  /** Whether a request is being read, waits for its answer, or is being answered. */
   private hasRequests(): boolean {
     return this.getOpenRequestCount() > 0 || this.callerConnections.hasPendingResponses();
   }
@@ -211,8 +217,8 @@
   }
 
   /**
-   * Not ready before callers can connect: the listener opens up to READY_POLL_MS after the daemon is, and
-   * whoever was sent here in between was refused the connection.
+   * Reports not ready until callers can connect: the listener opens up to READY_POLL_MS after the daemon is ready,
+   * and callers routed here in between had their connections refused.
    */
   private getStatus(): CompletionDaemonStatus {
     const status = this.daemon.status(performance.now());
@@ -307,7 +313,7 @@
     this.onRequestFinished(requestId, error.code);
   }
 
-  /** Once for what a system says in answer after answer. */
+  /** Logs a value once, however many answers of the system repeat it. */
   private onUnreadableRetryAfter(from: string, text: string): void {
     if (this.unreadableRetryAfter.get(from) === text) return;
     this.unreadableRetryAfter.set(from, text);
@@ -322,8 +328,8 @@
 }
 
 /**
- * Looks at `condition` until it holds or `timeoutMs` are over. What waits in sockets is read before each look:
- * the process may have stood still, and ending it then would reset requests that came in time.
+ * Checks `condition` until it holds or `timeoutMs` have passed. Sockets are polled before each check: the process
+ * may have been paused, and exiting without reading them would reset requests that were sent in time.
  */
 async function waitUntil(condition: () => boolean, timeoutMs: number): Promise<void> {
   const deadline = performance.now() + timeoutMs;
--- a/src/process/decision-log.ts
+++ b/src/process/decision-log.ts
@@ -1,39 +1,39 @@
 /**
- * The log of decisions: structured lines to standard output, bounded in volume and never blocking. Under
- * load, lines about a request are kept or dropped together, by its id; failures and changes of belief come
- * first.
+ * The decision log: structured lines, bounded in number per second. Under load, the lines of a request are kept or
+ * dropped together, sampled by the request's id; failures and changes of state take precedence. Owns the sampling
+ * rate and the counts of dropped lines. Relies on a destination stream that does not block.
  */
 import { pino, type DestinationStream, type Logger } from 'pino';
 import { hashText } from '../shared/rendezvous-hash.js';
 import { SECOND_MS } from '../shared/units.js';
 
-/** Bounds of the log. */
+/** Limits of the log's volume. */
 export interface DecisionLogSettings {
-  /** Lines a second in which requests are logged whole; above it ever fewer requests are. Default 150. */
+  /** Request lines per second up to which every request is logged; above, requests are sampled. Default 150. */
   readonly linesPerSecond: number;
   /**
-   * Lines a second at most, failures and changes of state included; these alone may use the last two fifths.
-   * Default 400.
+   * Maximum of lines per second, including failures and changes of state, for which the last two fifths are
+   * reserved. Default 400.
    */
   readonly maximumLinesPerSecond: number;
 }
 
-/** Default bounds. */
+/** Default limits. */
 export const DEFAULT_DECISION_LOG_SETTINGS: DecisionLogSettings = {
   linesPerSecond: 150,
   maximumLinesPerSecond: 400,
 };
 
-/** Hashes of texts are below this. */
+/** Exclusive upper bound of `hashText`. */
 const HASH_RANGE = 2 ** 32;
-/** Share of requests that is logged whatever their number. */
+/** Lower bound of the share of requests that are logged, under any load. */
 const MINIMUM_KEPT_SHARE = 0.01;
-/** The rest of a second's lines is kept for failures and changes of state. */
+/** Share of a second's lines that requests may use; the rest is reserved for failures and changes of state. */
 const MAXIMUM_REQUEST_SHARE = 0.6;
-/** The share may grow by this factor a second, so that it does not swing. */
+/** The kept share grows by at most this factor per second, so that it does not oscillate. */
 const MAXIMUM_SHARE_GROWTH = 1.5;
 
-/** The log of one process. Times are monotonic milliseconds. */
+/** The log of one process. `clock` gives monotonic milliseconds. */
 export class DecisionLog {
   private readonly logger: Logger;
   private windowStart: number;
@@ -41,7 +41,7 @@
   private offeredRequestLines = 0;
   private droppedInWindow = 0;
   private totalDropped = 0;
-  /** Share of requests whose lines are kept. */
+  /** Share of requests whose lines are kept, from 0 to 1. */
   private keptShare = 1;
 
   constructor(
@@ -54,7 +54,7 @@
     this.windowStart = clock();
   }
 
-  /** A step of a request: kept or dropped with the request's other lines. */
+  /** Logs a step of a request: kept or dropped together with the request's other lines. */
   writeRequestEvent(event: string, requestId: string, fields: Readonly<Record<string, unknown>>): void {
     this.startWindowWhenDue();
     this.offeredRequestLines += 1;
@@ -64,14 +64,14 @@
     else this.addDroppedLine();
   }
 
-  /** A failure of a request, a change of state, a step of the process: dropped only over the upper bound. */
+  /** Logs a failure of a request, a change of state, or a step of the process: dropped only above the maximum. */
   writeImportantEvent(event: string, fields: Readonly<Record<string, unknown>>): void {
     this.startWindowWhenDue();
     if (this.writtenLines < this.settings.maximumLinesPerSecond) this.write(event, fields);
     else this.addDroppedLine();
   }
 
-  /** Lines dropped since the start. */
+  /** Number of lines dropped since the start. */
   getDroppedLineCount(): number {
     return this.totalDropped;
   }
--- a/src/process/forwarding-metrics.ts
+++ b/src/process/forwarding-metrics.ts
@@ -1,4 +1,7 @@
-/** Metrics of a forwarding daemon, in the Prometheus form. Label values are bounded. */
+/**
+ * The Prometheus metrics of a forwarding daemon's process. Owns the process's registry. The number of label values
+ * is bounded.
+ */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import type { ChangeEffect } from '../daemon/change-log.js';
 import type { ForwardEffect } from '../forwarding/forward-messages.js';
@@ -7,7 +10,7 @@
 
 type Decision = Extract<ForwardEffect, { kind: 'decision' }>;
 
-/** What gauges read when they are asked. */
+/** The state that gauges read at each scrape. */
 interface ForwardingState {
   isReady(): boolean;
   getOpenRequestCount(): number;
@@ -20,9 +23,9 @@
   getPartFigures(): Readonly<Record<string, Readonly<Record<string, number>>>>;
 }
 
-/** Upper bounds of the histogram of times to the first byte. Seconds. */
+/** Bucket bounds of the histogram of times to the first byte. Seconds. */
 const LATENCY_BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5];
-/** Services beyond so many share one label, which bounds the series. */
+/** Services beyond this number share one label value, which bounds the number of time series. */
 const MAXIMUM_SERVICES = 50;
 const OTHER_SERVICES_LABEL = 'other';
 
@@ -114,7 +117,7 @@
     addPartGauge(this.registry, state);
   }
 
-  /** Counts a decision on a request. */
+  /** Counts a decision on a request, and observes the time to the first byte where the decision gives it. */
   addDecision({ event, fields }: Decision): void {
     const service = this.getServiceLabel(fields.service);
     const reason = String(fields.failure ?? fields.reason ?? '');
@@ -123,7 +126,7 @@
     if (first) this.firstByteSeconds.observe({ service }, Number(fields.afterMs) / SECOND_MS);
   }
 
-  /** Counts a change. */
+  /** Counts a change of state. */
   addChange({ event, fields }: ChangeEffect): void {
     this.changes.inc({ event });
     if (event === 'retries.used') this.addRetries(fields);
@@ -134,7 +137,7 @@
     this.storeCalls.inc({ call, outcome });
   }
 
-  /** Counts a call to the platform in the name of the fleet. */
+  /** Counts a call to the platform on behalf of the fleet. */
   addDutyCall(call: string, outcome: string): void {
     this.dutyCalls.inc({ call, outcome });
   }
--- a/src/process/forwarding-process-settings.ts
+++ b/src/process/forwarding-process-settings.ts
@@ -1,6 +1,6 @@
 /**
- * What a forwarding daemon's process is set up with; `platform/settings.ts` reads it from the platform's
- * settings file.
+ * The settings of a forwarding daemon's process. `platform/settings.ts` reads them from the platform's settings
+ * file. Declares types only.
  */
 import type { ForwardingDaemonSettings } from '../daemon/forwarding-daemon-settings.js';
 import type { DaemonPlacement } from './daemon-identity.js';
@@ -8,16 +8,16 @@
 
 /** Addresses and settings of one process. */
 export interface ForwardingProcessSettings extends DaemonPlacement {
-  /** Where callers connect, `ip:port`. */
+  /** The address that callers connect to, `ip:port`. */
   readonly callerAddress: string;
-  /** Where readiness is asked, `ip:port`. */
+  /** The address of the readiness endpoint, `ip:port`. */
   readonly readyAddress: string;
   readonly readyPath: string;
-  /** Where metrics are served, `ip:port`; undefined for nowhere. */
+  /** The address at which metrics are served, `ip:port`; undefined to serve none. */
   readonly metricsAddress: string | undefined;
-  /** A process is ended this long after it was asked to stop. Milliseconds. */
+  /** The platform kills the process this long after asking it to stop. Milliseconds. */
   readonly stopGraceMs: number;
-  /** Connections that callers may have open at once. */
+  /** Maximum number of connections that callers may have open at once. */
   readonly maximumCallerConnections: number;
   readonly daemon: ForwardingDaemonSettings;
   readonly log: DecisionLogSettings;
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -1,6 +1,6 @@
 /**
- * A forwarding daemon as a process: servers, adapters and an actor around its state machine, and an orderly
- * stop.
+ * The process of a forwarding daemon: the servers, adapters and the actor around its state machine, and the
+ * graceful stop. Owns the sockets, the timers and the log stream. Relies on the state machine for all decisions.
  */
 import type { Server } from 'node:http';
 import nact, { type Ref } from 'nact';
@@ -25,54 +25,54 @@
 import { spawnActor } from './spawn-actor.js';
 import { UnansweredCalls } from './unanswered-calls.js';
 
-/** The outside systems. */
+/** The external systems, and the protocol of the back ends. */
 interface ForwardingAdapters extends ExternalSystems {
   readonly dialect: BackendDialect;
 }
 
 /**
- * Interval between ticks while no request is in hand. Milliseconds; under half of what counts as a pause of
- * the process.
+ * Interval between ticks while no request is open. Milliseconds; under half of the gap that counts as a process
+ * pause.
  */
 const IDLE_TICK_MS = 100;
 
-/** Connections to back ends. Reasons: docs/design/silent-connections.md. */
+/** Settings of the connections to back ends. docs/design/silent-connections.md gives the reasons. */
 const BACKEND_CONNECTIONS: BackendClientSettings = {
-  /** Many times the way there and back between the furthest regions. */
+  /** Many times the round trip between the most distant regions. */
   connectTimeoutMs: 500,
-  /** Above the slots of any back end, so that the slots limit and not the connections. */
+  /** More than the slots of any back end, so that the slots are the limit and not the connections. */
   connectionsPerBackend: 64,
-  /** A back end that takes longer over a small call is of no use to a request either. */
+  /** A back end that takes longer for a small call could not serve a request in time either. */
   callTimeoutMs: 1000,
-  /** A quarter of the 4 s within which contact has to be found again. */
+  /** A quarter of the 4 s within which contact must be re-established. */
   silentConnectionMs: 1000,
 };
 
 /**
- * Interval between looks at what a stopping process still waits for. Milliseconds; short against the
- * grace.
+ * Interval at which a stopping process checks for open requests and connections. Milliseconds; short compared with
+ * the grace period.
  */
 const DRAIN_POLL_MS = 50;
 /**
- * After a stop was asked for, new requests are served for so long, since callers are sent here until the
- * platform has noticed; later ones are refused. Milliseconds.
+ * A stopping process serves new requests for this duration, because callers are routed here until the platform has
+ * noticed that it is not ready; later requests are refused. Milliseconds.
  */
 const DRAIN_NOTICE_MS = 2800;
-/** Time kept at the end of the grace for the process to end by itself. Milliseconds. */
+/** Reserved at the end of the grace period, so that the process exits before it is killed. Milliseconds. */
 const STOP_MARGIN_MS = 700;
 /**
- * A stopping process accepts its last callers for so long, and waits so long for their answers. Milliseconds; together
- * within STOP_MARGIN_MS.
+ * How long a stopping process accepts the connections left in the accept queue, and then waits for the replies to
+ * their requests. Milliseconds; the sum is within STOP_MARGIN_MS.
  */
 const FINAL_ACCEPT_MS = 300;
 const FINAL_ANSWER_MS = 200;
-/** Interval between looks at these. Milliseconds. */
+/** Interval between checks for these replies. Milliseconds. */
 const FINAL_POLL_MS = 5;
-/** Log lines are written in pieces of this size at least. Bytes; a page of memory. */
+/** Log lines are buffered and written in chunks of at least this size. Bytes; a memory page. */
 const LOG_BUFFER_BYTES = 4096;
-/** A process that is killed loses the lines of so long. Milliseconds. */
+/** Interval between flushes of the log: a process that is killed loses the lines since the last one. Milliseconds. */
 const LOG_FLUSH_MS = 500;
-/** Log lines that cannot be written wait up to this size; further ones are dropped. Bytes. */
+/** Log lines that cannot be written are buffered up to this size; further lines are dropped. Bytes. */
 const MAXIMUM_LOG_BYTES = 1024 * 1024;
 
 /** One forwarding daemon process. */
@@ -160,7 +160,10 @@
     });
   }
 
-  /** Opens the servers and starts the timers. */
+  /**
+   * Opens the servers and starts the timers.
+   * @throws ListenError when an address other than that of the metrics cannot be bound.
+   */
   async start(): Promise<void> {
     this.log.writeImportantEvent('process.started', { zone: this.settings.zone, node: process.version });
     this.tick();
@@ -173,18 +176,19 @@
     ]);
   }
 
-  /** The settings were written anew. */
+  /** Logs that the settings file was read again; `fields` give the result. */
   onReload(fields: Readonly<Record<string, unknown>>): void {
     this.log.writeImportantEvent('process.reloaded', fields);
   }
 
-  /** A record of the store cannot be read; the last good one stays in force. */
+  /** Logs that a record of the store is invalid; its last valid version stays in force. */
   onInvalidRecord(key: string, error: PulleyledgeError): void {
     this.log.writeImportantEvent('record.rejected', { key, code: error.code, ...error.context });
   }
 
   /**
-   * Stops without cutting a request, within the grace. Asked again, it resolves no sooner: the program ends then.
+   * Stops without breaking off a request, within the grace period. A further call returns the same promise, because
+   * the program exits as soon as it resolves.
    */
   stop(): Promise<void> {
     this.stopped ??= this.stopGracefully();
@@ -217,8 +221,8 @@
   }
 
   /**
-   * Callers that have connected, or sent a request, since the last look are refused in order: the end of the
-   * process would reset them, and they could not know whether their requests ran.
+   * Refuses the requests of callers that have connected, or sent a request, since the last check. The exit of the
+   * process would reset their connections, and they could not know whether their requests were executed.
    */
   private async waitForFinalRequests(): Promise<void> {
     await this.server.stopListening(FINAL_ACCEPT_MS);
@@ -227,7 +231,7 @@
     while (this.server.getOpenRequestCount() > 0 && now() < deadline);
   }
 
-  /** Closes every server and connection at once. */
+  /** Closes all servers and connections at once. */
   async close(): Promise<void> {
     this.stopTimers();
     this.server.close();
@@ -240,13 +244,13 @@
     await this.backends.close();
   }
 
-  /** Whether callers should connect here: new connections are taken, and what comes on them can be served. */
+  /** Whether callers should connect here: new connections are accepted, and requests on them can be served. */
   private isReady(): boolean {
     return this.daemon.ready() && this.server.hasCapacity();
   }
 
   /**
-   * Ticks, and again after a while: sooner while requests are in hand, since only these have short deadlines.
+   * Sends a tick and schedules the next one: sooner while requests are open, as only these have short deadlines.
    */
   private tick(): void {
     this.send({ kind: 'tick', wallMs: Date.now() });
@@ -264,8 +268,8 @@
   }
 
   /**
-   * Before anything is decided the clocks are compared: the first event after a suspension may lead to an
-   * order.
+   * Compares the clocks before the event is handled: the first event after a suspension of the machine may
+   * otherwise lead to an order under a lease that has expired meanwhile.
    */
   private onEvent(event: ForwardingEvent): void {
     const at = now();
@@ -329,7 +333,7 @@
     else this.log.writeRequestEvent(effect.event, effect.callerId, effect.fields);
   }
 
-  /** Without its metrics a daemon still serves. */
+  /** A daemon whose metrics address cannot be bound logs this and serves requests all the same. */
   private async startMetricsServer(): Promise<void> {
     const { metricsAddress } = this.settings;
     if (metricsAddress === undefined) return;
--- a/src/process/open-requests.ts
+++ b/src/process/open-requests.ts
@@ -1,7 +1,7 @@
 /**
- * Callers' requests that this process has taken and not answered. Owns each one's content and reply between
- * the caller's connection and the state machine, which knows a request by its id alone. A caller that leaves
- * is reported as a cancellation.
+ * The callers' requests that this process has accepted and not yet answered. Owns the content and the reply of each
+ * of them, on behalf of the state machine, which identifies a request by its id only. A caller that disconnects is
+ * reported as a cancellation.
  */
 import type { BackendClient, CallerRequest } from '../adapters/backend-client.js';
 import type { BackendDialect } from '../adapters/backend-dialect.js';
@@ -10,7 +10,7 @@
 import type { CallerReply, ReceivedRequest } from '../gateway/forward-server.js';
 import { digestContent } from '../quarantine/request-key.js';
 
-/** Digits in which requests are numbered. */
+/** Radix of the numbers that identify requests. */
 const ID_RADIX = 36;
 
 interface OpenRequest {
@@ -20,7 +20,7 @@
 
 type ReplyEffect = Extract<ForwardingEffect, { kind: 'replyWhole' | 'replyFailure' | 'replyBroken' }>;
 
-/** The open requests of one process. */
+/** Tracks the open requests of one process. */
 export class OpenRequests {
   private readonly open = new Map<string, OpenRequest>();
   private lastNumber = 0;
@@ -31,12 +31,12 @@
     private readonly send: (event: ForwardingEvent) => void,
   ) {}
 
-  /** Requests without a whole answer whose callers wait. */
+  /** Number of requests whose callers wait for a complete answer. */
   getCount(): number {
     return this.open.size;
   }
 
-  /** Takes a request and hands its outline to the state machine. */
+  /** Adds a request and submits its description, without the body, to the state machine. */
   add(received: ReceivedRequest, reply: CallerReply): void {
     this.lastNumber += 1;
     const id = this.lastNumber.toString(ID_RADIX);
@@ -65,26 +65,26 @@
     });
   }
 
-  /** Sends an attempt to its back end, unless the caller has left. */
+  /** Sends an attempt to its back end, unless the caller has disconnected. */
   startAttempt(start: AttemptStart): void {
     const { requestId, attemptId } = start;
     const open = this.open.get(requestId);
     if (!open) {
-      // The caller has just left: its cancellation is before this in the queue.
+      // The caller has just disconnected: its cancellation is ahead of this event in the queue.
       const event = { kind: 'unreachable', reason: 'abandoned' } as const;
       this.send({ kind: 'attempt', requestId, attemptId, event });
       return;
     }
     this.backends.start(start, open.request, open.reply, (event) => {
       const callerLeft = !this.open.has(requestId);
-      // The machine knows the attempt no more, or will soon not: nobody else would free the KV cache.
+      // The state machine has forgotten the attempt or is about to, and nothing else would free the KV cache.
       if (callerLeft && event.kind === 'prefilled')
         this.backends.freeKv({ address: start.backend.address, handle: event.handle });
       else this.send({ kind: 'attempt', requestId, attemptId, event });
     });
   }
 
-  /** Answers a request, which is open no more. */
+  /** Answers a request, which is then no longer open. */
   sendReply(effect: ReplyEffect): void {
     switch (effect.kind) {
       case 'replyWhole': {
--- a/src/process/outside-calls.ts
+++ b/src/process/outside-calls.ts
@@ -1,6 +1,7 @@
 /**
- * Carries out what the state machine of a forwarding daemon asks of outside systems, and sends it their
- * answers. Owns no state. Relies on adapters that never reject: a call without an answer is a result.
+ * Performs the effects of a forwarding daemon's state machine that are calls to external systems, and sends the
+ * results back as events. Owns no state. Relies on adapters whose promises never reject: a call without an answer
+ * has a result of its own.
  */
 import { checkListener } from '../adapters/listener-check.js';
 import type { BackendClient } from '../adapters/backend-client.js';
@@ -10,17 +11,17 @@
 import type { TableRequest, TableResult, TableStore } from '../contracts/table-service.js';
 import type { ForwardingMetrics } from './forwarding-metrics.js';
 
-/** The outside systems beside the back ends. */
+/** The external systems other than the back ends. */
 export interface ExternalSystems {
   readonly store: RecordStore;
   readonly table: TableStore;
-  /** Undefined where the platform asks for no duties. */
+  /** Undefined where the platform assigns no duties to the fleet. */
   readonly duties: DutyPlatform | undefined;
 }
 
 type Effect<Kind extends ForwardingEffect['kind']> = Extract<ForwardingEffect, { kind: Kind }>;
 
-/** The effects that are calls to outside systems. */
+/** The effects that are calls to external systems. */
 type ExternalEffect = Effect<
   | 'readRecords'
   | 'probeBackend'
@@ -34,7 +35,7 @@
   | 'orderEngine'
 >;
 
-/** The calls of one process. */
+/** Makes the calls of one process. */
 export class ExternalCalls {
   constructor(
     private readonly backends: BackendClient,
@@ -43,7 +44,7 @@
     private readonly send: (event: ForwardingEvent) => void,
   ) {}
 
-  /** Makes one call. */
+  /** Makes the call of one effect; its result is sent as an event. */
   perform(effect: ExternalEffect): void {
     switch (effect.kind) {
       case 'readRecords':
@@ -72,7 +73,7 @@
     }
   }
 
-  /** Each of the three users of tables gets its results in an event of its own. */
+  /** Calls a table; each of its three users receives the result in an event of its own kind. */
   private callTableAndRoute(effect: Effect<'quarantineTable' | 'leaseTable' | 'usageTable'>): void {
     this.callTable(effect.request, (result) => {
       switch (effect.kind) {
--- a/src/process/spawn-actor.ts
+++ b/src/process/spawn-actor.ts
@@ -1,17 +1,17 @@
 /**
- * Actors of a daemon process: each takes one message after another and keeps no state of nact's own. A crash
- * of an actor is a defect: the process ends at once instead of going on without a part of itself. Its leases
- * and slots then run out, as with any killed process.
+ * Spawns the actors of a daemon process. Each handles one message after another and keeps no state in nact. An
+ * exception in an actor is a defect: the process exits at once instead of continuing without that actor. Its
+ * leases and slots then expire, as with any killed process.
  */
 import nact, { type Ref } from 'nact';
 import { EXIT_CRASH } from '../shared/exit-codes.js';
 
-/** What actors are spawned in; stopping it stops them all. */
+/** The nact system in which actors are spawned; stopping it stops them all. */
 type ActorSystem = ReturnType<typeof nact.start>;
 
 /**
- * Starts an actor that hands each message to `onMessage`. What `onMessage` throws ends the process with
- * `EXIT_CRASH`.
+ * Starts an actor that passes each message to `onMessage`. An exception from `onMessage` ends the process with
+ * exit code `EXIT_CRASH`.
  */
 export function spawnActor<Message>(
   system: ActorSystem,
--- a/src/process/status-servers.ts
+++ b/src/process/status-servers.ts
@@ -1,12 +1,11 @@
 /**
- * The small HTTP servers of a forwarding daemon's process: whether callers should come, and its metrics. They
- * own no state.
+ * The HTTP servers for the readiness and the metrics of a forwarding daemon's process. They own no state.
  */
 import { createServer, type Server } from 'node:http';
 import type { ForwardingMetrics } from './forwarding-metrics.js';
 import { STATUS_NOT_FOUND, STATUS_OK, STATUS_UNAVAILABLE } from '../shared/http-status.js';
 
-/** Answers at `path` whether the process is ready. */
+/** Creates a server that reports at `path` whether the process is ready. It does not listen yet. */
 export function createReadyServer(path: string, isReady: () => boolean): Server {
   return createServer((request, response) => {
     const known = request.url === path;
@@ -16,7 +15,7 @@
   });
 }
 
-/** Serves the metrics at any path. */
+/** Creates a server that returns the metrics at any path. It does not listen yet. */
 export function createMetricsServer({ registry }: ForwardingMetrics): Server {
   return createServer((_request, response) => {
     void registry.metrics().then((text) => {
