--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,4 +1,7 @@
-/** The commands of pulleyledge. */
+/**
+ * The commands of `pulleyledge`: parses the command line, runs one command, and sets the exit code. Relies on every
+ * expected failure being a PulleyledgeError; any other error is a defect and ends the process with its stack trace.
+ */
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
 import { PulleyledgeError, RevisionConflictError, ValidationError } from '../errors/index.js';
@@ -27,9 +30,9 @@
     --settings   the daemon's settings file (YAML)
     --set        overrides one key of the file, such as --set zone=bosa; may be repeated
     --operator   operator address (ip:port) of one or more daemons
-    --revision   the row's revision that you last saw; an edit of a newer row then fails (exit code 3)
-    --edit-id    repeat a command with the id of an edit whose outcome was unknown
-    --logs       a file with the lines that daemons logged; may be repeated
+    --revision   expected revision of the row; the edit fails (exit code 3) if the row has changed since
+    --edit-id    id of an edit whose outcome is unknown, to retry it safely
+    --logs       log file of one or more daemons; may be repeated
     --json       machine-readable output
 `,
   {
@@ -89,7 +92,7 @@
 }
 
 function getRequestId(args: readonly string[]): string {
-  if (args.length !== 1) throw new ValidationError('REQUEST-ID', 'must be given, once');
+  if (args.length !== 1) throw new ValidationError('REQUEST-ID', 'must be given exactly once');
   return args[0];
 }
 
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -1,30 +1,30 @@
 /**
- * The time line of one request across daemons, from their logs: its own lines, and what changed just before
- * in the view that each daemon that handled it has of the back ends involved. Lines of a daemon are ordered
- * by its own steady clock, which does not jump; daemons are put in the order in which they took the request,
- * by the time of day of their first line.
+ * `pulleyledge explain`: the timeline of one request across daemons, from their logs. It shows the request's lines
+ * and the preceding state changes that concern the back ends involved, for each daemon that handled the request.
+ * A daemon's lines are ordered by its monotonic clock, which does not jump; daemons are ordered by the time of day of
+ * their first line on the request. Owns no state. Relies on the log format of `process/decision-log.ts`.
  */
 import { NotFoundError } from '../errors/index.js';
 import { parseJson } from '../shared/json.js';
 
-/** One line of a log. */
+/** One parsed log line. */
 interface LogLine {
   readonly daemon: string;
   readonly event: string;
-  /** The daemon's steady clock. Milliseconds. */
+  /** The daemon's monotonic clock. Milliseconds. */
   readonly clock: number;
   /** Time of day, which may jump. Milliseconds. */
   readonly time: number;
   readonly requestId?: string;
   readonly backend?: string;
-  /** Those that a refusal is about. */
+  /** The back ends that a refusal concerns. */
   readonly backends?: readonly string[];
   readonly [field: string]: unknown;
 }
 
-/** Changes older than this before a request's first line are not shown. Milliseconds. */
+/** State changes are shown if they precede the request's first line by at most this. Milliseconds. */
 const CONTEXT_WINDOW_MS = 10_000;
-/** Changes that bear on any request. */
+/** Events that concern every request of a daemon. */
 const DAEMON_WIDE_EVENTS: ReadonlySet<string> = new Set([
   'process.started',
   'drain.started',
@@ -34,7 +34,7 @@
   'store.regained',
   'log.dropped',
 ]);
-/** Fields that have a place of their own in a line, or none. */
+/** Fields that are not listed as `name=value`: they are shown in another place, or not at all. */
 const UNLISTED_FIELDS: ReadonlySet<string> = new Set([
   'daemon',
   'event',
@@ -45,8 +45,8 @@
 ]);
 
 /**
- * The time line of `requestId` in the logs.
- * @throws NotFoundError when no line names the request.
+ * Formats the timeline of `requestId`. `logs` are the contents of log files.
+ * @throws NotFoundError when no line has this request id.
  */
 export function explainRequest(requestId: string, logs: readonly string[]): string {
   const lines = logs.flatMap((log) => log.split('\n').flatMap(parseLine));
@@ -89,7 +89,7 @@
   return Math.min(...lines.filter((line) => line.daemon === daemon).map((line) => line.time));
 }
 
-/** A line that is not one of ours is passed over; text before the object is, too. */
+/** Skips lines that are not in the log's format, and any text before the JSON object of a line. */
 function parseLine(text: string): LogLine[] {
   const start = text.indexOf('{');
   if (start < 0) return [];
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 /**
- * The start of the command line. A daemon listens for SIGHUP before anything else is loaded: by default that
- * signal, which says that the settings have changed, would end it. The settings are read later, so an early one
- * needs nothing more. Other commands end with their terminal.
+ * The entry point of the command line. `serve` installs a SIGHUP handler before anything else is loaded: the signal
+ * announces changed settings, and its default action would end the daemon. The settings are read later, so a signal
+ * during startup needs no further handling. Other commands keep the default and end with their terminal.
  */
 if (process.argv[2] === 'serve') process.on('SIGHUP', () => undefined);
 
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -1,4 +1,4 @@
-/** The operator commands' side of a daemon's operator server. */
+/** HTTP client for a daemon's operator server, used by the operator commands. Owns no state. */
 import { request } from 'undici';
 import type { CompletionDaemonStatus, RowEdit } from '../daemon/completion-messages.js';
 import { ProtocolError, PulleyledgeError, TableUnavailableError } from '../errors/index.js';
@@ -6,7 +6,7 @@
 import type { Problem } from '../gateway/problem.js';
 import { STATUS_OK } from '../shared/http-status.js';
 
-/** A problem document received from a daemon. */
+/** A failure reported by a daemon in a problem document; it keeps the document's code, status and context. */
 export class RemoteProblemError extends PulleyledgeError {
   constructor(readonly problem: Problem) {
     super(problem.detail, {
@@ -18,26 +18,29 @@
   }
 }
 
-/** A daemon must answer within this time. Milliseconds; an edit waits for a majority of daemons. */
+/** Timeout of a call. Milliseconds; long, because an edit waits for a majority of daemons. */
 const TIMEOUT_MS = 15_000;
-/** When to call again after no answer. Milliseconds. */
+/** Delay before a retry that an error without an answer suggests. Milliseconds. */
 const RETRY_AFTER_MS = 2000;
 
-/** Calls one daemon's operator server. */
+/**
+ * Calls one daemon's operator server. Each method throws RemoteProblemError when the daemon reports a failure,
+ * ProtocolError when its answer is not understood, and TableUnavailableError when there is none.
+ */
 export class OperatorClient {
   constructor(private readonly address: string) {}
 
-  /** The daemon's status. */
+  /** Reads the daemon's status. */
   getStatus(): Promise<CompletionDaemonStatus> {
     return this.call('GET', '/v1/status') as Promise<CompletionDaemonStatus>;
   }
 
-  /** The services in force at the daemon. */
+  /** Reads the services in force at the daemon. */
   getServices(): Promise<ServicesResponse> {
     return this.call('GET', '/v1/services') as Promise<ServicesResponse>;
   }
 
-  /** Edits rows, all or none. Returns the revision of the accepted edit. */
+  /** Edits rows atomically, all or none. Returns the revision of the accepted edit. */
   async edit(editId: string, edits: readonly RowEdit[]): Promise<number> {
     const { revision } = (await this.call('POST', '/v1/services', { editId, edits })) as { revision: number };
     return revision;
--- a/src/cli/services-command.ts
+++ b/src/cli/services-command.ts
@@ -1,4 +1,4 @@
-/** `pulleyledge services`: list, get, set, delete, import, export. */
+/** `pulleyledge services`: list, get, set, delete, import, export, columns. Owns no state. */
 import { randomUUID } from 'node:crypto';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { formatServicesCsv, parseCell, parseServicesCsv } from '../configuration/service-csv.js';
@@ -11,15 +11,16 @@
 /** Options of the services commands. */
 interface ServicesOptions {
   readonly json: boolean;
-  /** The revision that the operator last saw; without it the present one is taken. */
+  /** The row's revision that the operator last saw; undefined to use the current one. */
   readonly revision: number | undefined;
-  /** Identifies the edit; repeating it with the same id is safe. */
+  /** Identifies the edit; retrying it with the same id is safe. */
   readonly editId: string | undefined;
 }
 
 /**
- * Runs one services command and returns what to print.
- * @throws PulleyledgeError of any kind
+ * Runs one services command and returns the text to print.
+ * @throws ValidationError on invalid arguments; RowInvalidError on an invalid value; UnknownServiceError; any error
+ * of the client.
  */
 export async function runServicesCommand(
   client: OperatorClient,
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -1,15 +1,18 @@
-/** `pulleyledge status`: engines, roles, leases, limits, and the configuration revision of each daemon. */
+/**
+ * `pulleyledge status`: engines, roles, leases, limits, and the configuration revision of each daemon. Owns no
+ * state.
+ */
 import type { CompletionDaemonStatus } from '../daemon/completion-messages.js';
 import type { PulleyledgeError } from '../errors/index.js';
 import { OperatorClient } from './operator-client.js';
 import { formatTable } from '../shared/table.js';
 
-/** One daemon's status, or why it did not answer. */
+/** One daemon's status, or the error of the attempt to read it. */
 type StatusResult =
   | { readonly address: string; readonly status: CompletionDaemonStatus }
   | { readonly address: string; readonly error: PulleyledgeError };
 
-/** Asks every daemon named and returns what to print. */
+/** Reads the status of each daemon and returns the text to print; unreachable daemons are listed with their error. */
 export async function runStatusCommand(addresses: readonly string[], json: boolean): Promise<string> {
   const answers = await Promise.all(addresses.map(readStatus));
   if (json) {
