--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -50,25 +50,29 @@
  */
 export function explainRequest(requestId: string, logs: readonly string[]): string {
   const lines = logs.flatMap((log) => log.split('\n').flatMap(parseLine));
-  const own = lines.filter((line) => line.requestId === requestId);
-  if (own.length === 0) throw new NotFoundError(`request ${requestId}`);
-  const daemons = [...new Set(own.map((line) => line.daemon))];
-  daemons.sort((left, right) => getFirstTime(own, left) - getFirstTime(own, right));
-  return daemons.map((daemon) => formatDaemonSection(daemon, own, lines)).join('\n\n');
+  const requestLines = lines.filter((line) => line.requestId === requestId);
+  if (requestLines.length === 0) throw new NotFoundError(`request ${requestId}`);
+  const daemons = [...new Set(requestLines.map((line) => line.daemon))];
+  daemons.sort((left, right) => getFirstTime(requestLines, left) - getFirstTime(requestLines, right));
+  return daemons.map((daemon) => formatDaemonSection(daemon, requestLines, lines)).join('\n\n');
 }
 
-function formatDaemonSection(daemon: string, own: readonly LogLine[], lines: readonly LogLine[]): string {
-  const requestLines = own.filter((line) => line.daemon === daemon);
-  const first = Math.min(...requestLines.map((line) => line.clock));
-  const last = Math.max(...requestLines.map((line) => line.clock));
-  const backends = new Set(requestLines.flatMap(getBackends));
+function formatDaemonSection(
+  daemon: string,
+  requestLines: readonly LogLine[],
+  lines: readonly LogLine[],
+): string {
+  const daemonLines = requestLines.filter((line) => line.daemon === daemon);
+  const first = Math.min(...daemonLines.map((line) => line.clock));
+  const last = Math.max(...daemonLines.map((line) => line.clock));
+  const backends = new Set(daemonLines.flatMap(getBackends));
   const changes = lines.filter((line) => {
-    const near = line.clock >= first - CONTEXT_WINDOW_MS && line.clock <= last;
+    const recent = line.clock >= first - CONTEXT_WINDOW_MS && line.clock <= last;
     const relevant =
       DAEMON_WIDE_EVENTS.has(line.event) || (line.backend !== undefined && backends.has(line.backend));
-    return line.daemon === daemon && line.requestId === undefined && near && relevant;
+    return line.daemon === daemon && line.requestId === undefined && recent && relevant;
   });
-  const shown = [...requestLines, ...changes].sort((left, right) => left.clock - right.clock);
+  const shown = [...daemonLines, ...changes].sort((left, right) => left.clock - right.clock);
   return [daemon, ...shown.map((line) => formatLine(line, first))].join('\n');
 }
 
--- a/src/gateway/forward-server.ts
+++ b/src/gateway/forward-server.ts
@@ -279,7 +279,7 @@
   }
 
   /**
-   * Closes a connection that was chosen to give way, unless a request has arrived on it: one that waited in the
+   * Closes an idle connection in favor of a new one, unless a request has arrived on it: one that waited in the
    * socket while this process was busy has been read by now.
    */
   private closeIfStillIdle(socket: Socket): void {
--- a/src/gateway/reply-sink.ts
+++ b/src/gateway/reply-sink.ts
@@ -14,7 +14,7 @@
   fail(error: PulleyledgeError, tokensSent: number): void;
 }
 
-/** Which of the two APIs the request came by. */
+/** The API through which a request was received: completions or chat completions. */
 export type CompletionForm = 'completion' | 'chat';
 
 const OBJECT_NAMES: Readonly<Record<CompletionForm, { complete: string; chunk: string }>> = {
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -132,8 +132,8 @@
   /**
    * Stops without breaking off a request: hands over leases, limits and membership, accepts new requests for
    * `drainNoticeMs`, closes the listener, and resolves when the last request is answered and no caller may still
-   * reuse a keep-alive connection by the time advertised to it. A further call returns the same promise, because the
-   * program exits as soon as it resolves.
+   * reuse a keep-alive connection by the time advertised to it. A further call returns the same promise and so
+   * resolves no sooner: the program exits when a call resolves.
    */
   stop(): Promise<void> {
     this.stopped ??= this.stopGracefully();
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -187,8 +187,8 @@
   }
 
   /**
-   * Stops without breaking off a request, within the grace period. A further call returns the same promise, because
-   * the program exits as soon as it resolves.
+   * Stops without breaking off a request, within the grace period. A further call returns the same promise and so
+   * resolves no sooner: the program exits when a call resolves.
    */
   stop(): Promise<void> {
     this.stopped ??= this.stopGracefully();
--- a/test/bundle.test.ts
+++ b/test/bundle.test.ts
@@ -1,4 +1,4 @@
-/** The program as it is deployed: the bundle that deploy/system.toml builds starts, reads the store and serves. */
+/** Tests of the deployed program: the bundle that deploy/system.toml builds starts, reads the store and serves. */
 import { execFile, spawn, type ChildProcess } from 'node:child_process';
 import { copyFileSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { once } from 'node:events';
@@ -20,7 +20,7 @@
   readonly roles: Readonly<Record<string, { readonly run: string }>>;
 }
 
-async function freePort(): Promise<number> {
+async function findFreePort(): Promise<number> {
   const server = createNetServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
@@ -28,7 +28,7 @@
   return port;
 }
 
-function storeOf(rows: Readonly<Record<string, { key: string; value: object }[]>>): Server {
+function createStore(rows: Readonly<Record<string, { key: string; value: object }[]>>): Server {
   return createServer((request, response) => {
     const url = new URL(request.url ?? '/', 'http://store');
     const feed = url.pathname.endsWith('feed');
@@ -57,7 +57,7 @@
     rmSync(folder, { recursive: true });
   });
 
-  it('starts, reads the store, forwards, serves metrics; a second one says that its address is taken', async () => {
+  it('starts, reads the store, forwards, serves metrics; a second process reports that its address is in use', async () => {
     const deploy = parse(readFileSync(join(ROOT, 'deploy/system.toml'), 'utf8')) as unknown as DeployFile;
     const bundle = join(folder, 'start.cjs');
     const build = deploy.build.replace(/^.*npm ci --silent; /, '').replace(/target$/, folder);
@@ -76,7 +76,7 @@
       route_kind: 'idempotent',
       service: 's',
     };
-    store = storeOf({
+    store = createStore({
       op: [
         {
           key: 'config',
@@ -89,10 +89,10 @@
     const storePort = (store.address() as AddressInfo).port;
 
     const [front, ready, control, metrics] = [
-      await freePort(),
-      await freePort(),
-      await freePort(),
-      await freePort(),
+      await findFreePort(),
+      await findFreePort(),
+      await findFreePort(),
+      await findFreePort(),
     ];
     const settings = join(folder, 'settings.toml');
     writeFileSync(
@@ -110,11 +110,11 @@
       stdio: 'ignore',
     });
 
-    await untilStatus(`http://127.0.0.1:${ready}/v1/readyz`, 200);
+    await waitForStatus(`http://127.0.0.1:${ready}/v1/readyz`, 200);
     const answer = await fetch(`http://127.0.0.1:${front}/p/x`, {
       headers: { 'X-Attempt-Id': 'id1', Host: 'h.example' },
     });
-    // fetch sets the host itself, so the route is not found; the daemon says so because it knows its routes.
+    // fetch sets the Host header itself, so no route matches. A 404 shows that the daemon has loaded its routes.
     expect(answer.status).to.equal(404);
     const text = await (await fetch(`http://127.0.0.1:${metrics}/metrics`)).text();
     expect(text).to.match(/pulleyledge_ready 1/);
@@ -131,7 +131,7 @@
     expect(second.stderr).to.match(/^listen-failed: cannot listen on 127\.0\.0\.1:\d+: EADDRINUSE/);
   });
 
-  it('a change of the settings while the program is still starting does not end it', async () => {
+  it('SIGHUP during startup does not end the program', async () => {
     const copy = mkdtempSync(join(tmpdir(), 'early-signal-'));
     copyFileSync(join(ROOT, 'deploy/start.cjs'), join(copy, 'start.cjs'));
     const slowStart =
@@ -146,13 +146,13 @@
     rmSync(copy, { recursive: true });
   });
 
-  it('a code cache of another source of the same length is not taken', async () => {
+  it('does not use a code cache that was made from another source of the same length', async () => {
     const copy = mkdtempSync(join(tmpdir(), 'code-cache-'));
     copyFileSync(join(ROOT, 'deploy/start.cjs'), join(copy, 'start.cjs'));
     const bundle = (value: number): void =>
       writeFileSync(
         join(copy, 'pulleyledge.cjs'),
-        `const tell = () => ${value}; process.stdout.write(String(tell()))`,
+        `const getValue = () => ${value}; process.stdout.write(String(getValue()))`,
       );
     const cachePath = `started.cachePath || require('path').join('${copy}', 'pulleyledge.cache')`;
     const makeCache = `const started = require('${copy}/start.cjs'); require('fs').writeFileSync(${cachePath}, started.script.createCachedData())`;
@@ -164,7 +164,7 @@
   });
 });
 
-async function untilStatus(url: string, status: number): Promise<void> {
+async function waitForStatus(url: string, status: number): Promise<void> {
   for (let tries = 0; tries < 200; tries += 1) {
     const answer = await fetch(url).catch(() => undefined);
     if (answer?.status === status) return;
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -1,4 +1,4 @@
-/** From a request's id to its cause, out of the lines that daemons logged. */
+/** Tests of `explain`, which reconstructs a request's timeline from log lines, and of the decision log. */
 import { expect } from 'chai';
 import { explainRequest } from '../src/cli/explain-command.js';
 import { NotFoundError } from '../src/errors/index.js';
@@ -9,13 +9,13 @@
 }
 
 describe('explain', () => {
-  it('shows the lines of a request with what its daemon came to believe of its back ends', () => {
+  it('shows the lines of a request and the state changes of its back ends as its daemon logged them', () => {
     const log = [
       line('d1', 100, 'backend.changed', { backend: 'e1', state: 'ready' }),
       line('d1', 110, 'backend.changed', { backend: 'e9', state: 'ready' }),
       `  12.5 d1 ${line('d1', 200, 'request.attempt', { requestId: 'r1', backend: 'e1' })}`,
       line('d1', 250, 'request.attempt', { requestId: 'r2', backend: 'e1' }),
-      'no line of ours {',
+      'not a log line {',
       line('d1', 300, 'backend.removed', { backend: 'e1' }),
       line('d1', 310, 'request.failed', { requestId: 'r1', failure: 'broken' }),
       line('d2', 50, 'request.accepted', { requestId: 'r1' }),
@@ -35,7 +35,7 @@
     expect(text).to.match(/110 ms {3}request\.failed +failure=broken/);
   });
 
-  it('shows what the back ends of a refusal said of themselves', () => {
+  it('shows the limits that the back ends of a refusal had reported', () => {
     const log = [
       line('d1', 100, 'backend.limited', { backend: 'e1', requestsPerSecond: 2 }),
       line('d1', 110, 'backend.limited', { backend: 'e9', requestsPerSecond: 2 }),
@@ -51,13 +51,13 @@
     expect(others).to.deep.equal([]);
   });
 
-  it('says when no line names the request', () => {
+  it('fails when no line has the request id', () => {
     expect(() => explainRequest('r9', [''])).to.throw(NotFoundError);
   });
 });
 
 describe('decision log', () => {
-  it('under load keeps or drops the lines of a request together, keeps failures, and says what it dropped', () => {
+  it('under load keeps or drops the lines of a request together, keeps failures, and reports what it dropped', () => {
     const lines: { event: string; requestId?: string; lines?: number }[] = [];
     let now = 0;
     const write = (text: string): void => void lines.push(JSON.parse(text) as (typeof lines)[number]);
@@ -74,14 +74,14 @@
     const counts = new Map<string, number>();
     for (const { requestId, event } of later)
       if (event !== 'request.failed' && requestId) counts.set(requestId, (counts.get(requestId) ?? 0) + 1);
-    const whole = [...counts.values()].filter((count) => count === 2).length;
-    expect(whole).to.be.at.least(counts.size - 1);
+    const complete = [...counts.values()].filter((count) => count === 2).length;
+    expect(complete).to.be.at.least(counts.size - 1);
     expect(lines.filter(({ event }) => event === 'request.failed')).to.have.length(100);
-    const told = lines.reduce(
+    const reported = lines.reduce(
       (sum, entry) => sum + (entry.event === 'log.dropped' ? (entry.lines ?? 0) : 0),
       0,
     );
-    expect(told).to.be.greaterThan(10_000);
-    expect(told).to.be.at.most(log.getDroppedLineCount());
+    expect(reported).to.be.greaterThan(10_000);
+    expect(reported).to.be.at.most(log.getDroppedLineCount());
   });
 });
--- a/test/forwarding-bytes.test.ts
+++ b/test/forwarding-bytes.test.ts
@@ -1,4 +1,7 @@
-/** What callers get, byte by byte, when back ends break off, answer for others, or leave out the length. */
+/**
+ * Tests the exact bytes that callers receive when back ends break off, answer with the answer to another request, or
+ * send no length.
+ */
 import { once } from 'node:events';
 import { createServer } from 'node:http';
 import { connect, type AddressInfo, type Socket } from 'node:net';
@@ -16,8 +19,8 @@
   readonly reset: boolean;
 }
 
-/** Sends one request on a connection of its own and collects what comes until the connection ends. */
-function ask(address: string, head: string, body = ''): Promise<RawAnswer> {
+/** Sends one request on a new connection and collects what is received until the connection ends. */
+function sendRequest(address: string, head: string, body = ''): Promise<RawAnswer> {
   const [host, port] = address.split(':');
   return new Promise((resolve) => {
     let text = '';
@@ -50,25 +53,25 @@
     await site.daemon.close();
   });
 
-  it('a reset after part of an answer without a length is not taken for its end', async () => {
+  it('a reset within an answer without a length is not treated as its end', async () => {
     await start((_request, socket) => {
       socket.write(`HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\n${SIGNED}\r\nhalf of the`);
       setTimeout(() => socket.resetAndDestroy(), 50);
     });
-    const answer = await ask(site.callers, GET);
+    const answer = await sendRequest(site.callers, GET);
     expect(answer.text).to.match(/^HTTP\/1.1 502 /);
   });
 
-  it('an answer without a length that ends in order is passed on without a length', async () => {
+  it('an answer without a length that ends by a regular close is passed on without a length', async () => {
     await start((_request, socket) => {
       socket.end(`HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\n${SIGNED}\r\nall of it`);
     });
-    const answer = await ask(site.callers, GET);
+    const answer = await sendRequest(site.callers, GET);
     expect(answer.text).to.match(/^HTTP\/1.1 200 [\s\S]*all of it$/);
     expect(answer.text.toLowerCase()).not.to.include('content-length').and.not.to.include('chunked');
   });
 
-  it('a stream that breaks off does not look complete', async () => {
+  it('a stream that is broken off does not look complete', async () => {
     const headers = `X-Attempt-Id: id1\r\n${SIGNED}Transfer-Encoding: chunked\r\n`;
     await start(
       (_request, socket) => {
@@ -77,7 +80,7 @@
       },
       { kind: 'stream' },
     );
-    const answer = await ask(site.callers, GET);
+    const answer = await sendRequest(site.callers, GET);
     expect(answer.text).to.include('data: aa');
     expect(answer.text).not.to.match(/\r\n0\r\n\r\n$/);
   });
@@ -86,7 +89,7 @@
     await start((_request, socket) => {
       socket.write(`HTTP/1.1 200 OK\r\nX-Attempt-Id: id0\r\n${SIGNED}Content-Length: 5\r\n\r\nother`);
     });
-    const answer = await ask(site.callers, GET);
+    const answer = await sendRequest(site.callers, GET);
     expect(answer.text).to.match(/^HTTP\/1.1 502 /);
   });
 
@@ -94,23 +97,23 @@
     await start((_request, socket) => {
       socket.write('HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\nContent-Length: 4\r\n\r\nbody');
     });
-    expect((await ask(site.callers, GET)).text).to.match(/^HTTP\/1.1 502 /);
+    expect((await sendRequest(site.callers, GET)).text).to.match(/^HTTP\/1.1 502 /);
   });
 
-  it('a request that may not be repeated runs once though its answer is lost', async () => {
+  it('a non-idempotent request is sent once although its answer is lost', async () => {
     await start((_request, socket) => socket.destroy(), { kind: 'nonIdempotent', maximumAttempts: 2 });
-    const answer = await ask(site.callers, 'POST /a/x HTTP/1.1\r\nX-Attempt-Id: id1', 'pay');
+    const answer = await sendRequest(site.callers, 'POST /a/x HTTP/1.1\r\nX-Attempt-Id: id1', 'pay');
     expect(answer.text).to.match(/^HTTP\/1.1 502 /);
     expect(backend.arrived).to.have.length(1);
   });
 
-  it('a request that may not be repeated takes no connection that has rested', async () => {
+  it('a non-idempotent request does not use a connection that has been idle', async () => {
     const lastUse = new Map<Socket, number>();
     await start(
       (request, socket) => {
-        const restedMs = performance.now() - (lastUse.get(socket) ?? performance.now());
+        const idleMs = performance.now() - (lastUse.get(socket) ?? performance.now());
         lastUse.set(socket, performance.now());
-        if (restedMs > 300) socket.resetAndDestroy();
+        if (idleMs > 300) socket.resetAndDestroy();
         else
           socket.write(
             `HTTP/1.1 200 OK\r\nX-Attempt-Id: ${headerOf(request.head, 'x-attempt-id')}\r\n${SIGNED}Content-Length: 2\r\n\r\nok`,
@@ -119,27 +122,27 @@
       { kind: 'nonIdempotent' },
     );
     for (let tries = 0; tries < 3; tries += 1) {
-      const answer = await ask(site.callers, 'POST /a/x HTTP/1.1\r\nX-Attempt-Id: id1', 'pay');
+      const answer = await sendRequest(site.callers, 'POST /a/x HTTP/1.1\r\nX-Attempt-Id: id1', 'pay');
       expect(answer.text).to.match(/^HTTP\/1.1 200 /);
       await new Promise((resolve) => setTimeout(resolve, 600));
     }
   });
 
-  it('a request that a back end did not run is refused as not run, with a time to come back', async () => {
+  it('a request that a back end did not execute is refused as not executed, with a Retry-After header', async () => {
     await start((_request, socket) => {
       const head = 'HTTP/1.1 503 Service Unavailable\r\nX-Attempt-Id: id1\r\nX-Not-Executed: 1\r\n';
       socket.write(`${head}Content-Length: 0\r\n\r\n`);
     });
-    const answer = await ask(site.callers, GET);
+    const answer = await sendRequest(site.callers, GET);
     expect(answer.text).to.match(/^HTTP\/1.1 503 /);
     expect(Number(headerOf(answer.text, 'Retry-After'))).to.be.greaterThan(0);
   });
 
-  it('headers that belong to the system are not passed on from callers', async () => {
+  it('headers that are internal to the system are not passed on from callers', async () => {
     await start((_request, socket) => {
       socket.write(`HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\n${SIGNED}Content-Length: 2\r\n\r\nok`);
     });
-    await ask(
+    await sendRequest(
       site.callers,
       `${GET}\r\nX-Expect-Instance: other\r\nX-Kv-Source: 1.2.3.4:5/abc\r\nX-Own: kept`,
     );
@@ -150,34 +153,34 @@
     expect(Number(headerOf(head, 'X-Deadline-Ms'))).to.be.within(1, 1500);
   });
 
-  it('a request held to its time-out gets its answer then', async () => {
+  it('a request without an answer from its back end is answered with 504 at its timeout', async () => {
     await start(() => undefined, { timeoutMs: 400 });
     const startedAt = performance.now();
-    const answer = await ask(site.callers, GET);
+    const answer = await sendRequest(site.callers, GET);
     expect(answer.text).to.match(/^HTTP\/1.1 504 /);
     expect(performance.now() - startedAt).to.be.within(350, 1400);
   });
 
-  it('requests that come late in a stop are refused, and their connection is closed', async () => {
+  it('requests that arrive late in a stop are refused, and their connection is closed', async () => {
     await start((_request, socket) => {
       socket.write(`HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\n${SIGNED}Content-Length: 2\r\n\r\nok`);
     });
     const [host, port] = site.callers.split(':');
     const idle = connect(Number(port), host);
     const stopped = site.daemon.stop();
-    expect((await ask(site.callers, GET)).text).to.match(/^HTTP\/1.1 200 /);
+    expect((await sendRequest(site.callers, GET)).text).to.match(/^HTTP\/1.1 200 /);
     await new Promise((resolve) => setTimeout(resolve, 3000));
-    expect((await ask(site.callers, GET)).text).to.match(/^HTTP\/1.1 503 /);
+    expect((await sendRequest(site.callers, GET)).text).to.match(/^HTTP\/1.1 503 /);
     idle.destroy();
     await stopped;
   });
 
   /*
-   * In a stop each answer ended its connection, also one with further answers due behind it: requests that had been sent
-   * without waiting for the answer before were cut, though back ends ran them. What showed it: of three such
-   * requests one was answered.
+   * Guards against breaking off pipelined requests in a stop: each answer closed its connection, also when further
+   * answers were pending behind it, although back ends executed their requests. Of three such requests one was
+   * answered.
    */
-  it('a stop answers all requests that were sent on a connection without waiting', async () => {
+  it('a stop answers all pipelined requests of a connection', async () => {
     await start((_request, socket) => {
       const answer = `HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\n${SIGNED}Content-Length: 2\r\n\r\nok`;
       setTimeout(() => socket.write(answer), 400);
@@ -197,16 +200,16 @@
   });
 
   /*
-   * A second SIGTERM ended a stopping daemon at once, with every request in hand: the second call of `stop` returned
-   * while the first was still waiting, and the program ends when `stop` returns. What showed it: signals drawn by a
-   * seed, 10 and 15 requests cut, each on a daemon that had been sent SIGTERM twice.
+   * Guards against a second SIGTERM ending a stopping daemon at once, with its open requests: the second call of
+   * `stop` resolved while the first was still waiting, and the program exits when `stop` resolves. In trials with
+   * seeded random signals 10 and 15 requests were broken off, each on a daemon that had been sent SIGTERM twice.
    */
-  it('a stop that is asked for again waits for the requests in hand too', async () => {
+  it('a repeated stop also waits for the open requests', async () => {
     await start((_request, socket) => {
       const answer = `HTTP/1.1 200 OK\r\nX-Attempt-Id: id1\r\n${SIGNED}Content-Length: 2\r\n\r\nok`;
       setTimeout(() => socket.write(answer), 1000);
     });
-    const answer = ask(site.callers, GET);
+    const answer = sendRequest(site.callers, GET);
     await new Promise((resolve) => setTimeout(resolve, 100));
     const stops = [site.daemon.stop(), site.daemon.stop()];
     const first = await Promise.race([answer, ...stops.map((stop) => stop.then(() => 'stopped'))]);
@@ -217,12 +220,12 @@
   });
 
   /*
-   * A stopping daemon ends at the latest moment that its grace allows. Requests that it had taken since it last
-   * looked, and connections that it had not accepted yet, were reset then, though none of them needed more than a
-   * refusal. What showed it: of callers that connect every 5 ms while the process is busy by turns, those of the last moment
-   * were closed or reset.
+   * Guards against resetting the last callers of a stop. A stopping daemon exits at the latest time that its grace
+   * period allows. Requests that it had received since its last check, and connections that it had not accepted yet,
+   * were reset then, although each only needed a refusal. With callers that connect every 5 ms while the process is
+   * intermittently busy, the last ones were closed or reset.
    */
-  it('callers of the last moment of a stop have an answer, or no connection', async () => {
+  it('the last callers of a stop get an answer, or no connection', async () => {
     await start(() => undefined);
     const [host, port] = site.callers.split(':');
     const idle = connect(Number(port), host);
@@ -231,19 +234,20 @@
     const callers = new Worker(CALLERS, { eval: true, workerData: { host, port: Number(port) } });
     const busy = setInterval(() => Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, 30), 45);
     await stopped;
-    // What follows in the program is the end of the process.
+    // The program would exit here; closing everything has the same effect on callers.
     await site.daemon.close();
     clearInterval(busy);
     idle.destroy();
     callers.postMessage('end');
     const [answers] = (await once(callers, 'message')) as [string[]];
     expect(answers.length).to.be.greaterThan(20);
-    const known = (answer: string): boolean => answer.startsWith('HTTP/1.1 503') || answer === 'ECONNREFUSED';
-    expect(answers.filter((answer) => !known(answer))).to.deep.equal([]);
+    const isRefusal = (answer: string): boolean =>
+      answer.startsWith('HTTP/1.1 503') || answer === 'ECONNREFUSED';
+    expect(answers.filter((answer) => !isRefusal(answer))).to.deep.equal([]);
   });
 });
 
-/** Callers outside this event loop, one each 5 ms, on connections of their own; tells how each was answered. */
+/** Callers in a thread of their own: one every 5 ms, each on a new connection. Reports how each was answered. */
 const CALLERS = `
 const { parentPort, workerData: { host, port } } = require('node:worker_threads');
 const { connect } = require('node:net');
@@ -263,7 +267,7 @@
 `;
 
 describe('an answer that has begun', () => {
-  it('is broken off, not answered a second time, when the request fails before the machine knew', async () => {
+  it('is aborted, not followed by a second answer, when the request fails before the state machine knows', async () => {
     const server = createServer((_request, response) => {
       const reply = new CallerReply(response, () => false, undefined);
       reply.head(200, ['X-Own', '1'], true);
@@ -272,7 +276,7 @@
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const { port } = server.address() as AddressInfo;
-    const answer = await ask(`127.0.0.1:${port}`, 'GET /a/x HTTP/1.1');
+    const answer = await sendRequest(`127.0.0.1:${port}`, 'GET /a/x HTTP/1.1');
     server.close();
     expect(answer.text).to.include('id: 1');
     expect(answer.text).not.to.match(/\r\n0\r\n\r\n$/);
--- a/test/kept-connections.test.ts
+++ b/test/kept-connections.test.ts
@@ -1,12 +1,11 @@
 /**
- * Callers keep their connections for as long as the last answer told them, and send their next request on one
- * within that time. A stopping daemon counted that time from the moment at which it closed its listener, not from
- * the end of the last answer that told it: an answer that had begun before the stop and ended 5 s after it left
- * its caller with a connection that was told to be kept for 5 s more, and the process ended at once. The next
- * request on it was reset, and its caller could not know whether it ran.
+ * Guards against a stopping daemon that closes keep-alive connections within the time advertised to their callers.
+ * The daemon counted that time from the closing of its listener instead of from the end of each response. A response
+ * that began before the stop and ended 5 s after it still advertised a reusable connection, but the process exited
+ * at once: the next request was reset, and its caller could not know whether it was executed.
  *
- * What showed it: the process ended some 7 s after SIGTERM, when the last of 60 answers did, though each had told
- * `Keep-Alive: timeout=5`; the callers, which rested 0 to 4 s, found their connections closed.
+ * Seen with 60 callers: the process exited about 7 s after SIGTERM, together with the last response, although each had
+ * advertised `Keep-Alive: timeout=5`; callers that were idle for 0 to 4 s found their connections closed.
  */
 import { expect } from 'chai';
 import { once } from 'node:events';
@@ -18,22 +17,22 @@
 
 const CALLERS = 60;
 const SEED = 52;
-/** The way between a caller and the daemon. Milliseconds. */
-const WAY_MS = 40;
-/** Tokens of the long answers; an engine gives one each 22 ms or so. */
+/** One-way latency between a caller and the daemon. Milliseconds. */
+const LATENCY_MS = 40;
+/** Tokens of the long answers; an engine generates one in about 22 ms. */
 const FEWEST_TOKENS = 320;
 const MOST_TOKENS = 385;
-/** The daemon is told to stop once the long answers have begun. Milliseconds. */
+/** The daemon is asked to stop after this time, when the long answers have begun. Milliseconds. */
 const STOP_AFTER_MS = 1400;
-/** A caller gives up a connection this long before the told time is over, as clients do. Milliseconds. */
+/** A caller stops reusing a connection this long before the advertised time is over, as clients do. Milliseconds. */
 const CALLER_MARGIN_MS = 1000;
 const END_OF_BODY = '0\r\n\r\n';
 
-/** Passes bytes, ends and resets on after `WAY_MS`, as a network does. */
+/** Forwards data, half-closes and resets after `LATENCY_MS`, as a network does. */
 function startRelay(target: string): Promise<Server> {
   const [host, port] = target.split(':');
-  const pass = (from: Socket, to: Socket): void => {
-    const later = (action: () => void): void => void setTimeout(action, WAY_MS);
+  const forward = (from: Socket, to: Socket): void => {
+    const later = (action: () => void): void => void setTimeout(action, LATENCY_MS);
     from.on('data', (bytes) => later(() => to.write(bytes)));
     from.on('end', () => later(() => to.end()));
     from.on('error', () => later(() => to.resetAndDestroy()));
@@ -41,13 +40,13 @@
   };
   const relay = createServer({ allowHalfOpen: true, noDelay: true }, (near) => {
     const far = connect({ host, port: Number(port), allowHalfOpen: true, noDelay: true });
-    pass(near, far);
-    pass(far, near);
+    forward(near, far);
+    forward(far, near);
   });
   return new Promise((resolve) => relay.listen(0, '127.0.0.1', () => resolve(relay)));
 }
 
-/** A caller with a connection of its own. */
+/** A caller with its own connection. */
 class Caller {
   private readonly socket: Socket;
   private received = '';
@@ -60,8 +59,8 @@
     this.socket.on('close', () => (this.failure ??= 'closed'));
   }
 
-  /** Sends a request and returns the whole answer, or why there is none. */
-  async ask(tokens: number): Promise<string> {
+  /** Sends a request and returns the complete answer, or the reason why there is none. */
+  async sendRequest(tokens: number): Promise<string> {
     this.received = '';
     const body = JSON.stringify({ model: 'eligibility', prompt: 'farm', max_tokens: tokens, stream: true });
     const head = `POST /v1/completions HTTP/1.1\r\nhost: a\r\ncontent-length: ${body.length}\r\n\r\n`;
@@ -78,24 +77,24 @@
   }
 }
 
-/** For how long an answer says that its connection is kept. Milliseconds; undefined when it is closed. */
-function getToldMs(answer: string): number | undefined {
-  const told = /^keep-alive: timeout=(\d+)/im.exec(answer);
-  return told ? Number(told[1]) * 1000 : undefined;
+/** How long a connection may be reused by its answer's header. Milliseconds; undefined when it is closed. */
+function getAdvertisedMs(answer: string): number | undefined {
+  const header = /^keep-alive: timeout=(\d+)/im.exec(answer);
+  return header ? Number(header[1]) * 1000 : undefined;
 }
 
-/** Asks for a long answer, and once more on the same connection within the time that it told. */
-async function askTwice(caller: Caller, random: SeededRandom): Promise<string> {
+/** Requests a long answer, and sends a second request on the same connection within the time advertised. */
+async function sendTwice(caller: Caller, random: SeededRandom): Promise<string> {
   const tokens = FEWEST_TOKENS + random.below(MOST_TOKENS - FEWEST_TOKENS);
-  const restShare = random.next();
-  const first = await caller.ask(tokens);
-  const toldMs = getToldMs(first);
-  if (!first.includes('[DONE]') || toldMs === undefined) return `first: ${first.slice(0, 200)}`;
-  await delay(restShare * (toldMs - CALLER_MARGIN_MS));
-  return (await caller.ask(3)).split('\r\n')[0];
+  const idleShare = random.next();
+  const first = await caller.sendRequest(tokens);
+  const advertisedMs = getAdvertisedMs(first);
+  if (!first.includes('[DONE]') || advertisedMs === undefined) return `first: ${first.slice(0, 200)}`;
+  await delay(idleShare * (advertisedMs - CALLER_MARGIN_MS));
+  return (await caller.sendRequest(3)).split('\r\n')[0];
 }
 
-describe('connections that callers keep', function () {
+describe('keep-alive connections of callers', function () {
   this.timeout(90_000);
   let site: LocalSite;
   let relay: Server;
@@ -112,13 +111,13 @@
   });
 
   /*
-   * A second SIGTERM ended a stopping daemon at once, with every request in hand: the second call of `stop` returned
-   * while the first was still waiting, and the program ends when `stop` returns.
+   * Guards against a second SIGTERM ending a stopping daemon at once, with its open requests: the second call of
+   * `stop` resolved while the first was still waiting, and the program exits when `stop` resolves.
    */
-  it('bring whole answers though the daemon is told to stop again and again', async () => {
+  it('carry complete answers although the daemon is asked to stop several times', async () => {
     const { port } = relay.address() as AddressInfo;
     const callers = Array.from({ length: 10 }, () => new Caller(port));
-    const asked = callers.map((caller) => caller.ask(100));
+    const pending = callers.map((caller) => caller.sendRequest(100));
     await delay(STOP_AFTER_MS);
     const { child } = site.daemons[0];
     const ended = once(child, 'exit');
@@ -126,22 +125,22 @@
       child.kill(signal);
       await delay(100);
     }
-    const answers = await Promise.all(asked);
+    const answers = await Promise.all(pending);
     callers.forEach((caller) => caller.close());
     expect(answers.filter((answer) => !answer.includes('[DONE]'))).to.deep.equal([]);
     expect((await ended)[0]).to.equal(0);
   });
 
-  it('of answers that end late in a stop bring further requests, and each is answered', async () => {
+  it('are reused after answers that end late in a stop, and each further request is answered', async () => {
     const { port } = relay.address() as AddressInfo;
     const random = new SeededRandom(SEED);
     const callers = Array.from({ length: CALLERS }, () => new Caller(port));
-    const asked = callers.map((caller) => askTwice(caller, random));
+    const pending = callers.map((caller) => sendTwice(caller, random));
     await delay(STOP_AFTER_MS);
     const { child } = site.daemons[0];
     child.kill('SIGTERM');
     const [code] = (await once(child, 'exit')) as [number | null];
-    const answers = await Promise.all(asked);
+    const answers = await Promise.all(pending);
     callers.forEach((caller) => caller.close());
     expect(answers).to.deep.equal(callers.map(() => 'HTTP/1.1 200 OK'));
     expect(code).to.equal(0);
--- a/test/ready-connections.test.ts
+++ b/test/ready-connections.test.ts
@@ -1,4 +1,4 @@
-/** A daemon that says it is ready takes new connections and serves what comes on them. */
+/** Tests that a daemon which reports ready accepts new connections and serves the requests on them. */
 import { connect, type Socket } from 'node:net';
 import { expect } from 'chai';
 import { labBackend, labRoute, startForwardingSite, type ForwardingSite } from '../lab/forwarding-site.js';
@@ -6,8 +6,8 @@
 import { checkPlatformSettings, processSettings } from '../platform/settings.js';
 
 const LIMIT = 60;
-/** Longer than a connection must rest before it gives way. Milliseconds. */
-const REST_MS = 300;
+/** Longer than a connection must be idle before it may be closed for a new one. Milliseconds. */
+const IDLE_MS = 300;
 const SIGNED = 'X-Server-Signature: s1\r\n';
 
 describe('a daemon that is ready', () => {
@@ -54,8 +54,8 @@
     return opened;
   }
 
-  /** Sends a request on a connection and gives the status; 0 when the connection is closed. */
-  function ask(socket: Socket, id: string): Promise<number> {
+  /** Sends a request on a connection and returns the status; 0 when the connection is closed. */
+  function sendRequest(socket: Socket, id: string): Promise<number> {
     return new Promise((resolve) => {
       socket.once('data', (bytes) => resolve(Number(bytes.toString('latin1').split(' ')[1])));
       socket.once('close', () => resolve(0));
@@ -67,67 +67,67 @@
 
   const isReady = async (): Promise<boolean> => (await fetch(`http://${site.ready}/ready`)).status === 200;
 
-  it('serves new connections while the old ones rest, however many there are', async () => {
+  it('serves new connections while old ones are idle, however many there are', async () => {
     await openMany(LIMIT);
-    await delay(REST_MS);
+    await delay(IDLE_MS);
     await openMany(LIMIT / 2);
     expect(await isReady()).to.equal(true);
     const statuses = await Promise.all(
-      (await openMany(20)).map((socket, index) => ask(socket, `new${index}`)),
+      (await openMany(20)).map((socket, index) => sendRequest(socket, `new${index}`)),
     );
     expect(statuses).to.deep.equal(Array.from({ length: 20 }, () => 200));
   });
 
-  it('closes no connection on which an answer is due to make room', async () => {
+  it('does not close a connection with a pending answer to accept a new one', async () => {
     const busy = await openMany(20);
-    const answers = busy.map((socket, index) => ask(socket, `held${index}`));
+    const answers = busy.map((socket, index) => sendRequest(socket, `held${index}`));
     await openMany(LIMIT - 20);
-    await delay(REST_MS);
+    await delay(IDLE_MS);
     await openMany(LIMIT / 2);
     for (const { socket, id } of held) answer(socket, id);
     expect(await Promise.all(answers)).to.deep.equal(Array.from({ length: 20 }, () => 200));
   });
 
-  it('is not ready while every connection that it may have is busy, and is again afterwards', async () => {
+  it('is not ready while all connections up to the limit are busy, and is ready again afterwards', async () => {
     const busy = await openMany(LIMIT);
-    const answers = busy.map((socket, index) => ask(socket, `held${index}`));
+    const answers = busy.map((socket, index) => sendRequest(socket, `held${index}`));
     for (let tries = 0; held.length < LIMIT && tries < 200; tries += 1) await delay(20);
     expect(await isReady()).to.equal(false);
     for (const { socket, id } of held) answer(socket, id);
     await Promise.all(answers);
-    await delay(REST_MS);
+    await delay(IDLE_MS);
     expect(await isReady()).to.equal(true);
-    expect(await ask(await open(), 'after')).to.equal(200);
+    expect(await sendRequest(await open(), 'after')).to.equal(200);
   });
 
-  it('takes a storm of connections, and says it is ready only when it does', async () => {
-    const storm = await Promise.all(
-      Array.from({ length: 600 }, async (_, index) => ask(await open(), `storm${index}`)),
+  it('accepts a burst of connections, and reports ready only while it accepts connections', async () => {
+    const burst = await Promise.all(
+      Array.from({ length: 600 }, async (_, index) => sendRequest(await open(), `burst${index}`)),
     );
-    expect(storm.filter((status) => status === 200).length).to.be.at.least(LIMIT);
-    await delay(REST_MS);
+    expect(burst.filter((status) => status === 200).length).to.be.at.least(LIMIT);
+    await delay(IDLE_MS);
     expect(await isReady()).to.equal(true);
-    expect(await ask(await open(), 'after')).to.equal(200);
+    expect(await sendRequest(await open(), 'after')).to.equal(200);
   });
 
-  it('is not ready once it drains, and still serves new connections', async () => {
+  it('is not ready while draining, and still serves new connections', async () => {
     const stopped = site.daemon.stop();
     await delay(50);
     expect(await isReady()).to.equal(false);
-    expect(await ask(await open(), 'late')).to.equal(200);
+    expect(await sendRequest(await open(), 'late')).to.equal(200);
     for (const socket of sockets) socket.destroy();
     await stopped;
   });
 
-  it('is ready after it stood still, and takes connections at once', async () => {
+  it('is ready after a process pause, and accepts connections at once', async () => {
     const until = performance.now() + 1500;
     while (performance.now() < until);
     expect(await isReady()).to.equal(true);
-    expect(await ask(await open(), 'after')).to.equal(200);
+    expect(await sendRequest(await open(), 'after')).to.equal(200);
   });
 });
 
-describe('connections that callers may have', () => {
+describe('the limit of caller connections', () => {
   const SETTINGS = `
 node = "n1"
 zone = "z"
@@ -150,13 +150,13 @@
 addr = "127.0.0.1:4"
 `;
 
-  it('leave descriptors for as many requests at servers, and for files', () => {
+  it('leaves file descriptors for one back-end connection per caller connection, and for files', () => {
     const settings = processSettings(checkPlatformSettings(`${SETTINGS}[limits]\nmax_fds = 4100\n`));
     expect(settings.maximumCallerConnections).to.equal(1755);
     expect(4100 - 200 - 2 * settings.maximumCallerConnections).to.be.greaterThan(300);
   });
 
-  it('are not bounded where nothing is said of descriptors', () => {
+  it('does not apply where the settings do not limit file descriptors', () => {
     expect(processSettings(checkPlatformSettings(SETTINGS)).maximumCallerConnections).to.equal(Infinity);
   });
 });
--- a/test/real-process.test.ts
+++ b/test/real-process.test.ts
@@ -1,4 +1,4 @@
-/** A few tests on real processes, with wide margins: signals, refused and silent connections, outages. */
+/** End-to-end tests with real processes and wide margins: signals, refused and silent connections, outages. */
 import { execFile } from 'node:child_process';
 import { createServer } from 'node:net';
 import { fileURLToPath } from 'node:url';
@@ -14,12 +14,12 @@
 const PROFILE = siteProfile('trust-tt-north');
 const PRODUCT = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
 const execute = promisify(execFile);
-/** A stopping daemon takes new connections for so long. Milliseconds; the default of the settings. */
-const NOTICE_MS = 2000;
-/** How long a daemon stands still as that time ends. Milliseconds. */
+/** How long a stopping daemon accepts new connections. Milliseconds; the default of the settings. */
+const DRAIN_NOTICE_MS = 2000;
+/** How long a daemon is paused around the end of that time. Milliseconds. */
 const PAUSE_MS = 600;
 
-function phase(seconds: number, perSecond: number): LoadPhase {
+function createPhase(seconds: number, perSecond: number): LoadPhase {
   const target = { firstTokenTargetMs: 30_000, betweenTokensTargetMs: 1000 };
   return {
     seconds,
@@ -40,7 +40,7 @@
   refused: string[];
 }
 
-function totals(load: LoadGenerator): Totals {
+function getTotals(load: LoadGenerator): Totals {
   const sum: Totals = { sent: 0, whole: 0, broken: 0, wrong: 0, unanswered: 0, refused: [] };
   for (const [service, result] of load.results) {
     sum.sent += result.sent;
@@ -53,7 +53,7 @@
   return sum;
 }
 
-async function executions(site: LocalSite): Promise<number[]> {
+async function readExecutionCounts(site: LocalSite): Promise<number[]> {
   const counts: number[] = [];
   for (const server of site.applications) {
     const { body } = await request(`http://${server.addresses.main}/executions`, { reset: true });
@@ -62,6 +62,7 @@
   return counts;
 }
 
+/** Runs the program and returns its exit code and output. */
 async function pulleyledge(...args: string[]): Promise<{ code: number; stdout: string; stderr: string }> {
   try {
     const { stdout, stderr } = await execute(process.execPath, [PRODUCT, ...args]);
@@ -72,7 +73,7 @@
   }
 }
 
-const pause = (milliseconds: number): Promise<void> =>
+const delay = (milliseconds: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, milliseconds));
 
 describe('real processes', function () {
@@ -87,15 +88,15 @@
   afterEach(() => site.stop());
 
   /*
-   * Once a request had no answer here. A stopping daemon closes its listener when its notice is over; connections
-   * that had come up since it last accepted any were reset then, with the requests that had been sent on them. It
-   * needs a daemon that gets no processor just then. What showed it: with each daemon paused from 1.7 to 2.3 s after
-   * its SIGTERM, 23 of 1,039 requests had ECONNRESET, each on a new connection that the daemon had never accepted, within
-   * some milliseconds of the listener's closing. Connections are accepted first now (`stopListening`).
+   * Guards against a stopping daemon that resets connections in its accept queue. It closes its listener when the
+   * drain notice is over; connections completed since it last accepted any were reset, with the requests sent on them,
+   * if the daemon got no CPU time just then. With each daemon paused from 1.7 to 2.3 s after its SIGTERM, 23 of 1,039
+   * requests failed with ECONNRESET, each on a connection that was never accepted, within some milliseconds of the
+   * listener's closing. `stopListening` now accepts these connections first.
    */
   it('a rolling restart by SIGTERM under load fails no request', async () => {
     const load = new LoadGenerator(site.callers(), new SeededRandom(1));
-    const running = load.run([phase(24, 8)]);
+    const running = load.run([createPhase(24, 8)]);
     for (let index = 0; index < site.daemons.length; index += 1) {
       const { child } = site.daemons[index];
       const ended = new Promise<number | null>((resolve) => child.once('exit', resolve));
@@ -104,30 +105,30 @@
       await site.waitReady([site.restartDaemon(index)]);
     }
     await running;
-    const { sent, ...sum } = totals(load);
+    const { sent, ...sum } = getTotals(load);
     expect(sum).to.deep.equal({ whole: sent, broken: 0, wrong: 0, unanswered: 0, refused: [] });
   });
 
-  it('a rolling restart of daemons that stand still as their notice ends fails no request', async () => {
+  it('a rolling restart of daemons that are paused as their drain notice ends fails no request', async () => {
     const load = new LoadGenerator(site.callers(), new SeededRandom(1));
-    const running = load.run([phase(24, 8)]);
+    const running = load.run([createPhase(24, 8)]);
     for (let index = 0; index < site.daemons.length; index += 1) {
       const { child } = site.daemons[index];
       const ended = new Promise<number | null>((resolve) => child.once('exit', resolve));
       child.kill('SIGTERM');
-      await pause(NOTICE_MS - PAUSE_MS / 2);
+      await delay(DRAIN_NOTICE_MS - PAUSE_MS / 2);
       child.kill('SIGSTOP');
-      await pause(PAUSE_MS);
+      await delay(PAUSE_MS);
       child.kill('SIGCONT');
       expect(await ended).to.equal(0);
       await site.waitReady([site.restartDaemon(index)]);
     }
     await running;
-    const { sent, ...sum } = totals(load);
+    const { sent, ...sum } = getTotals(load);
     expect(sum).to.deep.equal({ whole: sent, broken: 0, wrong: 0, unanswered: 0, refused: [] });
   });
 
-  it('a daemon that says that it is ready takes connections of callers', async () => {
+  it('a daemon that reports ready accepts connections of callers', async () => {
     for (let round = 0; round < 3; round += 1) {
       const { child } = site.daemons[0];
       const ended = new Promise((resolve) => child.once('exit', resolve));
@@ -145,21 +146,21 @@
     }
   });
 
-  it('SIGKILL of a daemon and SIGSTOP of another beyond its lease: no wrong answer, nothing run twice', async () => {
+  it('SIGKILL of a daemon and SIGSTOP of another beyond its lease: no wrong answer, nothing executed twice', async () => {
     const load = new LoadGenerator(site.callers(), new SeededRandom(2));
-    const running = load.run([phase(20, 6)]);
-    await pause(2000);
+    const running = load.run([createPhase(20, 6)]);
+    await delay(2000);
     site.daemons[0].child.kill('SIGKILL');
-    await pause(1000);
+    await delay(1000);
     site.daemons[1].child.kill('SIGSTOP');
-    await pause(9000);
+    await delay(9000);
     site.daemons[1].child.kill('SIGCONT');
     await site.waitReady([site.restartDaemon(0)]);
     await running;
-    const sum = totals(load);
+    const sum = getTotals(load);
     expect(sum.wrong).to.equal(0);
     expect(sum.whole).to.be.greaterThan(sum.sent / 3);
-    expect(Math.max(...(await executions(site)))).to.equal(1);
+    expect(Math.max(...(await readExecutionCounts(site)))).to.equal(1);
     const statuses = await Promise.all(
       site.daemons.map((daemon) => new OperatorClient(daemon.addresses.operator).getStatus()),
     );
@@ -168,24 +169,24 @@
     ).to.be.at.most(1);
   });
 
-  it('a platform outage: completions go on, calls that may run once are refused truthfully', async () => {
+  it('a platform outage: completions continue, calls that may be executed only once are refused and not executed', async () => {
     await site.setFaults(site.platform, { down: true });
-    await pause(13_000);
+    await delay(13_000);
     const load = new LoadGenerator(site.callers(), new SeededRandom(3));
-    await load.run([phase(5, 8)]);
+    await load.run([createPhase(5, 8)]);
     expect(load.result('eligibility').whole).to.equal(load.result('eligibility').sent);
     const calls = load.result('confirmation');
     expect(calls.whole).to.equal(0);
     expect(calls.refused.get('ledger-unavailable')).to.equal(calls.sent);
-    expect(await executions(site)).to.deep.equal([]);
+    expect(await readExecutionCounts(site)).to.deep.equal([]);
     await site.setFaults(site.platform, { down: false });
-    await pause(3000);
+    await delay(3000);
     const after = new LoadGenerator(site.callers(), new SeededRandom(4));
-    await after.run([phase(3, 8)]);
+    await after.run([createPhase(3, 8)]);
     expect(after.result('confirmation').whole).to.equal(after.result('confirmation').sent);
   });
 
-  it('a refused and a silent engine: requests go elsewhere', async () => {
+  it('an engine that refuses connections and one that is silent: requests go to another engine', async () => {
     const silent = createServer(() => undefined);
     await new Promise<void>((resolve) => silent.listen(0, '127.0.0.1', resolve));
     const { port } = silent.address() as { port: number };
@@ -198,24 +199,24 @@
       cell: PROFILE.name,
       state: 'live',
     });
-    await pause(2500);
+    await delay(2500);
     const load = new LoadGenerator(site.callers(), new SeededRandom(5));
-    await load.run([phase(5, 8)]);
+    await load.run([createPhase(5, 8)]);
     silent.close();
-    const sum = totals(load);
+    const sum = getTotals(load);
     expect(sum.whole).to.equal(sum.sent);
   });
 
-  it('operators edit the table: a change is in force at every daemon, the loser of a race sees both values', async () => {
+  it('operators edit the table: a change takes effect at every daemon, a conflicting edit fails showing both values', async () => {
     const operator = site.daemons[0].addresses.operator;
     const edited = await pulleyledge('services', 'set', 'eligibility', 'weight=7', '--operator', operator);
     expect(edited.code, edited.stderr).to.equal(0);
-    await pause(5000);
+    await delay(5000);
     for (const daemon of site.daemons) {
       const { services } = await new OperatorClient(daemon.addresses.operator).getServices();
       expect(services.find((entry) => entry.name === 'eligibility')?.row?.weight).to.equal(7);
     }
-    const loser = await pulleyledge(
+    const conflicting = await pulleyledge(
       'services',
       'set',
       'eligibility',
@@ -225,14 +226,24 @@
       '--operator',
       operator,
     );
-    expect(loser.code).to.equal(3);
-    expect(loser.stderr).to.include('"weight": 7').and.to.include('"weight": 9');
-    const bad = await pulleyledge('services', 'set', 'eligibility', 'weight=heavy', '--operator', operator);
-    expect(bad.code).to.equal(1);
-    expect(bad.stderr).to.include('eligibility').and.to.include('weight').and.to.include('0.001 to 1000');
+    expect(conflicting.code).to.equal(3);
+    expect(conflicting.stderr).to.include('"weight": 7').and.to.include('"weight": 9');
+    const invalidValue = await pulleyledge(
+      'services',
+      'set',
+      'eligibility',
+      'weight=heavy',
+      '--operator',
+      operator,
+    );
+    expect(invalidValue.code).to.equal(1);
+    expect(invalidValue.stderr)
+      .to.include('eligibility')
+      .and.to.include('weight')
+      .and.to.include('0.001 to 1000');
   });
 
-  it('a caller that goes away frees its engine', async () => {
+  it('a caller that disconnects frees its engine', async () => {
     const abort = new AbortController();
     const body = JSON.stringify({
       model: 'eligibility',
@@ -246,7 +257,7 @@
       signal: abort.signal,
     });
     answer.body.on('error', () => undefined);
-    await pause(1000);
+    await delay(1000);
     abort.abort();
     await site.waitFor(async () => {
       const { requests, engines } = await new OperatorClient(site.daemons[0].addresses.operator).getStatus();
--- a/test/reload-signal.test.ts
+++ b/test/reload-signal.test.ts
@@ -1,7 +1,7 @@
 /**
- * SIGHUP says that the settings file has changed. A daemon of the completions interface did not listen for it, so
- * the signal's default ended the process, and every request that it had in hand with it. What showed it: a ready
- * daemon that was sent one SIGHUP ended by that signal, at once, with no line in its log.
+ * Guards against SIGHUP, which announces a changed settings file, ending a daemon. A completion daemon had no handler
+ * for it, so the signal's default action ended the process with all its open requests. A ready daemon that was sent
+ * one SIGHUP was terminated by it at once, without a log line.
  */
 import { expect } from 'chai';
 import { spawn } from 'node:child_process';
@@ -16,7 +16,7 @@
 const PRODUCT = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
 const SIGNALS = 8;
 const SIGNAL_INTERVAL_MS = 250;
-/** Says when the commands begin to load, and holds them up: a slow start. */
+/** A module loader that reports when the commands start to load, and delays them to simulate a slow start. */
 const SLOW_LOADER = `export async function load(url, context, next) {
   if (url.endsWith('/commands.js')) {
     process._rawDebug('loading');
@@ -36,7 +36,7 @@
 
   afterEach(() => site?.stop());
 
-  it('serves on through a series of SIGHUP, with valid and with wrong settings', async () => {
+  it('keeps serving through a series of SIGHUP, with valid and with invalid settings', async () => {
     site = new LocalSite(siteProfile('trust-tt-north'), { engines: 2, daemons: 1, applications: 1 });
     await site.start();
     const targets = { firstTokenTargetMs: 30_000, betweenTokensTargetMs: 1000 };
@@ -72,7 +72,7 @@
     ]);
   });
 
-  it('is not ended by SIGHUP while it loads', async () => {
+  it('is not ended by SIGHUP while it is loading', async () => {
     const register = `import { register } from 'node:module'; register(${JSON.stringify(toDataUrl(SLOW_LOADER))});`;
     const flags = ['--import', toDataUrl(register), PRODUCT, 'serve', '--settings', 'no-such-file'];
     const child = spawn(process.execPath, flags, { stdio: ['ignore', 'ignore', 'pipe'] });
--- a/test/stop-listening.test.ts
+++ b/test/stop-listening.test.ts
@@ -1,6 +1,6 @@
 /**
- * A caller whose connection had come up, but was not accepted yet, was reset when a stopping daemon closed its
- * listener, and had no answer to its request.
+ * Guards against a stopping daemon that closes its listener while established connections still wait in the accept
+ * queue: these were reset, and their callers got no answer.
  */
 import { expect } from 'chai';
 import { createServer, type Server } from 'node:http';
@@ -13,7 +13,7 @@
 
 const CALLERS = 20;
 
-/** What a caller gets that connects and sends at once: the first line of an answer, or the error. */
+/** Connects and sends a request at once. Returns the first line of the answer, or the error. */
 function call(port: number): Promise<string> {
   return new Promise((resolve) => {
     const socket = connect(port, '127.0.0.1');
@@ -31,8 +31,8 @@
   return server;
 }
 
-describe('a server that closes the connections that callers keep', () => {
-  it('answers all requests that were sent on one without waiting, and tells to close with the last answer', async () => {
+describe('a server that closes its keep-alive connections', () => {
+  it('answers all pipelined requests of a connection, and announces the close with the last answer', async () => {
     const server = createServer((_request, response) => void setTimeout(() => response.end('here'), 50));
     const connections = new KeepAliveConnections(server);
     server.listen(0, '127.0.0.1');
@@ -49,17 +49,17 @@
     expect(text.match(/HTTP\/1.1 200 OK/g)).to.have.length(3);
     expect(text.match(/connection: close/gi)).to.have.length(1);
     expect({
-      due: connections.hasPendingResponses(),
-      expected: connections.getReusableCount(),
+      pending: connections.hasPendingResponses(),
+      reusable: connections.getReusableCount(),
     }).to.deep.equal({
-      due: false,
-      expected: 0,
+      pending: false,
+      reusable: 0,
     });
     server.close();
   });
 });
 
-/** A caller outside this event loop: tells that it has begun, connects a little later, and tells what it got. */
+/** A caller in a thread of its own: reports that it has begun, connects a little later, and reports its answer. */
 const LATE_CALLER = `
 const { parentPort, workerData: { port, afterMs } } = require('node:worker_threads');
 parentPort.once('message', () => {
@@ -79,12 +79,12 @@
 
 describe('a server that stops listening', () => {
   /*
-   * A connection that came up while the process was busy, after it had last looked for any and before it closed its
-   * listener, was reset: the turn of the event loop in which nothing was accepted may have been a long one. What showed
-   * it: a rolling restart with pauses at load 31, one of 354 requests had ECONNRESET on a new connection, 7 ms after it was
-   * sent; one of 16 runs.
+   * Guards against resetting a connection that was established while the process was busy, between its last poll for
+   * connections and the closing of its listener: the turn of the event loop in which nothing was accepted may have
+   * been a long one. In one of 16 runs of a rolling restart with pauses at load 31, one of 354 requests failed with
+   * ECONNRESET on a new connection, 7 ms after it was sent.
    */
-  it('answers a caller that connects during its last, busy turn', async () => {
+  it('answers a caller that connects during a long last turn of the event loop', async () => {
     const server = await startServer();
     const { port } = server.address() as AddressInfo;
     const caller = new Worker(LATE_CALLER, { eval: true, workerData: { port, afterMs: 40 } });
@@ -96,17 +96,17 @@
       });
     });
     caller.postMessage('begin');
-    // By the end of this the caller's message is there, and is handled in the first turn of the next call.
+    // By the end of this the caller's message has arrived; it is handled in the first turn of `stopListening`.
     block(20);
     await stopListening(server);
     expect(await answered).to.equal('HTTP/1.1 200 OK');
     await caller.terminate();
   });
 
-  it('answers callers that had connected before, and takes no new ones', async () => {
+  it('answers callers that had connected before, and accepts no new ones', async () => {
     const server = await startServer();
     const { port } = server.address() as AddressInfo;
-    // A timer, as in a process that waits before it stops: what has come up since is not accepted yet.
+    // A timer, as in a process that waits before it stops: connections established since are not accepted yet.
     await delay(5);
     const calls = Array.from({ length: CALLERS }, () => call(port));
     // The sockets connect in the next tick.
