--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,6 +1,7 @@
 /**
- * The commands of `pulleyledge`: parses the command line, runs one command, and sets the exit code. Relies on every
- * expected failure being a PulleyledgeError; any other error is a defect and ends the process with its stack trace.
+ * The commands of `pulleyledge`: parses the command line, runs one command, and sets the exit code. Relies on
+ * every expected failure being a PulleyledgeError; any other error is a defect and ends the process with its
+ * stack trace.
  */
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -1,8 +1,9 @@
 /**
- * `pulleyledge explain`: the timeline of one request across daemons, from their logs. It shows the request's lines
- * and the preceding state changes that concern the back ends involved, for each daemon that handled the request.
- * A daemon's lines are ordered by its monotonic clock, which does not jump; daemons are ordered by the time of day of
- * their first line on the request. Owns no state. Relies on the log format of `process/decision-log.ts`.
+ * `pulleyledge explain`: the timeline of one request across daemons, from their logs. It shows the request's
+ * lines and the preceding state changes that concern the back ends involved, for each daemon that handled the
+ * request. A daemon's lines are ordered by its monotonic clock, which does not jump; daemons are ordered by
+ * the time of day of their first line on the request. Owns no state. Relies on the log format of
+ * `process/decision-log.ts`.
  */
 import { NotFoundError } from '../errors/index.js';
 import { parseJson } from '../shared/json.js';
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,8 +1,9 @@
 #!/usr/bin/env node
 /**
- * The entry point of the command line. `serve` installs a SIGHUP handler before anything else is loaded: the signal
- * announces changed settings, and its default action would end the daemon. The settings are read later, so a signal
- * during startup needs no further handling. Other commands keep the default and end with their terminal.
+ * The entry point of the command line. `serve` installs a SIGHUP handler before anything else is loaded: the
+ * signal announces changed settings, and its default action would end the daemon. The settings are read
+ * later, so a signal during startup needs no further handling. Other commands keep the default and end with
+ * their terminal.
  */
 if (process.argv[2] === 'serve') process.on('SIGHUP', () => undefined);
 
--- a/src/cli/services-command.ts
+++ b/src/cli/services-command.ts
@@ -19,8 +19,8 @@
 
 /**
  * Runs one services command and returns the text to print.
- * @throws ValidationError on invalid arguments; RowInvalidError on an invalid value; UnknownServiceError; any error
- * of the client.
+ * @throws ValidationError on invalid arguments; RowInvalidError on an invalid value; UnknownServiceError; any
+ * error of the client.
  */
 export async function runServicesCommand(
   client: OperatorClient,
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -12,7 +12,10 @@
   | { readonly address: string; readonly status: CompletionDaemonStatus }
   | { readonly address: string; readonly error: PulleyledgeError };
 
-/** Reads the status of each daemon and returns the text to print; unreachable daemons are listed with their error. */
+/**
+ * Reads the status of each daemon and returns the text to print; unreachable daemons are listed with their
+ * error.
+ */
 export async function runStatusCommand(addresses: readonly string[], json: boolean): Promise<string> {
   const answers = await Promise.all(addresses.map(readStatus));
   if (json) {
--- a/src/gateway/after-next-poll.ts
+++ b/src/gateway/after-next-poll.ts
@@ -1,6 +1,6 @@
 /**
- * Defers a decision until the sockets have been polled again, so that data which arrived while this process was
- * busy or paused is seen first. Owns no state. Relies on the order of the event loop's phases in Node.js.
+ * Defers a decision until the sockets have been polled again, so that data which arrived while this process
+ * was busy or paused is seen first. Owns no state. Relies on the order of the event loop's phases in Node.js.
  */
 import type { Socket } from 'node:net';
 
@@ -14,8 +14,9 @@
 }
 
 /**
- * Closes a connection whose idle timeout has expired, unless data has arrived on it. Node.js itself closes such
- * a connection without reading it first, which after a process pause resets a request that was sent in time.
+ * Closes a connection whose idle timeout has expired, unless data has arrived on it. Node.js itself closes
+ * such a connection without reading it first, which after a process pause resets a request that was sent in
+ * time.
  */
 export function closeIfIdle(socket: Socket): void {
   const { bytesRead } = socket;
--- a/src/gateway/forward-server.ts
+++ b/src/gateway/forward-server.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP server that callers of forwarded requests connect to. It reads each request completely and passes it
- * to a handler together with the reply to write to. Owns the callers' connections: how many are open, which are
- * idle, and which idle ones are closed to accept new ones.
+ * The HTTP server that callers of forwarded requests connect to. It reads each request completely and passes
+ * it to a handler together with the reply to write to. Owns the callers' connections: how many are open,
+ * which are idle, and which idle ones are closed to accept new ones.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -46,8 +46,8 @@
  */
 const MAXIMUM_HEADER_BYTES = 64 * 1024;
 /**
- * Interval between checks for connections over their time limits. Milliseconds; short compared with the limits'
- * defaults of 3 and 15 s.
+ * Interval between checks for connections over their time limits. Milliseconds; short compared with the
+ * limits' defaults of 3 and 15 s.
  */
 const KEEP_ALIVE_CHECK_MS = 1000;
 /** Body limit until a configuration is known. Bytes; the configuration's default. */
@@ -178,8 +178,8 @@
     private readonly handler: ForwardHandler,
     private readonly clock: () => number,
     /**
-     * Connections that callers may have open at once: the file descriptors that the process may open, less those
-     * it needs for back ends and peers.
+     * Connections that callers may have open at once: the file descriptors that the process may open, less
+     * those it needs for back ends and peers.
      */
     private readonly maximumConnections = Infinity,
   ) {
@@ -214,8 +214,8 @@
   }
 
   /**
-   * Stops listening for new connections. Those that wait in the accept queue are accepted first, for `timeoutMs`
-   * milliseconds at most.
+   * Stops listening for new connections. Those that wait in the accept queue are accepted first, for
+   * `timeoutMs` milliseconds at most.
    */
   stopListening(timeoutMs: number): Promise<void> {
     return stopListening(this.server, timeoutMs);
@@ -232,7 +232,9 @@
     return this.connections.size;
   }
 
-  /** Whether a new connection would be served: the limit is not reached, or an idle connection can be closed. */
+  /**
+   * Whether a new connection would be served: the limit is not reached, or an idle connection can be closed.
+   */
   hasCapacity(): boolean {
     return this.connections.size < this.maximumConnections || this.findLongestIdle() !== undefined;
   }
@@ -244,9 +246,10 @@
   }
 
   /**
-   * Tracks a connection and detects when its caller disconnects. Node.js emits 'close' only on the response being
-   * written; pipelined requests behind it would be worked on with nobody waiting for them. A caller that
-   * half-closes is treated as disconnected: a closed connection looks the same until something is written.
+   * Tracks a connection and detects when its caller disconnects. Node.js emits 'close' only on the response
+   * being written; pipelined requests behind it would be worked on with nobody waiting for them. A caller
+   * that half-closes is treated as disconnected: a closed connection looks the same until something is
+   * written.
    */
   private onConnection(socket: Socket): void {
     if (!this.reserveConnection()) {
@@ -266,8 +269,9 @@
   }
 
   /**
-   * At the limit, the longest idle connection is closed in favor of a new one. Without a limit the process could
-   * run out of file descriptors and would then accept nothing at all. Returns whether the new one may stay.
+   * At the limit, the longest idle connection is closed in favor of a new one. Without a limit the process
+   * could run out of file descriptors and would then accept nothing at all. Returns whether the new one may
+   * stay.
    */
   private reserveConnection(): boolean {
     if (this.connections.size < this.maximumConnections) return true;
@@ -279,8 +283,8 @@
   }
 
   /**
-   * Closes an idle connection in favor of a new one, unless a request has arrived on it: one that waited in the
-   * socket while this process was busy has been read by now.
+   * Closes an idle connection in favor of a new one, unless a request has arrived on it: one that waited in
+   * the socket while this process was busy has been read by now.
    */
   private closeIfStillIdle(socket: Socket): void {
     if ((this.connections.get(socket)?.size ?? 0) > 0 || this.idle.has(socket)) return;
@@ -345,7 +349,9 @@
   }
 }
 
-/** Only the last reply of a connection may close it: closing earlier would cut replies to pipelined requests. */
+/**
+ * Only the last reply of a connection may close it: closing earlier would cut replies to pipelined requests.
+ */
 function isLast(replies: ReadonlySet<CallerReply> | undefined, reply: CallerReply): boolean {
   return replies === undefined || [...replies].pop() === reply;
 }
--- a/src/gateway/kept-connections.ts
+++ b/src/gateway/kept-connections.ts
@@ -13,8 +13,9 @@
 /** How long a connection may be reused after a response, as advertised to the caller. Milliseconds. */
 const ADVERTISED_IDLE_MS = 5 * SECOND_MS;
 /**
- * A connection stays open this much longer than advertised, to cover the network latency of the response and of
- * the next request. Milliseconds; under a second, so that rounding down keeps it out of the advertised value.
+ * A connection stays open this much longer than advertised, to cover the network latency of the response and
+ * of the next request. Milliseconds; under a second, so that rounding down keeps it out of the advertised
+ * value.
  */
 const LATENCY_MARGIN_MS = 900;
 
--- a/src/gateway/read-body.ts
+++ b/src/gateway/read-body.ts
@@ -5,8 +5,8 @@
 
 /**
  * Reads the complete body.
- * @throws PayloadTooLargeError when it is longer than `limitBytes`; ValidationError when the caller disconnects
- * before its end.
+ * @throws PayloadTooLargeError when it is longer than `limitBytes`; ValidationError when the caller
+ * disconnects before its end.
  */
 export async function readBody(message: IncomingMessage, limitBytes: number): Promise<Buffer> {
   const chunks: Buffer[] = [];
--- a/src/gateway/reply-sink.ts
+++ b/src/gateway/reply-sink.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the answer of a completion to its caller, as server-sent events or as one JSON document. Each sink owns
- * the response to one request.
+ * Writes the answer of a completion to its caller, as server-sent events or as one JSON document. Each sink
+ * owns the response to one request.
  */
 import type { ServerResponse } from 'node:http';
 import type { PulleyledgeError } from '../errors/index.js';
@@ -66,7 +66,10 @@
   }
 }
 
-/** Buffers the answer until it is complete; a failed one becomes a problem document, so it never looks complete. */
+/**
+ * Buffers the answer until it is complete; a failed one becomes a problem document, so it never looks
+ * complete.
+ */
 export class BufferedReply implements ReplySink {
   private readonly texts: string[] = [];
 
--- a/src/process/completion-actors.ts
+++ b/src/process/completion-actors.ts
@@ -1,7 +1,7 @@
 /**
  * The actors of a completion daemon's process. One runs the state machine; each of the others performs the
- * machine's effects on one external system and sends the results back as events. Owns the functions that cancel
- * the attempts in progress. Relies on adapters whose promises never reject.
+ * machine's effects on one external system and sends the results back as events. Owns the functions that
+ * cancel the attempts in progress. Relies on adapters whose promises never reject.
  */
 import nact, { type Ref } from 'nact';
 import type { ApplicationClient, ApplicationPayload } from '../adapters/application-client.js';
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -1,6 +1,7 @@
 /**
- * The process of a completion daemon: the servers, adapters and actors around its state machine, and the graceful
- * stop. Owns the sockets, the timers and the open requests. Relies on the state machine for all decisions.
+ * The process of a completion daemon: the servers, adapters and actors around its state machine, and the
+ * graceful stop. Owns the sockets, the timers and the open requests. Relies on the state machine for all
+ * decisions.
  */
 import type { Server } from 'node:http';
 import { pino, type Logger } from 'pino';
@@ -115,7 +116,8 @@
   }
 
   /**
-   * Starts to listen for callers only once the daemon knows the configuration, so that a restart refuses no request.
+   * Starts to listen for callers only once the daemon knows the configuration, so that a restart refuses no
+   * request.
    */
   private async startListeningWhenReady(): Promise<void> {
     while (!this.stopping && !this.daemon.readiness(performance.now()).ready) await delay(READY_POLL_MS);
@@ -131,9 +133,9 @@
 
   /**
    * Stops without breaking off a request: hands over leases, limits and membership, accepts new requests for
-   * `drainNoticeMs`, closes the listener, and resolves when the last request is answered and no caller may still
-   * reuse a keep-alive connection by the time advertised to it. A further call returns the same promise and so
-   * resolves no sooner: the program exits when a call resolves.
+   * `drainNoticeMs`, closes the listener, and resolves when the last request is answered and no caller may
+   * still reuse a keep-alive connection by the time advertised to it. A further call returns the same promise
+   * and so resolves no sooner: the program exits when a call resolves.
    */
   stop(): Promise<void> {
     this.stopped ??= this.stopGracefully();
@@ -217,8 +219,8 @@
   }
 
   /**
-   * Reports not ready until callers can connect: the listener opens up to READY_POLL_MS after the daemon is ready,
-   * and callers routed here in between had their connections refused.
+   * Reports not ready until callers can connect: the listener opens up to READY_POLL_MS after the daemon is
+   * ready, and callers routed here in between had their connections refused.
    */
   private getStatus(): CompletionDaemonStatus {
     const status = this.daemon.status(performance.now());
@@ -328,8 +330,8 @@
 }
 
 /**
- * Checks `condition` until it holds or `timeoutMs` have passed. Sockets are polled before each check: the process
- * may have been paused, and exiting without reading them would reset requests that were sent in time.
+ * Checks `condition` until it holds or `timeoutMs` have passed. Sockets are polled before each check: the
+ * process may have been paused, and exiting without reading them would reset requests that were sent in time.
  */
 async function waitUntil(condition: () => boolean, timeoutMs: number): Promise<void> {
   const deadline = performance.now() + timeoutMs;
--- a/src/process/daemon-identity.ts
+++ b/src/process/daemon-identity.ts
@@ -1,6 +1,7 @@
 /**
- * Creates the identity of a daemon process: an id that is new at each start, a seeded random generator, and the
- * peer addresses through which it joins the fleet. Owns no state. Relies on the system clock and the process id.
+ * Creates the identity of a daemon process: an id that is new at each start, a seeded random generator, and
+ * the peer addresses through which it joins the fleet. Owns no state. Relies on the system clock and the
+ * process id.
  */
 import { SeededRandom } from '../shared/random.js';
 
--- a/src/process/decision-log.ts
+++ b/src/process/decision-log.ts
@@ -1,7 +1,7 @@
 /**
- * The decision log: structured lines, bounded in number per second. Under load, the lines of a request are kept or
- * dropped together, sampled by the request's id; failures and changes of state take precedence. Owns the sampling
- * rate and the counts of dropped lines. Relies on a destination stream that does not block.
+ * The decision log: structured lines, bounded in number per second. Under load, the lines of a request are
+ * kept or dropped together, sampled by the request's id; failures and changes of state take precedence. Owns
+ * the sampling rate and the counts of dropped lines. Relies on a destination stream that does not block.
  */
 import { pino, type DestinationStream, type Logger } from 'pino';
 import { hashText } from '../shared/rendezvous-hash.js';
@@ -9,7 +9,9 @@
 
 /** Limits of the log's volume. */
 export interface DecisionLogSettings {
-  /** Request lines per second up to which every request is logged; above, requests are sampled. Default 150. */
+  /**
+   * Request lines per second up to which every request is logged; above, requests are sampled. Default 150.
+   */
   readonly linesPerSecond: number;
   /**
    * Maximum of lines per second, including failures and changes of state, for which the last two fifths are
@@ -64,7 +66,9 @@
     else this.addDroppedLine();
   }
 
-  /** Logs a failure of a request, a change of state, or a step of the process: dropped only above the maximum. */
+  /**
+   * Logs a failure of a request, a change of state, or a step of the process: dropped only above the maximum.
+   */
   writeImportantEvent(event: string, fields: Readonly<Record<string, unknown>>): void {
     this.startWindowWhenDue();
     if (this.writtenLines < this.settings.maximumLinesPerSecond) this.write(event, fields);
--- a/src/process/forwarding-metrics.ts
+++ b/src/process/forwarding-metrics.ts
@@ -1,6 +1,6 @@
 /**
- * The Prometheus metrics of a forwarding daemon's process. Owns the process's registry. The number of label values
- * is bounded.
+ * The Prometheus metrics of a forwarding daemon's process. Owns the process's registry. The number of label
+ * values is bounded.
  */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import type { ChangeEffect } from '../daemon/change-log.js';
--- a/src/process/forwarding-process-settings.ts
+++ b/src/process/forwarding-process-settings.ts
@@ -1,6 +1,6 @@
 /**
- * The settings of a forwarding daemon's process. `platform/settings.ts` reads them from the platform's settings
- * file. Declares types only.
+ * The settings of a forwarding daemon's process. `platform/settings.ts` reads them from the platform's
+ * settings file. Declares types only.
  */
 import type { ForwardingDaemonSettings } from '../daemon/forwarding-daemon-settings.js';
 import type { DaemonPlacement } from './daemon-identity.js';
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -1,6 +1,7 @@
 /**
  * The process of a forwarding daemon: the servers, adapters and the actor around its state machine, and the
- * graceful stop. Owns the sockets, the timers and the log stream. Relies on the state machine for all decisions.
+ * graceful stop. Owns the sockets, the timers and the log stream. Relies on the state machine for all
+ * decisions.
  */
 import type { Server } from 'node:http';
 import nact, { type Ref } from 'nact';
@@ -31,8 +32,8 @@
 }
 
 /**
- * Interval between ticks while no request is open. Milliseconds; under half of the gap that counts as a process
- * pause.
+ * Interval between ticks while no request is open. Milliseconds; under half of the gap that counts as a
+ * process pause.
  */
 const IDLE_TICK_MS = 100;
 
@@ -49,20 +50,20 @@
 };
 
 /**
- * Interval at which a stopping process checks for open requests and connections. Milliseconds; short compared with
- * the grace period.
+ * Interval at which a stopping process checks for open requests and connections. Milliseconds; short compared
+ * with the grace period.
  */
 const DRAIN_POLL_MS = 50;
 /**
- * A stopping process serves new requests for this duration, because callers are routed here until the platform has
- * noticed that it is not ready; later requests are refused. Milliseconds.
+ * A stopping process serves new requests for this duration, because callers are routed here until the
+ * platform has noticed that it is not ready; later requests are refused. Milliseconds.
  */
 const DRAIN_NOTICE_MS = 2800;
 /** Reserved at the end of the grace period, so that the process exits before it is killed. Milliseconds. */
 const STOP_MARGIN_MS = 700;
 /**
- * How long a stopping process accepts the connections left in the accept queue, and then waits for the replies to
- * their requests. Milliseconds; the sum is within STOP_MARGIN_MS.
+ * How long a stopping process accepts the connections left in the accept queue, and then waits for the
+ * replies to their requests. Milliseconds; the sum is within STOP_MARGIN_MS.
  */
 const FINAL_ACCEPT_MS = 300;
 const FINAL_ANSWER_MS = 200;
@@ -70,7 +71,10 @@
 const FINAL_POLL_MS = 5;
 /** Log lines are buffered and written in chunks of at least this size. Bytes; a memory page. */
 const LOG_BUFFER_BYTES = 4096;
-/** Interval between flushes of the log: a process that is killed loses the lines since the last one. Milliseconds. */
+/**
+ * Interval between flushes of the log: a process that is killed loses the lines since the last one.
+ * Milliseconds.
+ */
 const LOG_FLUSH_MS = 500;
 /** Log lines that cannot be written are buffered up to this size; further lines are dropped. Bytes. */
 const MAXIMUM_LOG_BYTES = 1024 * 1024;
@@ -187,8 +191,8 @@
   }
 
   /**
-   * Stops without breaking off a request, within the grace period. A further call returns the same promise and so
-   * resolves no sooner: the program exits when a call resolves.
+   * Stops without breaking off a request, within the grace period. A further call returns the same promise
+   * and so resolves no sooner: the program exits when a call resolves.
    */
   stop(): Promise<void> {
     this.stopped ??= this.stopGracefully();
@@ -221,8 +225,8 @@
   }
 
   /**
-   * Refuses the requests of callers that have connected, or sent a request, since the last check. The exit of the
-   * process would reset their connections, and they could not know whether their requests were executed.
+   * Refuses the requests of callers that have connected, or sent a request, since the last check. The exit of
+   * the process would reset their connections, and they could not know whether their requests were executed.
    */
   private async waitForFinalRequests(): Promise<void> {
     await this.server.stopListening(FINAL_ACCEPT_MS);
@@ -250,7 +254,8 @@
   }
 
   /**
-   * Sends a tick and schedules the next one: sooner while requests are open, as only these have short deadlines.
+   * Sends a tick and schedules the next one: sooner while requests are open, as only these have short
+   * deadlines.
    */
   private tick(): void {
     this.send({ kind: 'tick', wallMs: Date.now() });
--- a/src/process/open-requests.ts
+++ b/src/process/open-requests.ts
@@ -1,7 +1,7 @@
 /**
- * The callers' requests that this process has accepted and not yet answered. Owns the content and the reply of each
- * of them, on behalf of the state machine, which identifies a request by its id only. A caller that disconnects is
- * reported as a cancellation.
+ * The callers' requests that this process has accepted and not yet answered. Owns the content and the reply
+ * of each of them, on behalf of the state machine, which identifies a request by its id only. A caller that
+ * disconnects is reported as a cancellation.
  */
 import type { BackendClient, CallerRequest } from '../adapters/backend-client.js';
 import type { BackendDialect } from '../adapters/backend-dialect.js';
--- a/src/process/outside-calls.ts
+++ b/src/process/outside-calls.ts
@@ -1,7 +1,7 @@
 /**
- * Performs the effects of a forwarding daemon's state machine that are calls to external systems, and sends the
- * results back as events. Owns no state. Relies on adapters whose promises never reject: a call without an answer
- * has a result of its own.
+ * Performs the effects of a forwarding daemon's state machine that are calls to external systems, and sends
+ * the results back as events. Owns no state. Relies on adapters whose promises never reject: a call without
+ * an answer has a result of its own.
  */
 import { checkListener } from '../adapters/listener-check.js';
 import type { BackendClient } from '../adapters/backend-client.js';
--- a/src/process/unanswered-calls.ts
+++ b/src/process/unanswered-calls.ts
@@ -1,7 +1,7 @@
 /**
  * Counts the daemon's own calls to back ends that were not answered, by kind and reason. The first, second,
- * fourth, eighth and so on of each is reported with its count; otherwise the failed probes of a back end that is
- * silent for an hour would fill the log. Owns the counts.
+ * fourth, eighth and so on of each is reported with its count; otherwise the failed probes of a back end that
+ * is silent for an hour would fill the log. Owns the counts.
  */
 export class UnansweredCalls {
   private readonly counts = new Map<string, number>();
--- a/test/bundle.test.ts
+++ b/test/bundle.test.ts
@@ -1,4 +1,7 @@
-/** Tests of the deployed program: the bundle that deploy/system.toml builds starts, reads the store and serves. */
+/**
+ * Tests of the deployed program: the bundle that deploy/system.toml builds starts, reads the store and
+ * serves.
+ */
 import { execFile, spawn, type ChildProcess } from 'node:child_process';
 import { copyFileSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { once } from 'node:events';
@@ -114,7 +117,8 @@
     const answer = await fetch(`http://127.0.0.1:${front}/p/x`, {
       headers: { 'X-Attempt-Id': 'id1', Host: 'h.example' },
     });
-    // fetch sets the Host header itself, so no route matches. A 404 shows that the daemon has loaded its routes.
+    // fetch sets the Host header itself, so no route matches. A 404 shows that the daemon has loaded its
+    // routes.
     expect(answer.status).to.equal(404);
     const text = await (await fetch(`http://127.0.0.1:${metrics}/metrics`)).text();
     expect(text).to.match(/pulleyledge_ready 1/);
--- a/test/forwarding-bytes.test.ts
+++ b/test/forwarding-bytes.test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests the exact bytes that callers receive when back ends break off, answer with the answer to another request, or
- * send no length.
+ * Tests the exact bytes that callers receive when back ends break off, answer with the answer to another
+ * request, or send no length.
  */
 import { once } from 'node:events';
 import { createServer } from 'node:http';
@@ -176,9 +176,9 @@
   });
 
   /*
-   * Guards against breaking off pipelined requests in a stop: each answer closed its connection, also when further
-   * answers were pending behind it, although back ends executed their requests. Of three such requests one was
-   * answered.
+   * Guards against breaking off pipelined requests in a stop: each answer closed its connection, also when
+   * further answers were pending behind it, although back ends executed their requests. Of three such
+   * requests one was answered.
    */
   it('a stop answers all pipelined requests of a connection', async () => {
     await start((_request, socket) => {
@@ -200,9 +200,10 @@
   });
 
   /*
-   * Guards against a second SIGTERM ending a stopping daemon at once, with its open requests: the second call of
-   * `stop` resolved while the first was still waiting, and the program exits when `stop` resolves. In trials with
-   * seeded random signals 10 and 15 requests were broken off, each on a daemon that had been sent SIGTERM twice.
+   * Guards against a second SIGTERM ending a stopping daemon at once, with its open requests: the second call
+   * of `stop` resolved while the first was still waiting, and the program exits when `stop` resolves. In
+   * trials with seeded random signals 10 and 15 requests were broken off, each on a daemon that had been sent
+   * SIGTERM twice.
    */
   it('a repeated stop also waits for the open requests', async () => {
     await start((_request, socket) => {
@@ -220,10 +221,10 @@
   });
 
   /*
-   * Guards against resetting the last callers of a stop. A stopping daemon exits at the latest time that its grace
-   * period allows. Requests that it had received since its last check, and connections that it had not accepted yet,
-   * were reset then, although each only needed a refusal. With callers that connect every 5 ms while the process is
-   * intermittently busy, the last ones were closed or reset.
+   * Guards against resetting the last callers of a stop. A stopping daemon exits at the latest time that its
+   * grace period allows. Requests that it had received since its last check, and connections that it had not
+   * accepted yet, were reset then, although each only needed a refusal. With callers that connect every 5 ms
+   * while the process is intermittently busy, the last ones were closed or reset.
    */
   it('the last callers of a stop get an answer, or no connection', async () => {
     await start(() => undefined);
@@ -247,7 +248,9 @@
   });
 });
 
-/** Callers in a thread of their own: one every 5 ms, each on a new connection. Reports how each was answered. */
+/**
+ * Callers in a thread of their own: one every 5 ms, each on a new connection. Reports how each was answered.
+ */
 const CALLERS = `
 const { parentPort, workerData: { host, port } } = require('node:worker_threads');
 const { connect } = require('node:net');
--- a/test/kept-connections.test.ts
+++ b/test/kept-connections.test.ts
@@ -1,11 +1,13 @@
 /**
- * Guards against a stopping daemon that closes keep-alive connections within the time advertised to their callers.
- * The daemon counted that time from the closing of its listener instead of from the end of each response. A response
- * that began before the stop and ended 5 s after it still advertised a reusable connection, but the process exited
- * at once: the next request was reset, and its caller could not know whether it was executed.
+ * Guards against a stopping daemon that closes keep-alive connections within the time advertised to their
+ * callers. The daemon counted that time from the closing of its listener instead of from the end of each
+ * response. A response that began before the stop and ended 5 s after it still advertised a reusable
+ * connection, but the process exited at once: the next request was reset, and its caller could not know
+ * whether it was executed.
  *
- * Seen with 60 callers: the process exited about 7 s after SIGTERM, together with the last response, although each had
- * advertised `Keep-Alive: timeout=5`; callers that were idle for 0 to 4 s found their connections closed.
+ * Seen with 60 callers: the process exited about 7 s after SIGTERM, together with the last response, although
+ * each had advertised `Keep-Alive: timeout=5`; callers that were idle for 0 to 4 s found their connections
+ * closed.
  */
 import { expect } from 'chai';
 import { once } from 'node:events';
@@ -24,7 +26,10 @@
 const MOST_TOKENS = 385;
 /** The daemon is asked to stop after this time, when the long answers have begun. Milliseconds. */
 const STOP_AFTER_MS = 1400;
-/** A caller stops reusing a connection this long before the advertised time is over, as clients do. Milliseconds. */
+/**
+ * A caller stops reusing a connection this long before the advertised time is over, as clients do.
+ * Milliseconds.
+ */
 const CALLER_MARGIN_MS = 1000;
 const END_OF_BODY = '0\r\n\r\n';
 
@@ -111,8 +116,8 @@
   });
 
   /*
-   * Guards against a second SIGTERM ending a stopping daemon at once, with its open requests: the second call of
-   * `stop` resolved while the first was still waiting, and the program exits when `stop` resolves.
+   * Guards against a second SIGTERM ending a stopping daemon at once, with its open requests: the second call
+   * of `stop` resolved while the first was still waiting, and the program exits when `stop` resolves.
    */
   it('carry complete answers although the daemon is asked to stop several times', async () => {
     const { port } = relay.address() as AddressInfo;
--- a/test/paused-server.test.ts
+++ b/test/paused-server.test.ts
@@ -1,7 +1,8 @@
 /**
- * Guards against resetting a request that was sent in time on a keep-alive connection while the daemon's process was
- * paused: its event loop was blocked, or it got no CPU time. Node.js closes a connection whose idle timeout has
- * expired before it reads from it, so the first thing that the process did after the pause was to reset the request.
+ * Guards against resetting a request that was sent in time on a keep-alive connection while the daemon's
+ * process was paused: its event loop was blocked, or it got no CPU time. Node.js closes a connection whose
+ * idle timeout has expired before it reads from it, so the first thing that the process did after the pause
+ * was to reset the request.
  */
 import { expect } from 'chai';
 import { createServer, type Server } from 'node:http';
@@ -44,7 +45,8 @@
   const idleMs = IDLE_TIMEOUT_MS * IDLE_SHARE;
   const caller = new Worker(CALLER, { eval: true, workerData: { port, idleMs, settleMs: SETTLE_MS } });
   await once(caller, 'message');
-  // Blocks in the message's callback: after a timer's callback, sockets would be read before further timers fire.
+  // Blocks in the message's callback: after a timer's callback, sockets would be read before further timers
+  // fire.
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, PAUSE_MS);
   const [second] = (await once(caller, 'message')) as [string];
   await caller.terminate();
--- a/test/real-process.test.ts
+++ b/test/real-process.test.ts
@@ -88,11 +88,11 @@
   afterEach(() => site.stop());
 
   /*
-   * Guards against a stopping daemon that resets connections in its accept queue. It closes its listener when the
-   * drain notice is over; connections completed since it last accepted any were reset, with the requests sent on them,
-   * if the daemon got no CPU time just then. With each daemon paused from 1.7 to 2.3 s after its SIGTERM, 23 of 1,039
-   * requests failed with ECONNRESET, each on a connection that was never accepted, within some milliseconds of the
-   * listener's closing. `stopListening` now accepts these connections first.
+   * Guards against a stopping daemon that resets connections in its accept queue. It closes its listener when
+   * the drain notice is over; connections completed since it last accepted any were reset, with the requests
+   * sent on them, if the daemon got no CPU time just then. With each daemon paused from 1.7 to 2.3 s after
+   * its SIGTERM, 23 of 1,039 requests failed with ECONNRESET, each on a connection that was never accepted,
+   * within some milliseconds of the listener's closing. `stopListening` now accepts these connections first.
    */
   it('a rolling restart by SIGTERM under load fails no request', async () => {
     const load = new LoadGenerator(site.callers(), new SeededRandom(1));
--- a/test/reload-signal.test.ts
+++ b/test/reload-signal.test.ts
@@ -1,7 +1,7 @@
 /**
- * Guards against SIGHUP, which announces a changed settings file, ending a daemon. A completion daemon had no handler
- * for it, so the signal's default action ended the process with all its open requests. A ready daemon that was sent
- * one SIGHUP was terminated by it at once, without a log line.
+ * Guards against SIGHUP, which announces a changed settings file, ending a daemon. A completion daemon had no
+ * handler for it, so the signal's default action ended the process with all its open requests. A ready daemon
+ * that was sent one SIGHUP was terminated by it at once, without a log line.
  */
 import { expect } from 'chai';
 import { spawn } from 'node:child_process';
--- a/test/stop-listening.test.ts
+++ b/test/stop-listening.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against a stopping daemon that closes its listener while established connections still wait in the accept
- * queue: these were reset, and their callers got no answer.
+ * Guards against a stopping daemon that closes its listener while established connections still wait in the
+ * accept queue: these were reset, and their callers got no answer.
  */
 import { expect } from 'chai';
 import { createServer, type Server } from 'node:http';
@@ -59,7 +59,10 @@
   });
 });
 
-/** A caller in a thread of its own: reports that it has begun, connects a little later, and reports its answer. */
+/**
+ * A caller in a thread of its own: reports that it has begun, connects a little later, and reports its
+ * answer.
+ */
 const LATE_CALLER = `
 const { parentPort, workerData: { port, afterMs } } = require('node:worker_threads');
 parentPort.once('message', () => {
@@ -79,10 +82,10 @@
 
 describe('a server that stops listening', () => {
   /*
-   * Guards against resetting a connection that was established while the process was busy, between its last poll for
-   * connections and the closing of its listener: the turn of the event loop in which nothing was accepted may have
-   * been a long one. In one of 16 runs of a rolling restart with pauses at load 31, one of 354 requests failed with
-   * ECONNRESET on a new connection, 7 ms after it was sent.
+   * Guards against resetting a connection that was established while the process was busy, between its last
+   * poll for connections and the closing of its listener: the turn of the event loop in which nothing was
+   * accepted may have been a long one. In one of 16 runs of a rolling restart with pauses at load 31, one of
+   * 354 requests failed with ECONNRESET on a new connection, 7 ms after it was sent.
    */
   it('answers a caller that connects during a long last turn of the event loop', async () => {
     const server = await startServer();
