--- a/src/duties/duty-manager.ts
+++ b/src/duties/duty-manager.ts
@@ -119,7 +119,7 @@
     this.rank(this.surroundings.members(), now)
     this.tell(leaving, fleetMs, now)
     this.tickLease(leaving, now)
-    const held = this.lease.current(now)
+    const held = this.lease.getHeldLease(now)
     this.reporter ??= this.createReporter(fleetMs)
     if (this.collectsSince === undefined) return
     this.followDemand(now)
@@ -131,7 +131,7 @@
 
   /// This process's clock stood still for a time that nobody here has counted.
   clockStoodStill(): void {
-    this.lease.resumeAfterSuspension()
+    this.lease.onMachineSuspended()
   }
 
   /// Takes the answer to a `leaseTable` effect.
@@ -146,7 +146,7 @@
 
   /// Takes the outcome of a `callDuty` effect.
   receiveDutyResult(call: DutyCall, result: DutyResult, now: number): void {
-    if (result.kind === "superseded") this.lease.giveUp()
+    if (result.kind === "superseded") this.lease.onSuperseded()
     if (call.kind === "orderServers") this.capacity.receiveResult(call, result, now)
     else this.reporter?.receiveResult(call.window, result, this.clock.getTime(now) ?? 0, now)
   }
--- a/src/fleet/peer-exchange.ts
+++ b/src/fleet/peer-exchange.ts
@@ -197,8 +197,8 @@
     if (addresses.length === 0) return
     const knowledge = this.replica.getKnowledge(now)
     const ofRegion = scope === "region" ? {region: this.members.region, passOn: true} : {}
-    const limits = this.news.limits.getTold(now)
-    const leaving = this.news.leaving.getTold()
+    const limits = this.news.limits.getForPeers(now)
+    const leaving = this.news.leaving.getForPeers()
     const message: FleetMessage = {
       kind: "loadDigest",
       scope,
@@ -293,8 +293,8 @@
 
   private applyLoads(fromId: string, fromAddress: string, message: LoadDigest, now: number): void {
     for (const placement of message.placements) this.news.placements.learn(placement)
-    this.news.limits.applyTold(message.limits ?? [], now)
-    this.news.leaving.applyTold(message.leaving ?? [], now)
+    this.news.limits.applyFromPeer(message.limits ?? [], now)
+    this.news.leaving.applyFromPeer(message.leaving ?? [], now)
     switch (message.scope ?? "own") {
       case "own":
         // Whoever tells a relay its loads hears those of the fleet from it; in a small fleet everybody tells
--- a/src/gateway/forward-server.ts
+++ b/src/gateway/forward-server.ts
@@ -6,7 +6,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { startListening, stopListening } from '../adapters/listen.js';
-import type { KeptAnswer, StreamSink } from '../adapters/backend-client.js';
+import type { BufferedAnswer, StreamSink } from '../adapters/backend-client.js';
 import type { CallerLimits } from '../forwarding/routes/route.js';
 import { runAfterNextPoll, closeIfIdle } from './after-next-poll.js';
 import { STATUS_TOO_LARGE } from '../shared/http-status.js';
@@ -89,12 +89,12 @@
   }
 
   /** The id of the last event passed on to the caller; undefined before the head was sent. */
-  lastEventId(): string | undefined {
+  getLastEventId(): string | undefined {
     return this.headSent ? this.lastId : undefined;
   }
 
   /** Starts a streamed reply. Later heads, of back ends that resume the stream, are not passed on. */
-  head(status: number, headers: string[], framed: boolean): void {
+  writeHead(status: number, headers: string[], framed: boolean): void {
     if (this.finished || this.headSent) return;
     this.headSent = true;
     this.disableKeepAliveWhenClosing();
@@ -104,14 +104,14 @@
   }
 
   /** Passes on complete events. */
-  events(bytes: Buffer, lastEventId: string | undefined): void {
+  writeEvents(bytes: Buffer, lastEventId: string | undefined): void {
     if (this.finished) return;
     if (lastEventId !== undefined) this.lastId = lastEventId;
     this.response.write(bytes);
   }
 
   /** Finishes the reply: ends a stream that has begun, or sends a buffered answer. */
-  sendAnswer(answer: KeptAnswer): void {
+  sendAnswer(answer: BufferedAnswer): void {
     if (this.finished) return;
     this.finished = true;
     if (this.headSent) {
--- a/src/process/completion-actors.ts
+++ b/src/process/completion-actors.ts
@@ -11,7 +11,7 @@
 import type { PlatformClient } from '../adapters/platform-client.js';
 import type { CompletionDaemon } from '../daemon/completion-daemon.js';
 import type { CompletionDaemonEffect, CompletionDaemonEvent } from '../daemon/completion-messages.js';
-import { SuspensionWatch } from '../shared/suspension-watch.js';
+import { SuspensionDetector } from '../shared/suspension-watch.js';
 import { spawnActor } from './spawn-actor.js';
 
 type EffectOf<Kind extends CompletionDaemonEffect['kind']> = Extract<CompletionDaemonEffect, { kind: Kind }>;
@@ -48,7 +48,7 @@
   private readonly platformActor: Ref<PlatformEffect>;
   private readonly engineActor: Ref<EngineEffect>;
   private readonly applicationActor: Ref<ApplicationEffect>;
-  private readonly suspension = new SuspensionWatch();
+  private readonly suspension = new SuspensionDetector();
   /** Functions that cancel attempts and application calls, by attempt id. */
   private readonly cancelFunctions = new Map<string, () => void>();
 
@@ -129,7 +129,9 @@
     const { platform } = this.dependencies;
     if (effect.kind === 'tableRequest') {
       const { tag, request } = effect;
-      void platform.table(request).then((result) => this.dispatch({ kind: 'tableResult', tag, result }));
+      void platform
+        .sendTableRequest(request)
+        .then((result) => this.dispatch({ kind: 'tableResult', tag, result }));
     } else {
       void platform
         .listMachines(effect.cells)
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -21,7 +21,7 @@
 import type { ApplicationCall } from '../routing/application-messages.js';
 import type { CompletionRequest } from '../routing/completion-request.js';
 import type { ReloadFields } from '../settings/reload.js';
-import { daemonSettingsOf, type Settings } from '../settings/settings.js';
+import { getDaemonSettings, type Settings } from '../settings/settings.js';
 import { delay } from '../shared/delay.js';
 import { CompletionActors, type ReplyEffect } from './completion-actors.js';
 import { CompletionMetrics } from './completion-metrics.js';
@@ -84,7 +84,7 @@
     this.daemon = new CompletionDaemon(
       identity,
       seeds,
-      daemonSettingsOf(settings),
+      getDaemonSettings(settings),
       random,
       performance.now(),
     );
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -15,7 +15,7 @@
 import { ListenError, type PulleyledgeError } from '../errors/index.js';
 import { ForwardServer } from '../gateway/forward-server.js';
 import { delay } from '../shared/delay.js';
-import { SuspensionWatch } from '../shared/suspension-watch.js';
+import { SuspensionDetector } from '../shared/suspension-watch.js';
 import { createDaemonStart, type DaemonStart } from './daemon-identity.js';
 import { ForwardingMetrics } from './forwarding-metrics.js';
 import { createMetricsServer, createReadyServer } from './status-servers.js';
@@ -98,7 +98,7 @@
     minLength: LOG_BUFFER_BYTES,
     maxLength: MAXIMUM_LOG_BYTES,
   });
-  private readonly suspension = new SuspensionWatch();
+  private readonly suspension = new SuspensionDetector();
   private readonly requests: OpenRequests;
   private tickTimer: NodeJS.Timeout | undefined;
   private flushTimer: NodeJS.Timeout | undefined;
@@ -319,7 +319,7 @@
         this.server.setLimits(effect.configuration.limits);
         break;
       case 'backendGone':
-        this.backends.forget(effect.backendId);
+        this.backends.removeBackend(effect.backendId);
         break;
       default:
         this.externalCalls.perform(effect);
--- a/src/process/open-requests.ts
+++ b/src/process/open-requests.ts
@@ -40,7 +40,7 @@
   add(received: ReceivedRequest, reply: CallerReply): void {
     this.lastNumber += 1;
     const id = this.lastNumber.toString(ID_RADIX);
-    const head = this.dialect.callerHead(received.headers);
+    const head = this.dialect.parseCallerHead(received.headers);
     const { method, path, host, headers, body, callerAddress } = received;
     this.open.set(id, { reply, request: { method, path, headers, head, body } });
     reply.onCallerGone = () => {
@@ -88,7 +88,7 @@
   sendReply(effect: ReplyEffect): void {
     switch (effect.kind) {
       case 'replyWhole': {
-        const answer = this.backends.take(effect.attemptId);
+        const answer = this.backends.takeAnswer(effect.attemptId);
         if (answer) this.removeRequest(effect.requestId)?.sendAnswer(answer);
         break;
       }
--- a/src/process/outside-calls.ts
+++ b/src/process/outside-calls.ts
@@ -99,13 +99,13 @@
   private readKvChanges({ call }: Effect<'readKvChanges'>): void {
     const { backend } = call;
     void this.backends
-      .kvChanges(call)
+      .readKvChanges(call)
       .then((answer) => this.send({ kind: 'kvChangesRead', backend, answer }));
   }
 
   private askEngine({ backend }: Effect<'askEngine'>): void {
     void this.backends
-      .engineStatus(backend)
+      .readEngineStatus(backend)
       .then((status) => this.send({ kind: 'engineStatus', backend, status }));
   }
 
--- a/test/forwarding-bytes.test.ts
+++ b/test/forwarding-bytes.test.ts
@@ -273,8 +273,8 @@
   it('is aborted, not followed by a second answer, when the request fails before the state machine knows', async () => {
     const server = createServer((_request, response) => {
       const reply = new CallerReply(response, () => false, undefined);
-      reply.head(200, ['X-Own', '1'], true);
-      reply.events(Buffer.from('id: 1\n\n'), '1');
+      reply.writeHead(200, ['X-Own', '1'], true);
+      reply.writeEvents(Buffer.from('id: 1\n\n'), '1');
       setTimeout(() => reply.sendFailure({ status: 504, failure: 'deadline', retryAfterMs: undefined }), 50);
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
