--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -1,4 +1,8 @@
-/** A daemon process: servers, adapters and actors around the state machine, and an orderly stop. */
+/**
+ * The process of a completion daemon: the servers, adapters and actors around its state machine, and the
+ * graceful stop. Owns the sockets, the timers and the open requests. Relies on the state machine for all
+ * decisions.
+ */
 import type { Server } from 'node:http';
 import { pino, type Logger } from 'pino';
 import { HttpApplicationClient, type ApplicationPayload } from '../adapters/application-client.js';
@@ -39,13 +43,12 @@
   reject(error: PulleyledgeError): void;
 }
 
-/** Interval between looks at what a stopping process still waits for. Milliseconds. */
+/** Interval at which a stopping process checks for open requests and connections. Milliseconds. */
 const DRAIN_POLL_MS = 50;
-/** Interval between looks at whether the configuration is known. Milliseconds. */
+/** Interval at which a starting process checks whether the configuration is known. Milliseconds. */
 const READY_POLL_MS = 25;
 /**
- * A stopping process waits this long at most for writes to the ledger. Milliseconds; ten repeats of a
- * commit.
+ * A stopping process waits at most this long for writes to the ledger. Milliseconds; ten retries of a commit.
  */
 const LEDGER_FLUSH_TIMEOUT_MS = 5000;
 
@@ -59,7 +62,7 @@
   private readonly applications = new HttpApplicationClient((text) =>
     this.onUnreadableRetryAfter('application', text),
   );
-  /** The last such header of each kind of system, as it came. */
+  /** The last Retry-After header that could not be parsed, by the kind of system that sent it. */
   private readonly unreadableRetryAfter = new Map<string, string>();
   private readonly callerServer: Server;
   private readonly callerConnections: KeepAliveConnections;
@@ -67,7 +70,7 @@
   private readonly metrics: CompletionMetrics;
   private readonly logger: Logger;
   private readonly completions = new Map<string, OpenCompletion>();
-  private readonly calls = new Map<string, OpenApplication>();
+  private readonly applicationCalls = new Map<string, OpenApplication>();
   private readonly edits = new Map<string, OpenEdit>();
   private ticker: NodeJS.Timeout | undefined;
   private stopping = false;
@@ -77,7 +80,7 @@
     const { identity, seeds, random } = createDaemonStart(settings);
     const { id } = identity;
     this.logger = pino({ level: settings.logLevel, base: { daemon: id } });
-    this.metrics = new CompletionMetrics(() => this.status());
+    this.metrics = new CompletionMetrics(() => this.getStatus());
     this.daemon = new CompletionDaemon(
       identity,
       seeds,
@@ -92,12 +95,15 @@
     );
     this.peers = this.createPeers(identity);
     this.actors = this.createActors();
-    this.callerServer = createCallerServer(this.callerHandler(), settings.maximumBodyBytes);
+    this.callerServer = createCallerServer(this.createCallerHandler(), settings.maximumBodyBytes);
     this.callerConnections = new KeepAliveConnections(this.callerServer);
-    this.operatorServer = this.createOperators();
+    this.operatorServer = this.createOperatorEndpoint();
   }
 
-  /** Opens the servers and starts the timers. */
+  /**
+   * Opens the servers and starts the timers. Resolves once callers can connect, or the process is stopping.
+   * @throws ListenError when an address cannot be bound.
+   */
   async start(): Promise<void> {
     await this.peers.listen();
     await startListening(this.operatorServer, this.settings.operatorAddress);
@@ -106,35 +112,37 @@
       this.settings.tickIntervalMs,
     );
     this.logger.info({ event: 'process.started', operators: this.settings.operatorAddress });
-    await this.listenWhenReady();
+    await this.startListeningWhenReady();
   }
 
   /**
-   * Callers can connect only once the daemon knows the configuration, so that none is refused for a restart.
+   * Starts to listen for callers only once the daemon knows the configuration, so that a restart refuses no
+   * request.
    */
-  private async listenWhenReady(): Promise<void> {
+  private async startListeningWhenReady(): Promise<void> {
     while (!this.stopping && !this.daemon.readiness(performance.now()).ready) await delay(READY_POLL_MS);
     if (this.stopping) return;
     await startListening(this.callerServer, this.settings.callerAddress);
     this.logger.info({ event: 'process.ready', callers: this.settings.callerAddress });
   }
 
-  /** The settings were written anew. */
+  /** Logs that the settings file was read again; `fields` give the result. */
   onReload(fields: ReloadFields): void {
     this.logger.info({ event: 'process.reloaded', ...fields });
   }
 
   /**
-   * Stops without cutting a request: hands over leases, limits and membership, takes new requests a little
-   * longer, closes the listener, and ends when the last request has its answer and no caller may still send
-   * one on a connection that it was told to keep. Asked again, it resolves no sooner: the program ends then.
+   * Stops without breaking off a request: hands over leases, limits and membership, accepts new requests for
+   * `drainNoticeMs`, closes the listener, and resolves when the last request is answered and no caller may
+   * still reuse a keep-alive connection by the time advertised to it. A further call returns the same promise
+   * and so resolves no sooner: the program exits when a call resolves.
    */
   stop(): Promise<void> {
-    this.stopped ??= this.runStop();
+    this.stopped ??= this.stopGracefully();
     return this.stopped;
   }
 
-  private async runStop(): Promise<void> {
+  private async stopGracefully(): Promise<void> {
     this.stopping = true;
     this.actors.dispatch({ kind: 'beginDrain' });
     this.callerConnections.startClosing();
@@ -152,15 +160,15 @@
     );
     this.logger.info({
       event: 'process.stopped',
-      unfinished: this.openRequests(),
+      unfinished: this.getOpenRequestCount(),
       closedEarly: this.callerConnections.getReusableCount(),
     });
     await this.close();
   }
 
-  /** Whether a request waits for its answer, or is being read or answered. */
+  /** Whether a request is being read, waits for its answer, or is being answered. */
   private hasRequests(): boolean {
-    return this.openRequests() > 0 || this.callerConnections.hasPendingResponses();
+    return this.getOpenRequestCount() > 0 || this.callerConnections.hasPendingResponses();
   }
 
   private async close(): Promise<void> {
@@ -191,43 +199,43 @@
       platform: this.platform,
       engines: this.engines,
       applications: this.applications,
-      getPayload: (requestId) => this.calls.get(requestId)?.payload,
-      onReply: (effect) => this.reply(effect),
+      getPayload: (requestId) => this.applicationCalls.get(requestId)?.payload,
+      onReply: (effect) => this.sendReply(effect),
       onTransition: (event, milliseconds) => this.metrics.addTransition(event, milliseconds),
     });
   }
 
-  private createOperators(): Server {
+  private createOperatorEndpoint(): Server {
     const { registry } = this.metrics;
     return createOperatorServer({
-      getStatus: () => this.status(),
+      getStatus: () => this.getStatus(),
       getMetrics: async () => ({ contentType: registry.contentType, text: await registry.metrics() }),
-      applyEdit: (editId, edits) => this.edit(editId, edits),
+      applyEdit: (editId, edits) => this.applyEdit(editId, edits),
     });
   }
 
-  private openRequests(): number {
-    return this.completions.size + this.calls.size;
+  private getOpenRequestCount(): number {
+    return this.completions.size + this.applicationCalls.size;
   }
 
   /**
-   * Not ready before callers can connect: the listener opens up to READY_POLL_MS after the daemon is, and
-   * whoever was sent here in between was refused the connection.
+   * Reports not ready until callers can connect: the listener opens up to READY_POLL_MS after the daemon is
+   * ready, and callers routed here in between had their connections refused.
    */
-  private status(): CompletionDaemonStatus {
+  private getStatus(): CompletionDaemonStatus {
     const status = this.daemon.status(performance.now());
     if (!status.ready || this.callerServer.listening) return status;
     return { ...status, ready: false, reason: 'callers cannot connect yet' };
   }
 
-  private edit(editId: string, edits: readonly RowEdit[]): Promise<number> {
+  private applyEdit(editId: string, edits: readonly RowEdit[]): Promise<number> {
     return new Promise((resolve, reject) => {
       this.edits.set(editId, { resolve, reject });
       this.actors.dispatch({ kind: 'editServices', editId, edits });
     });
   }
 
-  private callerHandler(): CallerHandler {
+  private createCallerHandler(): CallerHandler {
     return {
       onCompletion: (request: CompletionRequest, sink: ReplySink) => {
         this.completions.set(request.requestId, {
@@ -238,31 +246,33 @@
         this.actors.dispatch({ kind: 'submitCompletion', request });
       },
       onApplicationCall: (call: ApplicationCall, payload: ApplicationPayload, sink: ApplicationSink) => {
-        this.calls.set(call.requestId, { sink, payload });
+        this.applicationCalls.set(call.requestId, { sink, payload });
         this.actors.dispatch({ kind: 'submitApplication', call });
       },
       onCancelled: (requestId: string) => {
-        const open = this.completions.delete(requestId) || this.calls.delete(requestId);
+        const open = this.completions.delete(requestId) || this.applicationCalls.delete(requestId);
         if (open) this.actors.dispatch({ kind: 'cancelRequest', requestId });
       },
     };
   }
 
-  private reply(effect: ReplyEffect): void {
+  private sendReply(effect: ReplyEffect): void {
     switch (effect.kind) {
       case 'replyTokens':
-        this.replyTokens(effect.requestId, effect.texts);
+        this.sendTokens(effect.requestId, effect.texts);
         break;
       case 'replyEnd':
         this.completions.get(effect.requestId)?.sink.end(effect.tokens, effect.finishReason);
-        this.requestOver(effect.requestId, 'ok');
+        this.onRequestFinished(effect.requestId, 'ok');
         break;
       case 'replyFailed':
-        this.replyFailed(effect.requestId, effect.error, effect.tokensSent);
+        this.sendFailure(effect.requestId, effect.error, effect.tokensSent);
         break;
       case 'replyApplication':
-        this.calls.get(effect.requestId)?.sink.respond(effect.status, effect.contentType, effect.body);
-        this.requestOver(effect.requestId, 'ok');
+        this.applicationCalls
+          .get(effect.requestId)
+          ?.sink.respond(effect.status, effect.contentType, effect.body);
+        this.onRequestFinished(effect.requestId, 'ok');
         break;
       case 'editAccepted':
         this.edits.get(effect.editId)?.resolve(effect.revision);
@@ -280,7 +290,7 @@
     }
   }
 
-  private replyTokens(requestId: string, texts: readonly string[]): void {
+  private sendTokens(requestId: string, texts: readonly string[]): void {
     const open = this.completions.get(requestId);
     if (!open) return;
     if (!open.firstTokenSeen) {
@@ -291,7 +301,7 @@
     open.sink.writeTokens(texts);
   }
 
-  private replyFailed(requestId: string, error: PulleyledgeError, tokensSent: number): void {
+  private sendFailure(requestId: string, error: PulleyledgeError, tokensSent: number): void {
     this.logger.info({
       event: 'request.failed',
       requestId,
@@ -301,27 +311,27 @@
       ...error.context,
     });
     this.completions.get(requestId)?.sink.fail(error, tokensSent);
-    this.calls.get(requestId)?.sink.fail(error);
-    this.requestOver(requestId, error.code);
+    this.applicationCalls.get(requestId)?.sink.fail(error);
+    this.onRequestFinished(requestId, error.code);
   }
 
-  /** Once for what a system says in answer after answer. */
+  /** Logs a value once, however many answers of the system repeat it. */
   private onUnreadableRetryAfter(from: string, text: string): void {
     if (this.unreadableRetryAfter.get(from) === text) return;
     this.unreadableRetryAfter.set(from, text);
     this.logger.warn({ event: 'retry-after.unreadable', from, text });
   }
 
-  private requestOver(requestId: string, outcome: string): void {
+  private onRequestFinished(requestId: string, outcome: string): void {
     this.completions.delete(requestId);
-    this.calls.delete(requestId);
+    this.applicationCalls.delete(requestId);
     this.metrics.addRequest(outcome);
   }
 }
 
 /**
- * Looks at `condition` until it holds or `timeoutMs` are over. What waits in sockets is read before each look:
- * the process may have stood still, and ending it then would reset requests that came in time.
+ * Checks `condition` until it holds or `timeoutMs` have passed. Sockets are polled before each check: the
+ * process may have been paused, and exiting without reading them would reset requests that were sent in time.
  */
 async function waitUntil(condition: () => boolean, timeoutMs: number): Promise<void> {
   const deadline = performance.now() + timeoutMs;
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -1,6 +1,7 @@
 /**
- * A forwarding daemon as a process: servers, adapters and an actor around its state machine, and an orderly
- * stop.
+ * The process of a forwarding daemon: the servers, adapters and the actor around its state machine, and the
+ * graceful stop. Owns the sockets, the timers and the log stream. Relies on the state machine for all
+ * decisions.
  */
 import type { Server } from 'node:http';
 import nact, { type Ref } from 'nact';
@@ -25,64 +26,67 @@
 import { spawnActor } from './spawn-actor.js';
 import { UnansweredCalls } from './unanswered-calls.js';
 
-/** The outside systems. */
+/** The external systems, and the protocol of the back ends. */
 interface ForwardingAdapters extends ExternalSystems {
   readonly dialect: BackendDialect;
 }
 
 /**
- * Interval between ticks while no request is in hand. Milliseconds; under half of what counts as a pause of
- * the process.
+ * Interval between ticks while no request is open. Milliseconds; under half of the gap that counts as a
+ * process pause.
  */
 const IDLE_TICK_MS = 100;
 
-/** Connections to back ends. Reasons: docs/design/silent-connections.md. */
+/** Settings of the connections to back ends. docs/design/silent-connections.md gives the reasons. */
 const BACKEND_CONNECTIONS: BackendClientSettings = {
-  /** Many times the way there and back between the furthest regions. */
+  /** Many times the round trip between the most distant regions. */
   connectTimeoutMs: 500,
-  /** Above the slots of any back end, so that the slots limit and not the connections. */
+  /** More than the slots of any back end, so that the slots are the limit and not the connections. */
   connectionsPerBackend: 64,
-  /** A back end that takes longer over a small call is of no use to a request either. */
+  /** A back end that takes longer for a small call could not serve a request in time either. */
   callTimeoutMs: 1000,
-  /** A quarter of the 4 s within which contact has to be found again. */
+  /** A quarter of the 4 s within which contact must be re-established. */
   silentConnectionMs: 1000,
 };
 
 /**
- * Interval between looks at what a stopping process still waits for. Milliseconds; short against the
- * grace.
+ * Interval at which a stopping process checks for open requests and connections. Milliseconds; short compared
+ * with the grace period.
  */
 const DRAIN_POLL_MS = 50;
 /**
- * After a stop was asked for, new requests are served for so long, since callers are sent here until the
- * platform has noticed; later ones are refused. Milliseconds.
+ * A stopping process serves new requests for this duration, because callers are routed here until the
+ * platform has noticed that it is not ready; later requests are refused. Milliseconds.
  */
-const NOTICE_MS = 2800;
-/** Time kept at the end of the grace for the process to end by itself. Milliseconds. */
+const DRAIN_NOTICE_MS = 2800;
+/** Reserved at the end of the grace period, so that the process exits before it is killed. Milliseconds. */
 const STOP_MARGIN_MS = 700;
 /**
- * A stopping process accepts its last callers for so long, and waits so long for their answers. Milliseconds; together
- * within STOP_MARGIN_MS.
+ * How long a stopping process accepts the connections left in the accept queue, and then waits for the
+ * replies to their requests. Milliseconds; the sum is within STOP_MARGIN_MS.
  */
-const LAST_CALLERS_MS = 300;
-const LAST_ANSWERS_MS = 200;
-/** Interval between looks at these. Milliseconds. */
-const LAST_ANSWERS_POLL_MS = 5;
-/** Log lines are written in pieces of this size at least. Bytes; a page of memory. */
+const FINAL_ACCEPT_MS = 300;
+const FINAL_ANSWER_MS = 200;
+/** Interval between checks for these replies. Milliseconds. */
+const FINAL_POLL_MS = 5;
+/** Log lines are buffered and written in chunks of at least this size. Bytes; a memory page. */
 const LOG_BUFFER_BYTES = 4096;
-/** A process that is killed loses the lines of so long. Milliseconds. */
+/**
+ * Interval between flushes of the log: a process that is killed loses the lines since the last one.
+ * Milliseconds.
+ */
 const LOG_FLUSH_MS = 500;
-/** Log lines that cannot be written wait up to this size; further ones are dropped. Bytes. */
+/** Log lines that cannot be written are buffered up to this size; further lines are dropped. Bytes. */
 const MAXIMUM_LOG_BYTES = 1024 * 1024;
 
 /** One forwarding daemon process. */
 export class ForwardingProcess {
   private readonly daemon: ForwardingDaemon;
-  private readonly machine: Ref<ForwardingEvent>;
+  private readonly daemonActor: Ref<ForwardingEvent>;
   private readonly system = nact.start();
   private readonly peers: PeerTransport;
   private readonly backends: BackendClient;
-  private readonly outside: ExternalCalls;
+  private readonly externalCalls: ExternalCalls;
   private readonly server: ForwardServer;
   private readonly readyServer: Server;
   private readonly metricsServer: Server;
@@ -107,7 +111,7 @@
     const { identity, seeds, random } = createDaemonStart(settings);
     this.log = new DecisionLog({ daemon: settings.name }, this.logStream, settings.log, now);
     this.daemon = new ForwardingDaemon(identity, seeds, settings.daemon, random, now());
-    this.machine = spawnActor(this.system, 'daemon', (event) => this.step(event));
+    this.daemonActor = spawnActor(this.system, 'daemon', (event) => this.onEvent(event));
     this.peers = this.createPeers(identity);
     this.backends = this.createBackends();
     this.requests = new OpenRequests(adapters.dialect, this.backends, (event) => this.send(event));
@@ -117,9 +121,11 @@
       settings.maximumCallerConnections,
     );
     this.metrics = this.createMetrics();
-    this.outside = new ExternalCalls(this.backends, adapters, this.metrics, (event) => this.send(event));
+    this.externalCalls = new ExternalCalls(this.backends, adapters, this.metrics, (event) =>
+      this.send(event),
+    );
     this.metricsServer = createMetricsServer(this.metrics);
-    this.readyServer = createReadyServer(settings.readyPath, () => this.ready());
+    this.readyServer = createReadyServer(settings.readyPath, () => this.isReady());
   }
 
   private createPeers({ id, address }: DaemonStart['identity']): PeerTransport {
@@ -148,7 +154,7 @@
 
   private createMetrics(): ForwardingMetrics {
     return new ForwardingMetrics({
-      isReady: () => this.ready(),
+      isReady: () => this.isReady(),
       getOpenRequestCount: () => this.daemon.countOpenRequests(),
       getConfigurationVersion: () => this.daemon.configurationVersion(),
       getConfigurationAgeMs: () => this.daemon.configurationAgeMs(now()),
@@ -158,50 +164,58 @@
     });
   }
 
-  /** Opens the servers and starts the timers. */
+  /**
+   * Opens the servers and starts the timers.
+   * @throws ListenError when an address other than that of the metrics cannot be bound.
+   */
   async start(): Promise<void> {
     this.log.writeImportantEvent('process.started', { zone: this.settings.zone, node: process.version });
     this.tick();
     this.flushTimer = setInterval(() => this.logStream.flush(), LOG_FLUSH_MS);
     await Promise.all([
       startListening(this.readyServer, this.settings.readyAddress),
-      this.listenMetrics(),
+      this.startMetricsServer(),
       this.peers.listen(),
       this.server.listen(this.settings.callerAddress),
     ]);
   }
 
-  /** The settings were written anew. */
+  /** Logs that the settings file was read again; `fields` give the result. */
   onReload(fields: Readonly<Record<string, unknown>>): void {
     this.log.writeImportantEvent('process.reloaded', fields);
   }
 
-  /** A record of the store cannot be read; the last good one stays in force. */
+  /** Logs that a record of the store is invalid; its last valid version stays in force. */
   onInvalidRecord(key: string, error: PulleyledgeError): void {
     this.log.writeImportantEvent('record.rejected', { key, code: error.code, ...error.context });
   }
 
   /**
-   * Stops without cutting a request, within the grace. Asked again, it resolves no sooner: the program ends then.
+   * Stops without breaking off a request, within the grace period. A further call returns the same promise
+   * and so resolves no sooner: the program exits when a call resolves.
    */
   stop(): Promise<void> {
-    this.stopped ??= this.runStop();
+    this.stopped ??= this.stopGracefully();
     return this.stopped;
   }
 
-  private async runStop(): Promise<void> {
+  private async stopGracefully(): Promise<void> {
     const startedAt = now();
-    const latest = startedAt + this.settings.stopGraceMs - STOP_MARGIN_MS;
+    const deadline = startedAt + this.settings.stopGraceMs - STOP_MARGIN_MS;
     this.send({ kind: 'beginDrain' });
     this.server.startClosing();
-    while (now() < latest) {
-      const noticed = now() - startedAt > NOTICE_MS;
-      if (noticed) this.send({ kind: 'closeForNew' });
-      if (noticed && this.server.getOpenRequestCount() === 0 && this.server.getOpenConnectionCount() === 0)
+    while (now() < deadline) {
+      const noticePassed = now() - startedAt > DRAIN_NOTICE_MS;
+      if (noticePassed) this.send({ kind: 'closeForNew' });
+      if (
+        noticePassed &&
+        this.server.getOpenRequestCount() === 0 &&
+        this.server.getOpenConnectionCount() === 0
+      )
         break;
       await delay(DRAIN_POLL_MS);
     }
-    await this.waitForLastCallers();
+    await this.waitForFinalRequests();
     this.stopTimers();
     this.log.writeImportantEvent('process.stopped', {
       unfinished: this.server.getOpenRequestCount(),
@@ -211,17 +225,17 @@
   }
 
   /**
-   * Callers that have connected, or sent a request, since the last look are refused in order: the end of the
-   * process would reset them, and they could not know whether their requests ran.
+   * Refuses the requests of callers that have connected, or sent a request, since the last check. The exit of
+   * the process would reset their connections, and they could not know whether their requests were executed.
    */
-  private async waitForLastCallers(): Promise<void> {
-    await this.server.stopListening(LAST_CALLERS_MS);
-    const latest = now() + LAST_ANSWERS_MS;
-    do await delay(LAST_ANSWERS_POLL_MS);
-    while (this.server.getOpenRequestCount() > 0 && now() < latest);
+  private async waitForFinalRequests(): Promise<void> {
+    await this.server.stopListening(FINAL_ACCEPT_MS);
+    const deadline = now() + FINAL_ANSWER_MS;
+    do await delay(FINAL_POLL_MS);
+    while (this.server.getOpenRequestCount() > 0 && now() < deadline);
   }
 
-  /** Closes every server and connection at once. */
+  /** Closes all servers and connections at once. */
   async close(): Promise<void> {
     this.stopTimers();
     this.server.close();
@@ -234,18 +248,19 @@
     await this.backends.close();
   }
 
-  /** Whether callers should connect here: new connections are taken, and what comes on them can be served. */
-  private ready(): boolean {
+  /** Whether callers should connect here: new connections are accepted, and requests on them can be served. */
+  private isReady(): boolean {
     return this.daemon.ready() && this.server.hasCapacity();
   }
 
   /**
-   * Ticks, and again after a while: sooner while requests are in hand, since only these have short deadlines.
+   * Sends a tick and schedules the next one: sooner while requests are open, as only these have short
+   * deadlines.
    */
   private tick(): void {
     this.send({ kind: 'tick', wallMs: Date.now() });
-    const pauseMs = this.requests.getCount() > 0 ? TICK_MS : IDLE_TICK_MS;
-    this.tickTimer = setTimeout(() => this.tick(), pauseMs);
+    const intervalMs = this.requests.getCount() > 0 ? TICK_MS : IDLE_TICK_MS;
+    this.tickTimer = setTimeout(() => this.tick(), intervalMs);
   }
 
   private stopTimers(): void {
@@ -254,14 +269,14 @@
   }
 
   private send(event: ForwardingEvent): void {
-    nact.dispatch(this.machine, event);
+    nact.dispatch(this.daemonActor, event);
   }
 
   /**
-   * Before anything is decided the clocks are compared: the first event after a suspension may lead to an
-   * order.
+   * Compares the clocks before the event is handled: the first event after a suspension of the machine may
+   * otherwise lead to an order under a lease that has expired meanwhile.
    */
-  private step(event: ForwardingEvent): void {
+  private onEvent(event: ForwardingEvent): void {
     const at = now();
     const forMs = this.suspension.observe(at, Date.now());
     if (forMs > 0) this.handle({ kind: 'clockStoodStill', forMs }, at);
@@ -307,7 +322,7 @@
         this.backends.removeBackend(effect.backendId);
         break;
       default:
-        this.outside.perform(effect);
+        this.externalCalls.perform(effect);
     }
   }
 
@@ -323,8 +338,8 @@
     else this.log.writeRequestEvent(effect.event, effect.callerId, effect.fields);
   }
 
-  /** Without its metrics a daemon still serves. */
-  private async listenMetrics(): Promise<void> {
+  /** A daemon whose metrics address cannot be bound logs this and serves requests all the same. */
+  private async startMetricsServer(): Promise<void> {
     const { metricsAddress } = this.settings;
     if (metricsAddress === undefined) return;
     try {
--- a/src/process/outside-calls.ts
+++ b/src/process/outside-calls.ts
@@ -1,6 +1,7 @@
 /**
- * Carries out what the state machine of a forwarding daemon asks of outside systems, and sends it their
- * answers. Owns no state. Relies on adapters that never reject: a call without an answer is a result.
+ * Performs the effects of a forwarding daemon's state machine that are calls to external systems, and sends
+ * the results back as events. Owns no state. Relies on adapters whose promises never reject: a call without
+ * an answer has a result of its own.
  */
 import { checkListener } from '../adapters/listener-check.js';
 import type { BackendClient } from '../adapters/backend-client.js';
@@ -10,18 +11,18 @@
 import type { TableRequest, TableResult, TableStore } from '../contracts/table-service.js';
 import type { ForwardingMetrics } from './forwarding-metrics.js';
 
-/** The outside systems beside the back ends. */
+/** The external systems other than the back ends. */
 export interface ExternalSystems {
   readonly store: RecordStore;
   readonly table: TableStore;
-  /** Undefined where the platform asks for no duties. */
+  /** Undefined where the platform assigns no duties to the fleet. */
   readonly duties: DutyPlatform | undefined;
 }
 
 type Effect<Kind extends ForwardingEffect['kind']> = Extract<ForwardingEffect, { kind: Kind }>;
 
-/** The effects that are calls to outside systems. */
-type OutsideEffect = Effect<
+/** The effects that are calls to external systems. */
+type ExternalEffect = Effect<
   | 'readRecords'
   | 'probeBackend'
   | 'checkBackend'
@@ -34,7 +35,7 @@
   | 'orderEngine'
 >;
 
-/** The calls of one process. */
+/** Makes the calls of one process. */
 export class ExternalCalls {
   constructor(
     private readonly backends: BackendClient,
@@ -43,8 +44,8 @@
     private readonly send: (event: ForwardingEvent) => void,
   ) {}
 
-  /** Makes one call. */
-  perform(effect: OutsideEffect): void {
+  /** Makes the call of one effect; its result is sent as an event. */
+  perform(effect: ExternalEffect): void {
     switch (effect.kind) {
       case 'readRecords':
         this.readRecords(effect.read);
@@ -68,12 +69,12 @@
         this.callDuty(effect);
         break;
       default:
-        this.callTableFor(effect);
+        this.callTableAndRoute(effect);
     }
   }
 
-  /** Each of the three users of tables gets its results in an event of its own. */
-  private callTableFor(effect: Effect<'quarantineTable' | 'leaseTable' | 'usageTable'>): void {
+  /** Calls a table; each of its three users receives the result in an event of its own kind. */
+  private callTableAndRoute(effect: Effect<'quarantineTable' | 'leaseTable' | 'usageTable'>): void {
     this.callTable(effect.request, (result) => {
       switch (effect.kind) {
         case 'quarantineTable':
