--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -101,12 +101,14 @@
       const text = SETTINGS.replace(/config_ms = \d+/, `config_ms = ${boundMs}`);
       const { replica } = createProcessSettings(checkPlatformSettings(text)).daemon;
       const longestPauseMs = replica.backoffMs * 1.5;
-      const secondReadAt = replica.maximumPatienceMs + replica.firstAnswerMs + longestPauseMs;
+      const secondReadAt = replica.maximumStandbyDelayMs + replica.firstAnswerTimeoutMs + longestPauseMs;
       expect(secondReadAt).to.be.at.most(boundMs - SECOND_READ_MS);
-      expect(replica.firstAnswerMs).to.be.within(100, replica.answerMs);
+      expect(replica.firstAnswerTimeoutMs).to.be.within(100, replica.answerTimeoutMs);
     }
     const short = SETTINGS.replace(/config_ms = \d+/, 'config_ms = 100');
-    expect(createProcessSettings(checkPlatformSettings(short)).daemon.replica.firstAnswerMs).to.equal(100);
+    expect(createProcessSettings(checkPlatformSettings(short)).daemon.replica.firstAnswerTimeoutMs).to.equal(
+      100,
+    );
   });
 
   it('errors name a missing or invalid field', () => {
@@ -191,7 +193,12 @@
       { key: 'c', ver: 5, gone: true },
     ];
     answer = () => ({ status: 200, body: { rows, ver: 9 } });
-    const result = await store.read({ collection: 'backends', after: undefined, waitMs: 0, answerMs: 800 });
+    const result = await store.read({
+      collection: 'backends',
+      after: undefined,
+      waitMs: 0,
+      answerTimeoutMs: 800,
+    });
     expect(bad).to.deep.equal(['b']);
     expect(result).to.include({ kind: 'snapshot', revision: 9 });
     if (result.kind === 'snapshot')
@@ -236,7 +243,7 @@
     ];
     answer = () => ({ status: 200, body: { rows, ver: 30 } });
     for (const after of [undefined, 2]) {
-      const result = await store.read({ collection: 'backends', after, waitMs: 0, answerMs: 800 });
+      const result = await store.read({ collection: 'backends', after, waitMs: 0, answerTimeoutMs: 800 });
       expect(result.kind).to.equal(after === undefined ? 'snapshot' : 'changes');
       if (result.kind !== 'snapshot' && result.kind !== 'changes') return;
       const named = result.records.flatMap((record) =>
