--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -205,7 +205,7 @@
    */
   private onMachineSuspended(forMs: number, now: number): void {
     this.logChange('process.suspended', { forMs: Math.round(forMs), requests: this.countOpenRequests() });
-    this.machines.replica.clockStoodStill(forMs);
+    this.machines.replica.onMachineSuspended(forMs);
     for (const part of this.machines.parts) part.onMachineSuspended?.(forMs);
     this.onProcessResumed(now);
   }
--- a/src/duties/duty-manager.ts
+++ b/src/duties/duty-manager.ts
@@ -82,7 +82,7 @@
   /// Since when this daemon hears all counts; undefined while it does not.
   private collectsSince: number | undefined
   private collectors: readonly Member[] = []
-  private tellAll = true
+  private broadcast = true
   private nextTellAt = -Infinity
   private actFrom = Infinity
   private tickedAt = 0
@@ -130,7 +130,7 @@
   }
 
   /// This process's clock stood still for a time that nobody here has counted.
-  clockStoodStill(): void {
+  onMachineSuspended(): void {
     this.lease.resumeAfterSuspension()
   }
 
@@ -202,14 +202,14 @@
     this.collectors = ids.flatMap(id => byId.get(id) ?? [])
     const collects = ids.includes(this.selfId)
     this.collectsSince = collects ? (this.collectsSince ?? now) : undefined
-    this.tellAll = true
+    this.broadcast = true
   }
 
   private tell(leaving: boolean, fleetMs: number, now: number): void {
     if (now < this.nextTellAt) return
     this.nextTellAt = now + (leaving ? SHORTEST_TELL_INTERVAL_MS : this.getTellIntervalMs())
-    const message = this.counter.takeUntold(fleetMs, this.tellAll)
-    this.tellAll = false
+    const message = this.counter.takeUntold(fleetMs, this.broadcast)
+    this.broadcast = false
     if (!message) return
     for (const {id, address} of this.collectors) {
       if (id === this.selfId) this.collector.apply(id, message)
--- a/src/fleet/fleet-replica-settings.ts
+++ b/src/fleet/fleet-replica-settings.ts
@@ -20,25 +20,25 @@
   readonly maximumPatienceMs: number
   /// Pause after an answer with changes, so that changes in a row come in one answer. Milliseconds. Default
   /// 150.
-  readonly gatherMs: number
+  readonly batchDelayMs: number
   /// First pause after a read that failed; doubled at each further one. Milliseconds. Default 100.
   readonly backoffMs: number
   /// The longest such pause. Milliseconds. Default 800.
   readonly maximumBackoffMs: number
   /// The longest pause of a daemon that knows nothing yet, and so serves nobody. Milliseconds. Default 200.
-  readonly unknowingBackoffMs: number
+  readonly emptyBackoffMs: number
   /// A copy that was confirmed longer ago proves nothing about what it lacks: a newer one may have been bound
   /// to be in force by now. Milliseconds. Default 1800, which is less than a change may take.
   readonly staleMs: number
   /// An outage of the store that lasted so long may have cost back ends their records although they live.
   /// Milliseconds. Default 2000.
-  readonly lapseOutageMs: number
+  readonly expiryOutageMs: number
   /// If the store answered any daemon, word of it is here after so long: the longest patience, a read and
   /// three digests. Milliseconds. Default 2200.
   readonly servedElsewhereMs: number
   /// How long a back end whose record was gone after an outage keeps its work, if it was ready. Milliseconds.
   /// Default 1800.
-  readonly lapseGraceMs: number
+  readonly expiryGraceMs: number
 }
 
 /// Default settings.
@@ -49,12 +49,12 @@
   patienceMs: 1200,
   patienceStepMs: 100,
   maximumPatienceMs: 1400,
-  gatherMs: 150,
+  batchDelayMs: 150,
   backoffMs: 100,
   maximumBackoffMs: 800,
-  unknowingBackoffMs: 200,
+  emptyBackoffMs: 200,
   staleMs: 1800,
-  lapseOutageMs: 2000,
+  expiryOutageMs: 2000,
   servedElsewhereMs: 2200,
-  lapseGraceMs: 1800
+  expiryGraceMs: 1800
 }
--- a/src/fleet/fleet-replica.ts
+++ b/src/fleet/fleet-replica.ts
@@ -84,8 +84,8 @@
   }
 
   /// The clock stood still for a time that it has not counted. Milliseconds.
-  clockStoodStill(forMs: number): void {
-    for (const follower of Object.values(this.followers)) follower.clockStoodStill(forMs)
+  onMachineSuspended(forMs: number): void {
+    for (const follower of Object.values(this.followers)) follower.onMachineSuspended(forMs)
   }
 
   /// Everything known, removals included, for a peer.
@@ -110,7 +110,7 @@
         break
       case "changes": {
         this.applyChanges(follower, result.revision, result.records, now)
-        const pauseMs = result.records.length > 0 ? this.settings.gatherMs : 0
+        const pauseMs = result.records.length > 0 ? this.settings.batchDelayMs : 0
         follower.receiveConfirmation(result.storeMs, follower.getAnswerTime(now), pauseMs, now)
         break
       }
--- a/src/parts/duty-part.ts
+++ b/src/parts/duty-part.ts
@@ -47,7 +47,7 @@
   }
 
   override onMachineSuspended(): void {
-    this.manager.clockStoodStill()
+    this.manager.onMachineSuspended()
   }
 
   override receivePeer(fromId: string, _fromAddress: string, message: PeerMessage, now: number): void {
--- a/test/lapsed-records.test.ts
+++ b/test/lapsed-records.test.ts
@@ -12,7 +12,7 @@
 import { Snapshot } from './snapshot.js';
 
 const SEED = 20261206;
-const GRACE_MS = DEFAULT_FLEET_REPLICA_SETTINGS.lapseGraceMs;
+const GRACE_MS = DEFAULT_FLEET_REPLICA_SETTINGS.expiryGraceMs;
 
 function record(id: string, revision: number, state: 'ready' | 'draining' | 'gone' = 'ready'): StoredRecord {
   const value = state === 'gone' ? undefined : { ...labBackend(id, '10.0.0.1:80'), state };
