--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -349,7 +349,7 @@
       give({ kind: 'rejected', status: STATUS_BUSY }, STORE_MS);
     } else if (node.silentConnections.delete(collection) || node.access !== 'serves') {
       const heldMs = read.after === undefined ? 0 : read.waitMs;
-      give({ kind: 'noAnswer', reason: 'TimeoutError' }, heldMs + read.answerMs);
+      give({ kind: 'noAnswer', reason: 'TimeoutError' }, heldMs + read.answerTimeoutMs);
     } else if (read.after === undefined) {
       const records = [...this.records.values()].filter((record) => record.collection === collection);
       give({ kind: 'snapshot', revision: this.revision, records, storeMs: this.time.now() }, STORE_MS);
--- a/src/duties/duty-manager.ts
+++ b/src/duties/duty-manager.ts
@@ -37,11 +37,11 @@
 }
 
 /// What the duties look at.
-interface DutySurroundings {
+interface DutyContext {
   /// Active members; the same array as long as they are the same.
-  members(): readonly Member[]
-  services(): readonly BackendService[]
-  backendsOf(service: string): readonly BackendView[]
+  getMembers(): readonly Member[]
+  getServices(): readonly BackendService[]
+  getBackends(service: string): readonly BackendView[]
 }
 
 /// What the duties ask for and tell.
@@ -90,7 +90,7 @@
   constructor(
     private readonly selfId: string,
     private readonly settings: DutySettings,
-    private readonly surroundings: DutySurroundings,
+    private readonly surroundings: DutyContext,
     private readonly emit: EffectSink<DutyEffect>,
     now: number
   ) {
@@ -101,7 +101,7 @@
   }
 
   /// Counts a request that began to run at `at`.
-  requestBegan(tenant: string, at: number): void {
+  onRequestStarted(tenant: string, at: number): void {
     const fleetMs = this.clock.getTime(at)
     if (fleetMs !== undefined && this.settings.reportsUsage) this.counter.add(tenant, fleetMs)
   }
@@ -116,7 +116,7 @@
     this.tickedAt = now
     const fleetMs = this.clock.getTime(now)
     if (fleetMs === undefined) return
-    this.rank(this.surroundings.members(), now)
+    this.rank(this.surroundings.getMembers(), now)
     this.tell(leaving, fleetMs, now)
     this.tickLease(leaving, now)
     const held = this.lease.current(now)
@@ -153,19 +153,19 @@
 
   /// Every daemon that may come to hold the duties follows the demand, so that it knows the past.
   private followDemand(now: number): void {
-    for (const {name, scaling} of this.surroundings.services()) {
+    for (const {name, scaling} of this.surroundings.getServices()) {
       if (!scaling) continue
       let demand = this.demands.get(name)
       if (!demand) this.demands.set(name, (demand = new CapacityDemand(this.settings.demand)))
-      demand.update(this.surroundings.backendsOf(name), scaling.spotPrice !== undefined, now)
+      demand.update(this.surroundings.getBackends(name), scaling.spotPrice !== undefined, now)
     }
   }
 
   private orderCapacity(authority: DutyAuthority, now: number): void {
-    for (const service of this.surroundings.services()) {
+    for (const service of this.surroundings.getServices()) {
       const wanted = this.demands.get(service.name)?.getWanted(service.scaling, now)
       if (wanted !== undefined)
-        this.capacity.tick(service, this.surroundings.backendsOf(service.name), wanted, authority, now)
+        this.capacity.tick(service, this.surroundings.getBackends(service.name), wanted, authority, now)
     }
   }
 
--- a/src/fleet/store-follower.ts
+++ b/src/fleet/store-follower.ts
@@ -229,7 +229,11 @@
   /// Whether this daemon should ask the store itself.
   private isDue(now: number): boolean {
     if (this.rank === 0 || this.isBehind()) return true
-    const {patienceMs, patienceStepMs, maximumPatienceMs} = this.settings
+    const {
+      standbyDelayMs: patienceMs,
+      standbyDelayStepMs: patienceStepMs,
+      maximumStandbyDelayMs: maximumPatienceMs
+    } = this.settings
     const patience = Math.min(maximumPatienceMs, patienceMs + (this.rank - 1) * patienceStepMs)
     return now - this.completeAt > patience
   }
@@ -246,8 +250,11 @@
     const {collection, cursor, settings} = this
     const follows = this.rank === 0
     this.lastWaitMs = follows ? settings.waitMs : 0
-    const answerMs = follows || this.failures > 0 ? settings.answerMs : settings.firstAnswerMs
-    this.emit({kind: "readRecords", read: {collection, after: cursor, waitMs: this.lastWaitMs, answerMs}})
+    const answerMs = follows || this.failures > 0 ? settings.answerTimeoutMs : settings.firstAnswerTimeoutMs
+    this.emit({
+      kind: "readRecords",
+      read: {collection, after: cursor, waitMs: this.lastWaitMs, answerTimeoutMs: answerMs}
+    })
   }
 
   private forgetFailures(): void {
@@ -271,7 +278,7 @@
     const {
       expiryOutageMs: lapseOutageMs,
       expiryGraceMs: lapseGraceMs,
-      servedElsewhereMs,
+      peerConfirmationMs: servedElsewhereMs,
       staleMs
     } = this.settings
     const silentMs = this.getAgeMs(now)
--- a/src/places/distance-settings.ts
+++ b/src/places/distance-settings.ts
@@ -18,9 +18,9 @@
   /// Waiting that a gigabyte of KV cache moved is worth. Milliseconds. Default 60, 120, 180.
   readonly moveMsPerGigabyte: ByDistance
   /// Prompt tokens that an engine computes in a millisecond until its pace is known. Default 90.
-  readonly tokensPerMs: number
+  readonly initialTokensPerMs: number
   /// Time that a back end takes over a request until some have been answered. Milliseconds. Default 20.
-  readonly workMs: number
+  readonly initialWorkMs: number
 }
 
 /// Default settings.
@@ -29,6 +29,6 @@
   callMsPerMegabyte: {sameZone: 0, sameRegion: 500, otherRegion: 2000},
   moveTimeFactor: {sameZone: 1, sameRegion: 2, otherRegion: 10},
   moveMsPerGigabyte: {sameZone: 60, sameRegion: 120, otherRegion: 180},
-  tokensPerMs: 90,
-  workMs: 20
+  initialTokensPerMs: 90,
+  initialWorkMs: 20
 }
--- a/test/platform-connection.test.ts
+++ b/test/platform-connection.test.ts
@@ -113,7 +113,7 @@
   it('is one lost answer to the readers of records and of the table', async () => {
     const store = new StoreClient(address, () => undefined);
     const table = new TableClient(address);
-    const read = { collection: 'configuration' as const, after: undefined, waitMs: 0, answerMs: 800 };
+    const read = { collection: 'configuration' as const, after: undefined, waitMs: 0, answerTimeoutMs: 800 };
     for (const ask of [
       () => store.read(read),
       () => table.perform({ kind: 'read', table: 'leases', key: 'k' }),
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -98,12 +98,12 @@
       const text = SETTINGS.replace(/config_ms = \d+/, `config_ms = ${boundMs}`);
       const { replica } = processSettings(checkPlatformSettings(text)).daemon;
       const longestPauseMs = replica.backoffMs * 1.5;
-      const secondReadAt = replica.maximumPatienceMs + replica.firstAnswerMs + longestPauseMs;
+      const secondReadAt = replica.maximumStandbyDelayMs + replica.firstAnswerTimeoutMs + longestPauseMs;
       expect(secondReadAt).to.be.at.most(boundMs - SECOND_READ_MS);
-      expect(replica.firstAnswerMs).to.be.within(100, replica.answerMs);
+      expect(replica.firstAnswerTimeoutMs).to.be.within(100, replica.answerTimeoutMs);
     }
     const short = SETTINGS.replace(/config_ms = \d+/, 'config_ms = 100');
-    expect(processSettings(checkPlatformSettings(short)).daemon.replica.firstAnswerMs).to.equal(100);
+    expect(processSettings(checkPlatformSettings(short)).daemon.replica.firstAnswerTimeoutMs).to.equal(100);
   });
 
   it('a missing or wrong field is named', () => {
@@ -188,7 +188,12 @@
       { key: 'c', ver: 5, gone: true },
     ];
     answer = () => ({ status: 200, body: { rows, ver: 9 } });
-    const result = await store.read({ collection: 'backends', after: undefined, waitMs: 0, answerMs: 800 });
+    const result = await store.read({
+      collection: 'backends',
+      after: undefined,
+      waitMs: 0,
+      answerTimeoutMs: 800,
+    });
     expect(bad).to.deep.equal(['b']);
     expect(result).to.include({ kind: 'snapshot', revision: 9 });
     if (result.kind === 'snapshot')
@@ -233,7 +238,7 @@
     ];
     answer = () => ({ status: 200, body: { rows, ver: 30 } });
     for (const after of [undefined, 2]) {
-      const result = await store.read({ collection: 'backends', after, waitMs: 0, answerMs: 800 });
+      const result = await store.read({ collection: 'backends', after, waitMs: 0, answerTimeoutMs: 800 });
       expect(result.kind).to.equal(after === undefined ? 'snapshot' : 'changes');
       if (result.kind !== 'snapshot' && result.kind !== 'changes') return;
       const named = result.records.flatMap((record) =>
@@ -249,7 +254,7 @@
 
   it('refusals, gone histories and answers that are none are told apart', async () => {
     const store = new StoreClient(address, () => undefined);
-    const read = { collection: 'configuration' as const, after: 5, waitMs: 10, answerMs: 800 };
+    const read = { collection: 'configuration' as const, after: 5, waitMs: 10, answerTimeoutMs: 800 };
     answer = () => ({ status: 429 });
     expect(await store.read(read)).to.deep.equal({ kind: 'rejected', status: 429 });
     answer = () => ({ status: 410 });
--- a/test/restarted-back-ends.test.ts
+++ b/test/restarted-back-ends.test.ts
@@ -27,7 +27,7 @@
     0,
   );
   records.forEach((value, i) =>
-    fleet.receive(
+    fleet.receiveReadResult(
       'backends',
       {
         kind: i === 0 ? 'snapshot' : 'changes',
