--- a/src/duties/duty-manager.ts
+++ b/src/duties/duty-manager.ts
@@ -55,19 +55,19 @@
 export const DUTY_CELL = "duties of the fleet"
 const COLLECTOR_KEY = "usage-collector"
 /// Daemons that hear all counts: with one killed and one cut off there is still one that knows them.
-const COLLECTORS = 3
+const COLLECTOR_COUNT = 3
 /// Interval between tellings of counts, for each daemon of the fleet: a daemon that is killed loses so much
 /// of its counts, which are the smaller a part the more daemons there are. Milliseconds.
-const TELL_INTERVAL_PER_DAEMON_MS = 16
+const SEND_INTERVAL_PER_DAEMON_MS = 16
 /// The shortest and the longest such interval. Milliseconds.
-const SHORTEST_TELL_INTERVAL_MS = 200
-const LONGEST_TELL_INTERVAL_MS = 1000
+const MINIMUM_SEND_INTERVAL_MS = 200
+const MAXIMUM_SEND_INTERVAL_MS = 1000
 /// A daemon must have been among the collectors for so long before it takes the lease. Milliseconds.
-const SETTLED_MS = 1500
+const MINIMUM_COLLECTOR_AGE_MS = 1500
 /// A collector that has not heard a whole window leaves a free lease to the others for so long: two of their
 /// looks at it. Milliseconds. Without it 2 reports of 6 were wrong while 30 daemons were restarted one after
 /// the other (virtual time).
-const NEWCOMER_PATIENCE_MS = 2500
+const NEW_COLLECTOR_DELAY_MS = 2500
 
 /// The duties of one daemon. Times are monotonic milliseconds.
 export class DutyManager {
@@ -83,14 +83,14 @@
   private collectsSince: number | undefined
   private collectors: readonly Member[] = []
   private broadcast = true
-  private nextTellAt = -Infinity
-  private actFrom = Infinity
+  private nextSendAt = -Infinity
+  private callsAllowedAt = Infinity
   private tickedAt = 0
 
   constructor(
     private readonly selfId: string,
     private readonly settings: DutySettings,
-    private readonly surroundings: DutyContext,
+    private readonly context: DutyContext,
     private readonly emit: EffectSink<DutyEffect>,
     now: number
   ) {
@@ -116,14 +116,14 @@
     this.tickedAt = now
     const fleetMs = this.clock.getTime(now)
     if (fleetMs === undefined) return
-    this.rank(this.surroundings.getMembers(), now)
-    this.tell(leaving, fleetMs, now)
+    this.updateCollectors(this.context.getMembers(), now)
+    this.sendCounts(leaving, fleetMs, now)
     this.tickLease(leaving, now)
     const held = this.lease.current(now)
     this.reporter ??= this.createReporter(fleetMs)
     if (this.collectsSince === undefined) return
-    this.followDemand(now)
-    if (!held || now < this.actFrom) return
+    this.updateDemand(now)
+    if (!held || now < this.callsAllowedAt) return
     const authority = {holder: this.selfId, fence: held.epoch}
     if (this.settings.reportsUsage) this.reporter.tick(authority, fleetMs, now)
     if (this.settings.ordersServers) this.orderCapacity(authority, now)
@@ -152,20 +152,20 @@
   }
 
   /// Every daemon that may come to hold the duties follows the demand, so that it knows the past.
-  private followDemand(now: number): void {
-    for (const {name, scaling} of this.surroundings.getServices()) {
+  private updateDemand(now: number): void {
+    for (const {name, scaling} of this.context.getServices()) {
       if (!scaling) continue
       let demand = this.demands.get(name)
       if (!demand) this.demands.set(name, (demand = new CapacityDemand(this.settings.demand)))
-      demand.update(this.surroundings.getBackends(name), scaling.spotPrice !== undefined, now)
+      demand.update(this.context.getBackends(name), scaling.spotPrice !== undefined, now)
     }
   }
 
   private orderCapacity(authority: DutyAuthority, now: number): void {
-    for (const service of this.surroundings.getServices()) {
+    for (const service of this.context.getServices()) {
       const wanted = this.demands.get(service.name)?.getWanted(service.scaling, now)
       if (wanted !== undefined)
-        this.capacity.tick(service, this.surroundings.getBackends(service.name), wanted, authority, now)
+        this.capacity.tick(service, this.context.getBackends(service.name), wanted, authority, now)
     }
   }
 
@@ -173,30 +173,30 @@
   /// daemons that have ended since had counted.
   private tickLease(leaving: boolean, now: number): void {
     const {usage} = this.settings
-    const heardMs = this.collectsSince === undefined ? 0 : now - this.collectsSince
-    const knowsPast = heardMs >= usage.windowMs + usage.settleMs
-    const wanted = this.collectsSince !== undefined && !leaving && heardMs >= SETTLED_MS
-    this.lease.tick(now, wanted, knowsPast ? 0 : NEWCOMER_PATIENCE_MS)
+    const collectedMs = this.collectsSince === undefined ? 0 : now - this.collectsSince
+    const hasCompleteWindow = collectedMs >= usage.windowMs + usage.settleMs
+    const wanted = this.collectsSince !== undefined && !leaving && collectedMs >= MINIMUM_COLLECTOR_AGE_MS
+    this.lease.tick(now, wanted, hasCompleteWindow ? 0 : NEW_COLLECTOR_DELAY_MS)
     if (this.collectsSince === undefined || leaving) this.release(now)
   }
 
   private createReporter(fleetMs: number): UsageReporter {
     const {usage} = this.settings
-    const firstWhole = Math.ceil(fleetMs / usage.windowMs)
-    return new UsageReporter(usage, this.collector, firstWhole, this.emit)
+    const firstCompleteWindow = Math.ceil(fleetMs / usage.windowMs)
+    return new UsageReporter(usage, this.collector, firstCompleteWindow, this.emit)
   }
 
   /// A lease that is given back may be taken at once by the daemon that acted before. So it is kept for as
   /// long as one lasts; after that the daemon before has not acted for so long.
   private release(now: number): void {
-    if (now - this.actFrom >= this.settings.lease.durationMs) this.lease.release(now)
+    if (now - this.callsAllowedAt >= this.settings.lease.durationMs) this.lease.release(now)
   }
 
-  private rank(members: readonly Member[], now: number): void {
+  private updateCollectors(members: readonly Member[], now: number): void {
     if (members === this.ranked) return
     this.ranked = members
     const byId = new Map(members.map(member => [member.id, member]))
-    const ids = rankByRendezvous(COLLECTOR_KEY, [...byId.keys()], COLLECTORS)
+    const ids = rankByRendezvous(COLLECTOR_KEY, [...byId.keys()], COLLECTOR_COUNT)
     const before = this.collectors.map(({id}) => id)
     if (ids.length === before.length && ids.every((id, i) => id === before[i])) return
     this.collectors = ids.flatMap(id => byId.get(id) ?? [])
@@ -205,10 +205,10 @@
     this.broadcast = true
   }
 
-  private tell(leaving: boolean, fleetMs: number, now: number): void {
-    if (now < this.nextTellAt) return
-    this.nextTellAt = now + (leaving ? SHORTEST_TELL_INTERVAL_MS : this.getTellIntervalMs())
-    const message = this.counter.takeUntold(fleetMs, this.broadcast)
+  private sendCounts(leaving: boolean, fleetMs: number, now: number): void {
+    if (now < this.nextSendAt) return
+    this.nextSendAt = now + (leaving ? MINIMUM_SEND_INTERVAL_MS : this.getSendIntervalMs())
+    const message = this.counter.takeUnsent(fleetMs, this.broadcast)
     this.broadcast = false
     if (!message) return
     for (const {id, address} of this.collectors) {
@@ -217,14 +217,14 @@
     }
   }
 
-  private getTellIntervalMs(): number {
-    const ms = this.ranked.length * TELL_INTERVAL_PER_DAEMON_MS
-    return Math.min(LONGEST_TELL_INTERVAL_MS, Math.max(SHORTEST_TELL_INTERVAL_MS, ms))
+  private getSendIntervalMs(): number {
+    const ms = this.ranked.length * SEND_INTERVAL_PER_DAEMON_MS
+    return Math.min(MAXIMUM_SEND_INTERVAL_MS, Math.max(MINIMUM_SEND_INTERVAL_MS, ms))
   }
 
   private onLease(effect: LeaseEffect): void {
     if (effect.kind === "leaseAcquired")
-      this.actFrom = this.tickedAt + (effect.epoch > 1 ? this.settings.takeoverWaitMs : 0)
+      this.callsAllowedAt = this.tickedAt + (effect.epoch > 1 ? this.settings.takeoverWaitMs : 0)
     this.emit(effect)
   }
 }
--- a/src/duties/usage-counter.ts
+++ b/src/duties/usage-counter.ts
@@ -5,17 +5,17 @@
 /// Windows kept, so that a new collector can be told of those that are not reported yet. Windows.
 const KEPT_WINDOWS = 4
 /// A window is told once more in full after its end: what was lost on the way is made up for.
-const FULL_TELLINGS = 2
+const FULL_SENDS = 2
 
-interface OwnWindow {
+interface CountedWindow {
   readonly counts: Map<string, number>
-  readonly untold: Set<string>
-  fullTellingsLeft: number
+  readonly unsent: Set<string>
+  fullSendsLeft: number
 }
 
 /// The counts of one daemon. Times of day are milliseconds.
 export class UsageCounter {
-  private readonly windows = new Map<number, OwnWindow>()
+  private readonly windows = new Map<number, CountedWindow>()
 
   constructor(private readonly windowMs: number) {}
 
@@ -24,15 +24,15 @@
     const number = Math.floor(fleetMs / this.windowMs)
     let window = this.windows.get(number)
     if (!window) {
-      window = {counts: new Map(), untold: new Set(), fullTellingsLeft: FULL_TELLINGS}
+      window = {counts: new Map(), unsent: new Set(), fullSendsLeft: FULL_SENDS}
       this.windows.set(number, window)
     }
     window.counts.set(tenant, (window.counts.get(tenant) ?? 0) + 1)
-    window.untold.add(tenant)
+    window.unsent.add(tenant)
   }
 
   /// What is to be told now; undefined when it is nothing. `toAll` tells everything: collectors have changed.
-  takeUntold(fleetMs: number, toAll: boolean): UsageCounts | undefined {
+  takeUnsent(fleetMs: number, toAll: boolean): UsageCounts | undefined {
     const current = Math.floor(fleetMs / this.windowMs)
     const windows: UsageCounts["windows"] = []
     for (const [number, window] of this.windows) {
@@ -46,11 +46,11 @@
   }
 }
 
-function takeEntries(window: OwnWindow, toAll: boolean, ended: boolean): [string, number][] {
-  const {counts, untold} = window
-  const full = ended && window.fullTellingsLeft > 0
-  if (full) window.fullTellingsLeft -= 1
-  const tenants = toAll || full ? [...counts.keys()] : [...untold]
-  untold.clear()
+function takeEntries(window: CountedWindow, toAll: boolean, ended: boolean): [string, number][] {
+  const {counts, unsent} = window
+  const full = ended && window.fullSendsLeft > 0
+  if (full) window.fullSendsLeft -= 1
+  const tenants = toAll || full ? [...counts.keys()] : [...unsent]
+  unsent.clear()
   return tenants.map(tenant => [tenant, counts.get(tenant) ?? 0])
 }
--- a/src/duties/usage-reporter.ts
+++ b/src/duties/usage-reporter.ts
@@ -55,7 +55,7 @@
 
 /// A window whose report is overdue by so much is dropped: nobody knows any more what was sent for it.
 /// Milliseconds.
-const OVERDUE_MS = 20_000
+const MAXIMUM_OVERDUE_MS = 20_000
 /// Rows of windows so far back are removed; no daemon still tries to report them. Windows; of 5 s each they
 /// are ten minutes, and reports are due after 10 s.
 const KEPT_ROWS = 120
@@ -71,7 +71,7 @@
     private readonly settings: UsageReporterSettings,
     private readonly collector: UsageCollector,
     /// The first window that this daemon has seen from its beginning.
-    private readonly firstWhole: number,
+    private readonly firstCompleteWindow: number,
     private readonly emit: EffectSink<UsageEffect>
   ) {}
 
@@ -79,10 +79,10 @@
   tick(authority: DutyAuthority, fleetMs: number, now: number): void {
     const {windowMs, dueMs, settleMs} = this.settings
     const newest = Math.floor((fleetMs - settleMs) / windowMs) - 1
-    const oldest = Math.floor((fleetMs - dueMs - OVERDUE_MS) / windowMs)
+    const oldest = Math.floor((fleetMs - dueMs - MAXIMUM_OVERDUE_MS) / windowMs)
     this.removeBefore(oldest)
     for (let window = oldest; window <= newest; window += 1) {
-      if (this.mayReport(window)) this.advance(this.getReport(window), authority, now)
+      if (this.isReportable(window)) this.runNextStep(this.getReport(window), authority, now)
     }
   }
 
@@ -103,7 +103,7 @@
         break
       default:
         report.counts = undefined
-        this.backOff(report, now)
+        this.startBackoff(report, now)
     }
   }
 
@@ -113,7 +113,7 @@
     if (!report) return
     report.inFlight = false
     if (result.kind !== "accepted") {
-      this.backOff(report, now)
+      this.startBackoff(report, now)
       return
     }
     report.done = true
@@ -125,11 +125,11 @@
 
   /// A window is reported by whoever has heard of it or has seen it whole: a report of nothing by a daemon
   /// that started later would be final and wrong.
-  private mayReport(window: number): boolean {
-    return window >= this.firstWhole || this.collector.has(window)
+  private isReportable(window: number): boolean {
+    return window >= this.firstCompleteWindow || this.collector.has(window)
   }
 
-  private advance(report: Report, authority: DutyAuthority, now: number): void {
+  private runNextStep(report: Report, authority: DutyAuthority, now: number): void {
     if (report.done || report.inFlight || now < report.nextAt) return
     report.inFlight = true
     const {window, counts} = report
@@ -178,7 +178,7 @@
     this.collector.removeBefore(oldest)
   }
 
-  private backOff(report: Report, now: number): void {
+  private startBackoff(report: Report, now: number): void {
     const {backoffMs, maximumBackoffMs} = this.settings
     report.nextAt = now + Math.min(maximumBackoffMs, backoffMs * 2 ** report.failures)
     report.failures += 1
--- a/src/fleet/fleet-replica.ts
+++ b/src/fleet/fleet-replica.ts
@@ -19,7 +19,7 @@
 
 /// Larger changes are told by their revision alone, and every daemon reads them for itself: a relay that
 /// passes them on to 30 daemons over a link of 20 Mbit/s would be busy for half a second. Characters.
-const MAXIMUM_TOLD_LENGTH = 32_768
+const MAXIMUM_PUBLISHED_LENGTH = 32_768
 
 /// The replica of one daemon. Times are monotonic milliseconds.
 export class FleetReplica {
@@ -102,7 +102,7 @@
   /// Takes the answer to a `readRecords` effect.
   receiveReadResult(collection: RecordCollection, result: RecordReadResult, now: number): void {
     const follower = this.followers[collection]
-    follower.receiveEnd(result.kind === "snapshot" || result.kind === "changes", now)
+    follower.receiveReadEnd(result.kind === "snapshot" || result.kind === "changes", now)
     switch (result.kind) {
       case "snapshot":
         this.applySnapshot(follower, result.revision, result.records, now)
@@ -129,12 +129,12 @@
   /// Takes changes that a peer has read from the store.
   receiveChanges(peerId: string, message: RecordsChanged, now: number): void {
     const follower = this.followers[message.collection]
-    const holdUntil = message.lapsed === true ? follower.getToldHold(now) : undefined
+    const holdUntil = message.lapsed === true ? follower.getPeerHold(now) : undefined
     for (const record of message.records) this.copy.apply(record, peerId, {holdUntil})
     const {cursor} = follower
-    const whole = message.records.length > 0 && cursor !== undefined && cursor >= message.from
-    if (whole) follower.advance(message.to)
-    else follower.receiveRumor(message.changed, now)
+    const isComplete = message.records.length > 0 && cursor !== undefined && cursor >= message.from
+    if (isComplete) follower.setKnownRevision(message.to)
+    else follower.receivePeerRevision(message.changed, now)
   }
 
   /// Takes everything that a peer knows.
@@ -183,18 +183,18 @@
       if (record.revision > from) changed = Math.max(changed, record.revision)
       this.copy.apply(record, STORE_SOURCE, {holdUntil})
     }
-    follower.advance(revision)
-    if (changed === 0 || !follower.hasToTell()) return
+    follower.setKnownRevision(revision)
+    if (changed === 0 || !follower.isPublisher()) return
     const {collection} = follower
-    const told = isSmall(records) ? [...records] : []
+    const published = isSmall(records) ? [...records] : []
     const lapsed = holdUntil !== undefined
     this.emit({
       kind: "tellPeers",
-      message: {kind: "recordsChanged", collection, from, to: revision, changed, records: told, lapsed}
+      message: {kind: "recordsChanged", collection, from, to: revision, changed, records: published, lapsed}
     })
   }
 }
 
 function isSmall(records: readonly StoredRecord[]): boolean {
-  return JSON.stringify(records).length <= MAXIMUM_TOLD_LENGTH
+  return JSON.stringify(records).length <= MAXIMUM_PUBLISHED_LENGTH
 }
--- a/src/fleet/load-relay.ts
+++ b/src/fleet/load-relay.ts
@@ -11,7 +11,7 @@
 /// Placements passed on in one message at most: each costs some 30 bytes, and a message goes to a whole zone.
 const MAXIMUM_PLACEMENTS = 256
 
-interface Told {
+interface ReceivedLoads {
   readonly address: string
   readonly loads: readonly BackendLoad[]
   readonly at: number
@@ -61,11 +61,11 @@
 
 /// What a relay has been told and has still to tell. Times are monotonic milliseconds.
 export class LoadRelay {
-  private readonly members = new Map<string, Told>()
+  private readonly members = new Map<string, ReceivedLoads>()
   /// Zones of the own region, by the relay that told.
-  private readonly zones = new Map<string, Told>()
+  private readonly zones = new Map<string, ReceivedLoads>()
   /// Other regions, by name: a region whose relay changes is not counted twice.
-  private readonly regions = new Map<string, Told>()
+  private readonly regions = new Map<string, ReceivedLoads>()
   /// Outcomes and placements of the own zone for the other zones, of the region for other regions, and of the
   /// whole fleet for the own zone.
   private readonly outcomesForZones = new Map<string, Outcomes>()
@@ -87,15 +87,15 @@
     this.zones.set(id, {address, loads, at: now})
     addOutcomes(this.outcomesForMembers, loads)
     addOutcomes(this.outcomesForRegions, loads)
-    this.placementsForMembers = join(this.placementsForMembers, placements)
-    this.placementsForRegions = join(this.placementsForRegions, placements)
+    this.placementsForMembers = appendPlacements(this.placementsForMembers, placements)
+    this.placementsForRegions = appendPlacements(this.placementsForRegions, placements)
   }
 
   /// The relay of another region told the sums of that region.
   applyRegion(region: string, address: string, {loads, placements}: RelayedLoads, now: number): void {
     this.regions.set(region, {address, loads, at: now})
     addOutcomes(this.outcomesForMembers, loads)
-    this.placementsForMembers = join(this.placementsForMembers, placements)
+    this.placementsForMembers = appendPlacements(this.placementsForMembers, placements)
   }
 
   /// This daemon's own outcomes and placements, which go with those of its zone.
@@ -106,9 +106,9 @@
   }
 
   addPlacements(placements: readonly PartPlacement[]): void {
-    this.placementsForZones = join(this.placementsForZones, placements)
-    this.placementsForRegions = join(this.placementsForRegions, placements)
-    this.placementsForMembers = join(this.placementsForMembers, placements)
+    this.placementsForZones = appendPlacements(this.placementsForZones, placements)
+    this.placementsForRegions = appendPlacements(this.placementsForRegions, placements)
+    this.placementsForMembers = appendPlacements(this.placementsForMembers, placements)
   }
 
   /// Daemons that have told their loads here and so rely on this one.
@@ -117,9 +117,9 @@
   }
 
   /// Forgets what is too old.
-  removeOld(now: number): void {
-    for (const told of [this.members, this.zones, this.regions])
-      for (const [id, {at}] of told) if (now - at > DIGEST_LIFETIME_MS) told.delete(id)
+  removeExpired(now: number): void {
+    for (const loadsById of [this.members, this.zones, this.regions])
+      for (const [id, {at}] of loadsById) if (now - at > DIGEST_LIFETIME_MS) loadsById.delete(id)
     if (this.members.size > 0) return
     // Nobody listens: what is kept for them would be old when somebody does.
     this.outcomesForMembers.clear()
@@ -128,7 +128,7 @@
 
   /// The sums of the own zone, for the other zones.
   takeZone(own: readonly BackendLoad[]): RelayedLoads {
-    const sums = this.sumZone(own)
+    const sums = this.getZoneSums(own)
     const placements = this.placementsForZones
     this.placementsForZones = []
     return {loads: sums.takeLoads(this.outcomesForZones), placements}
@@ -136,34 +136,34 @@
 
   /// The sums of the own region, for the other regions.
   takeRegion(own: readonly BackendLoad[]): RelayedLoads {
-    const sums = this.sumRegion(own)
+    const sums = this.getRegionSums(own)
     const placements = this.placementsForRegions
     this.placementsForRegions = []
     return {loads: sums.takeLoads(this.outcomesForRegions), placements}
   }
 
   /// Another daemon tells the other regions: what was kept for them is its to tell.
-  forgetRegion(): void {
+  removeRegionBacklog(): void {
     this.outcomesForRegions.clear()
     this.placementsForRegions = []
   }
 
   /// The sums of the whole fleet, for the own zone.
   takeFleet(own: readonly BackendLoad[]): RelayedLoads {
-    const sums = this.sumRegion(own)
+    const sums = this.getRegionSums(own)
     for (const {loads} of this.regions.values()) sums.add(loads)
     const placements = this.placementsForMembers
     this.placementsForMembers = []
     return {loads: sums.takeLoads(this.outcomesForMembers), placements}
   }
 
-  private sumRegion(own: readonly BackendLoad[]): LoadSums {
-    const sums = this.sumZone(own)
+  private getRegionSums(own: readonly BackendLoad[]): LoadSums {
+    const sums = this.getZoneSums(own)
     for (const {loads} of this.zones.values()) sums.add(loads)
     return sums
   }
 
-  private sumZone(own: readonly BackendLoad[]): LoadSums {
+  private getZoneSums(own: readonly BackendLoad[]): LoadSums {
     const sums = new LoadSums()
     sums.add(own)
     for (const {loads} of this.members.values()) sums.add(loads)
@@ -182,6 +182,6 @@
   }
 }
 
-function join(known: PartPlacement[], more: readonly PartPlacement[]): PartPlacement[] {
+function appendPlacements(known: PartPlacement[], more: readonly PartPlacement[]): PartPlacement[] {
   return [...known, ...more].slice(-MAXIMUM_PLACEMENTS)
 }
--- a/src/fleet/peer-exchange.ts
+++ b/src/fleet/peer-exchange.ts
@@ -62,7 +62,7 @@
 }
 
 /// What goes along with the loads.
-interface ExchangedNews {
+interface DigestExtras {
   readonly placements: PlacementExchange
   readonly limits: Pick<BackendLimits, "getTold" | "applyTold">
   readonly leaving: Pick<LeavingBackends, "getTold" | "applyTold">
@@ -75,7 +75,7 @@
 }
 
 /// Loads of the whole fleet as a relay tells them stand under this name, in place of those of single peers.
-const FLEET = "fleet"
+const FLEET_LOADS_KEY = "fleet"
 
 /// The daemons of the fleet.
 interface PeerMembers extends RelayPlace {
@@ -87,7 +87,7 @@
 /// A daemon that passed over a silent relay tries the first one again after so long. Milliseconds. Without it
 /// both relays of a zone went on for good: 150 in place of 100 digests a second between zones at 72 daemons
 /// (virtual time).
-const RETURN_MS = 10_000
+const PREFERRED_RELAY_RETRY_MS = 10_000
 
 const NO_RELAYS: RelayRanking = {
   ownZone: [],
@@ -111,14 +111,14 @@
   private peers: readonly string[] = []
   /// The relay in use, and when it was taken or last heard.
   private relayAddress: string | undefined
-  private relayHeardAt = -Infinity
-  private returnAt = -Infinity
+  private lastRelayContactAt = -Infinity
+  private preferredRelayRetryAt = -Infinity
 
   constructor(
     private readonly settings: PeerExchangeSettings,
     private readonly replica: FleetReplica,
     private readonly directory: BackendDirectory,
-    private readonly news: ExchangedNews,
+    private readonly extras: DigestExtras,
     private readonly members: PeerMembers,
     random: RandomSource,
     private readonly emit: EffectSink<PeerSend>,
@@ -132,10 +132,10 @@
     if (now < this.nextDigestAt) return
     this.rankMembers()
     this.directory.peers.removeOld(now)
-    const own = {loads: this.directory.takeLoads(now), placements: [...this.news.placements.take()]}
+    const own = {loads: this.directory.takeLoads(now), placements: [...this.extras.placements.take()]}
     if (this.isRelayed()) this.tickRelayed(own, now)
     else {
-      this.nextDigestAt = now + this.digestIntervalMs(this.peers.length)
+      this.nextDigestAt = now + this.getDigestIntervalMs(this.peers.length)
       this.sendDigest(this.peers, "own", own, now)
     }
   }
@@ -147,35 +147,40 @@
 
   private tickRelayed(own: RelayedLoads, now: number): void {
     this.nextDigestAt = now + this.getRelayIntervalMs()
-    this.relay.removeOld(now)
+    this.relay.removeExpired(now)
     const {selfAddress} = this.members
     const relayAddress = this.pickRelay(now)
-    const dependants = this.relay.getMemberAddresses()
-    if (relayAddress === selfAddress || dependants.length > 0) this.relayLoads(own, dependants, now)
+    const memberAddresses = this.relay.getMemberAddresses()
+    if (relayAddress === selfAddress || memberAddresses.length > 0)
+      this.sendRelayedLoads(own, memberAddresses, now)
     else {
       // Others tell for the region: kept here, it would be told when it is long past.
-      this.relay.forgetRegion()
+      this.relay.removeRegionBacklog()
       if (relayAddress !== undefined) this.sendDigest([relayAddress], "own", own, now)
     }
   }
 
   /// Where daemons disagree for a while on who relays, a zone has two relays, and each tells the other what
   /// its part puts on.
-  private relayLoads({loads, placements}: RelayedLoads, dependants: readonly string[], now: number): void {
+  private sendRelayedLoads(
+    {loads, placements}: RelayedLoads,
+    dependants: readonly string[],
+    now: number
+  ): void {
     this.relay.addOutcomes(loads)
     this.relay.addPlacements(placements)
     this.sendDigest(this.getOtherRelaysOfRegion(), "zone", this.relay.takeZone(loads), now)
-    this.relayRegion(loads, now)
+    this.sendRegionLoads(loads, now)
     const fleet = this.relay.takeFleet(loads)
     this.sendDigest(dependants, "fleet", fleet, now)
-    this.directory.applyFleetLoads(FLEET, fleet.loads, now)
+    this.directory.applyFleetLoads(FLEET_LOADS_KEY, fleet.loads, now)
   }
 
   /// One daemon of a region tells each other region what its own puts on.
-  private relayRegion(loads: RelayedLoads["loads"], now: number): void {
+  private sendRegionLoads(loads: RelayedLoads["loads"], now: number): void {
     const {regionRelay, otherRegionRelays} = this.ranking
     if (regionRelay !== this.members.selfAddress || otherRegionRelays.length === 0) {
-      this.relay.forgetRegion()
+      this.relay.removeRegionBacklog()
       return
     }
     if (now < this.nextRegionDigestAt) return
@@ -197,8 +202,8 @@
     if (addresses.length === 0) return
     const knowledge = this.replica.getKnowledge(now)
     const ofRegion = scope === "region" ? {region: this.members.region, passOn: true} : {}
-    const limits = this.news.limits.getTold(now)
-    const leaving = this.news.leaving.getTold()
+    const limits = this.extras.limits.getTold(now)
+    const leaving = this.extras.leaving.getTold()
     const message: FleetMessage = {
       kind: "loadDigest",
       scope,
@@ -218,8 +223,8 @@
       case "loadDigest":
         this.applyLoads(fromId, fromAddress, message, now)
         this.replica.receiveKnowledge(message.knowledge, now)
-        if (message.passOn === true) this.passOnLoads(message, now)
-        this.pullWhenBehind(fromAddress, message.knowledge, now)
+        if (message.passOn === true) this.sendLoadsToRelays(message, now)
+        this.sendPullWhenBehind(fromAddress, message.knowledge, now)
         break
       case "recordsPull": {
         const {sequence} = message
@@ -252,7 +257,7 @@
 
   /// Loads of another region go to the other relays of this one, with what this daemon knows of the store by
   /// now.
-  private passOnLoads(message: LoadDigest, now: number): void {
+  private sendLoadsToRelays(message: LoadDigest, now: number): void {
     const knowledge = this.replica.getKnowledge(now)
     this.sendToAll(this.getOtherRelaysOfRegion(), {...message, knowledge, passOn: false})
   }
@@ -266,7 +271,7 @@
   }
 
   /// The store is asked first; a peer is asked when the store has not helped for a while.
-  private pullWhenBehind(fromAddress: string, knowledge: FleetKnowledge, now: number): void {
+  private sendPullWhenBehind(fromAddress: string, knowledge: FleetKnowledge, now: number): void {
     const own = this.replica.getKnowledge(now)
     const lacks = (collection: RecordCollection) => knowledge[collection].changed > own[collection].complete
     const behind = this.replica.isBehind("configuration") || this.replica.isBehind("backends")
@@ -286,15 +291,15 @@
     return Math.min(relayIntervalMs, Math.max(minimumRelayIntervalMs, ms))
   }
 
-  private digestIntervalMs(peers: number): number {
+  private getDigestIntervalMs(peers: number): number {
     const {digestIntervalMs, digestIntervalPerPeerMs, minimumDigestIntervalMs} = this.settings
     return Math.min(digestIntervalMs, Math.max(minimumDigestIntervalMs, peers * digestIntervalPerPeerMs))
   }
 
   private applyLoads(fromId: string, fromAddress: string, message: LoadDigest, now: number): void {
-    for (const placement of message.placements) this.news.placements.addPlacement(placement)
-    this.news.limits.applyTold(message.limits ?? [], now)
-    this.news.leaving.applyTold(message.leaving ?? [], now)
+    for (const placement of message.placements) this.extras.placements.addPlacement(placement)
+    this.extras.limits.applyTold(message.limits ?? [], now)
+    this.extras.leaving.applyTold(message.leaving ?? [], now)
     switch (message.scope ?? "own") {
       case "own":
         // Whoever tells a relay its loads hears those of the fleet from it; in a small fleet everybody tells
@@ -309,8 +314,8 @@
         if (message.region !== undefined) this.relay.applyRegion(message.region, fromAddress, message, now)
         break
       case "fleet":
-        if (fromAddress === this.relayAddress) this.relayHeardAt = now
-        this.directory.applyFleetLoads(FLEET, message.loads, now)
+        if (fromAddress === this.relayAddress) this.lastRelayContactAt = now
+        this.directory.applyFleetLoads(FLEET_LOADS_KEY, message.loads, now)
         break
     }
   }
@@ -321,14 +326,14 @@
     const {ownZone} = this.ranking
     const known = this.relayAddress !== undefined && ownZone.includes(this.relayAddress)
     const isSelf = this.relayAddress === this.members.selfAddress
-    const isHeard = isSelf || now - this.relayHeardAt <= this.settings.relayTimeoutMs
-    if (known && isHeard && (this.relayAddress === ownZone[0] || now < this.returnAt))
+    const isResponding = isSelf || now - this.lastRelayContactAt <= this.settings.relayTimeoutMs
+    if (known && isResponding && (this.relayAddress === ownZone[0] || now < this.preferredRelayRetryAt))
       return this.relayAddress
-    const isSilent = known && !isHeard
-    this.returnAt = isSilent ? now + RETURN_MS : -Infinity
+    const isSilent = known && !isResponding
+    this.preferredRelayRetryAt = isSilent ? now + PREFERRED_RELAY_RETRY_MS : -Infinity
     const place = isSilent ? ownZone.indexOf(this.relayAddress ?? "") + 1 : 0
     this.relayAddress = ownZone[place % Math.max(1, ownZone.length)]
-    this.relayHeardAt = now
+    this.lastRelayContactAt = now
     return this.relayAddress
   }
 
--- a/src/fleet/record-copy.ts
+++ b/src/fleet/record-copy.ts
@@ -13,7 +13,7 @@
 
 interface ApplyOptions {
   /// A removal counts also at the revision that is known.
-  readonly sameRevisionCounts?: boolean
+  readonly allowSameRevision?: boolean
   /// Until when a removed back end keeps its work, if its record may only have lapsed.
   readonly holdUntil?: number | undefined
 }
@@ -24,7 +24,7 @@
   private current: RouteConfiguration | undefined
   private backendsRevision = 0
   private readonly backends = new Map<string, KnownBackend>()
-  private readonly lapsed = new ExpiredBackends()
+  private readonly expired = new ExpiredBackends()
 
   constructor(private readonly emit: EffectSink<FleetEffect>) {}
 
@@ -59,7 +59,7 @@
 
   /// Removes the back ends whose records have not come back in time after an outage.
   tick(now: number): void {
-    for (const id of this.lapsed.takeExpired(now))
+    for (const id of this.expired.takeExpired(now))
       this.emit({kind: "backendRemoved", id, revision: this.backendsRevision, source: STORE_SOURCE})
   }
 
@@ -80,7 +80,7 @@
     for (const [id, known] of this.backends) {
       if (present.has(id) || known.value === undefined || known.revision > revision) continue
       const record = {collection: "backends" as const, id, revision, value: undefined}
-      this.apply(record, source, {sameRevisionCounts: true, holdUntil})
+      this.apply(record, source, {allowSameRevision: true, holdUntil})
     }
   }
 
@@ -100,23 +100,23 @@
     id: string,
     record: {revision: number; value?: BackendRecord | undefined},
     source: RecordSource,
-    {sameRevisionCounts = false, holdUntil}: ApplyOptions
+    {allowSameRevision = false, holdUntil}: ApplyOptions
   ): void {
     const known = this.backends.get(id)
     const newer = !known || record.revision > known.revision
-    if (!newer && !(sameRevisionCounts && record.revision === known.revision)) return
+    if (!newer && !(allowSameRevision && record.revision === known.revision)) return
     const {revision, value} = record
     this.backends.set(id, {revision, value})
     this.backendsRevision = Math.max(this.backendsRevision, revision)
     if (value) {
-      this.lapsed.remove(id)
+      this.expired.remove(id)
       // A back end that was started again under its id knows nothing of before: everything that is known of
       // it goes first.
       if (known?.value && isOtherIncarnation(known.value, value))
         this.emit({kind: "backendRemoved", id, revision, source})
       this.emit({kind: "backendChanged", record: value, revision, source})
     } else if (known?.value?.state === "ready" && holdUntil !== undefined) {
-      this.lapsed.add(id, holdUntil)
+      this.expired.add(id, holdUntil)
       this.emit({kind: "backendLapsed", id, revision, source, holdUntil})
     } else if (known?.value) this.emit({kind: "backendRemoved", id, revision, source})
   }
--- a/src/fleet/relay-ranking.ts
+++ b/src/fleet/relay-ranking.ts
@@ -35,7 +35,7 @@
 
 /// Ranks the members that are alive; those that are suspected relay nothing.
 export function rankRelays(members: readonly Member[], own: RelayPlace): RelayRanking {
-  const zones = groupByZone(members).map(makeZoneRelays)
+  const zones = groupByZone(members).map(createZoneRelays)
   const inRegion = zones.filter(({region}) => region === own.region)
   const elsewhere = zones.filter(({region}) => region !== own.region)
   const regions = [...new Set(elsewhere.map(({region}) => region))]
@@ -61,7 +61,7 @@
   return [...byZone.values()]
 }
 
-function makeZoneRelays(members: readonly Member[]): ZoneRelays {
+function createZoneRelays(members: readonly Member[]): ZoneRelays {
   const addresses = new Map(members.map(member => [member.id, member.address]))
   const ids = rankByRendezvous(RELAY_KEY, [...addresses.keys()], RELAYS_PER_ZONE)
   const [{zone, region}] = members
--- a/src/fleet/store-follower.ts
+++ b/src/fleet/store-follower.ts
@@ -16,13 +16,13 @@
 const MAXIMUM_BACKOFF_DOUBLINGS = 6
 /// Only the first in rank tell their peers, so that an outage of the first does not make everybody tell
 /// everybody.
-const TELLING_RANKS = 3
+const PUBLISHING_RANKS = 3
 /// A read that took so much longer than it was to wait says nothing about the time at which it was answered.
 /// Milliseconds; a slow store answers in some 200.
-const ANSWER_DELAY_MS = 300
+const MAXIMUM_ANSWER_DELAY_MS = 300
 /// A change of back ends that a peer knows of is on its way here already, most times. Milliseconds;
 /// the pause of the reader between answers with changes.
-const RUMOR_DELAY_MS = 150
+const PEER_CHANGE_DELAY_MS = 150
 
 /// The follower of one collection. Times are monotonic milliseconds.
 export class StoreFollower {
@@ -37,7 +37,7 @@
   private nextAt: number
   private failures = 0
   /// One of the failures was a refusal or silence; a history that is gone is an answer.
-  private unanswered = false
+  private hasStoreFailure = false
   /// `storeLost` was told, and `storeRegained` not yet.
   private isReportedLost = false
   /// When the first of the failures in a row was asked.
@@ -45,13 +45,13 @@
   /// Until when a removal that this daemon reads may mean only that a record lapsed in an outage.
   private readHoldUntil = -Infinity
   /// The same of a removal of which a peer says so.
-  private toldHoldUntil = -Infinity
+  private peerHoldUntil = -Infinity
   /// When the copy was last known to be complete, from the store or by a peer's word.
   private completeAt = -Infinity
   /// The store's clock at the newest answer of which this daemon knows, its own or a peer's.
   private storeMs = -Infinity
   /// The newest revision that a peer knows and this daemon may lack.
-  private rumored = 0
+  private peerRevision = 0
   private rank = 0
 
   /// `hasRecords` says whether anything of the collection is known here, from whomever.
@@ -84,8 +84,8 @@
   }
 
   /// Whether this daemon is among those that tell their peers of changes.
-  hasToTell(): boolean {
-    return this.rank < TELLING_RANKS
+  isPublisher(): boolean {
+    return this.rank < PUBLISHING_RANKS
   }
 
   /// How much is known, for the peers; `changed` is the newest revision among the records.
@@ -93,9 +93,9 @@
     const {cursor, completeAt, storeMs, knowsRemovalsSince} = this
     // Known from a peer alone that lacked something itself: nothing to vouch for.
     if (cursor === undefined || completeAt === -Infinity) return {complete: -1, changed, ageMs: 0}
-    const told = Number.isFinite(storeMs) ? storeMs : undefined
+    const knownStoreMs = Number.isFinite(storeMs) ? storeMs : undefined
     const since = knowsRemovalsSince > 0 ? {since: knowsRemovalsSince} : {}
-    return {complete: cursor, changed, ageMs: Math.round(now - completeAt), storeMs: told, ...since}
+    return {complete: cursor, changed, ageMs: Math.round(now - completeAt), storeMs: knownStoreMs, ...since}
   }
 
   /// The clock stood still for a time that it has not counted: what is known is older than it seems.
@@ -110,7 +110,7 @@
 
   /// Whether a peer knows of changes that are missing here.
   isBehind(): boolean {
-    return this.cursor === undefined || this.cursor < this.rumored
+    return this.cursor === undefined || this.cursor < this.peerRevision
   }
 
   /// How long the store has not answered this daemon and, as far as it knows, no other. Milliseconds; 0 when
@@ -127,15 +127,15 @@
   }
 
   /// The same of a removal which a peer has read after an outage.
-  getToldHold(now: number): number | undefined {
-    this.noteSilence(now)
-    return now < this.toldHoldUntil ? this.toldHoldUntil : undefined
+  getPeerHold(now: number): number | undefined {
+    this.updatePeerHold(now)
+    return now < this.peerHoldUntil ? this.peerHoldUntil : undefined
   }
 
   /// When a read that waited for changes was answered, as far as that is certain.
   getAnswerTime(now: number): number {
-    const prompt = now - this.sentAt <= this.lastWaitMs + ANSWER_DELAY_MS
-    return prompt ? now : this.sentAt
+    const isOnTime = now - this.sentAt <= this.lastWaitMs + MAXIMUM_ANSWER_DELAY_MS
+    return isOnTime ? now : this.sentAt
   }
 
   /// Asks the store if it is time.
@@ -144,9 +144,9 @@
   }
 
   /// Notes that the read has ended, with an answer of records or without.
-  receiveEnd(answered: boolean, now: number): void {
+  receiveReadEnd(answered: boolean, now: number): void {
     this.inFlight = false
-    if (answered && this.hasHadLongOutage(now)) this.readHoldUntil = this.getHoldAfterSilence(now)
+    if (answered && this.hasHadLongOutage(now)) this.readHoldUntil = this.getHoldAfterOutage(now)
   }
 
   /// Takes the store's word that the copy was complete at a time; the next read comes after a pause.
@@ -155,8 +155,8 @@
     if (this.isReportedLost)
       this.emit({kind: "storeRegained", collection: this.collection, outageMs: this.getOutageMs(now)})
     this.isReportedLost = false
-    this.forgetFailures()
-    this.noteSilence(now)
+    this.removeFailures()
+    this.updatePeerHold(now)
     this.completeAt = Math.max(this.completeAt, completeAt)
     // A read that does not wait is answered at once, also by a store that lags behind what peers have told.
     const pause = this.lastWaitMs > 0 ? pauseMs : Math.max(pauseMs, this.settings.batchDelayMs)
@@ -167,15 +167,15 @@
   /// Takes the store's word that its history does not reach back far enough: a snapshot is read next.
   receiveHistoryGone(now: number): void {
     this.knownRevision = undefined
-    this.backOff(now)
+    this.startBackoff(now)
   }
 
   /// Takes a refusal or silence.
   receiveFailure(reason: string, now: number): void {
     if (!this.isReportedLost) this.emit({kind: "storeLost", collection: this.collection, reason})
     this.isReportedLost = true
-    this.backOff(now)
-    this.unanswered = true
+    this.startBackoff(now)
+    this.hasStoreFailure = true
   }
 
   /// Takes the revision of the store's snapshot that was applied.
@@ -188,22 +188,23 @@
   receiveCopy({complete, since = 0}: RecordKnowledge): void {
     if (complete < 0) return
     if (this.cursor === undefined || this.cursor < Math.min(since, complete)) this.knowsRemovalsSince = since
-    this.advance(complete)
+    this.setKnownRevision(complete)
   }
 
   /// Takes that changes up to a revision are known.
-  advance(revision: number): void {
+  setKnownRevision(revision: number): void {
     this.knownRevision = Math.max(this.cursor ?? 0, revision)
   }
 
   /// Takes a peer's word that there is a change.
-  receiveRumor(changed: number, now: number): void {
-    if (changed <= this.rumored) return
+  receivePeerRevision(changed: number, now: number): void {
+    if (changed <= this.peerRevision) return
     // Word puts off no read that is due without it: put off by each, none went out while words came each 140
     // ms, and one that was late already came 150 ms later.
     const wasDue = this.isDue(now)
-    this.rumored = changed
-    if (!wasDue && this.collection === "backends") this.nextAt = Math.max(this.nextAt, now + RUMOR_DELAY_MS)
+    this.peerRevision = changed
+    if (!wasDue && this.collection === "backends")
+      this.nextAt = Math.max(this.nextAt, now + PEER_CHANGE_DELAY_MS)
   }
 
   /// Takes a peer's word on how much it knows.
@@ -215,14 +216,14 @@
     const {complete, changed, ageMs, storeMs = -Infinity, since = 0} = knowledge
     if (complete < 0 || this.cursor === undefined) return
     if (this.cursor < changed) {
-      this.receiveRumor(changed, now)
+      this.receivePeerRevision(changed, now)
       return
     }
     if (this.cursor < since) return
-    this.advance(complete)
+    this.setKnownRevision(complete)
     if (storeMs <= this.storeMs) return
     this.storeMs = storeMs
-    this.noteSilence(now)
+    this.updatePeerHold(now)
     this.completeAt = Math.max(this.completeAt, now - Math.max(0, ageMs))
   }
 
@@ -234,8 +235,8 @@
       standbyDelayStepMs: patienceStepMs,
       maximumStandbyDelayMs: maximumPatienceMs
     } = this.settings
-    const patience = Math.min(maximumPatienceMs, patienceMs + (this.rank - 1) * patienceStepMs)
-    return now - this.completeAt > patience
+    const delayMs = Math.min(maximumPatienceMs, patienceMs + (this.rank - 1) * patienceStepMs)
+    return now - this.completeAt > delayMs
   }
 
   /// The first in rank waits at the store for changes. The others ask when they have not heard for long, and
@@ -244,7 +245,7 @@
   private read(now: number): void {
     // The store has answered somebody since the newest read here failed: what comes now is another matter.
     // Counted on, failures of long ago make a daemon wait for its first read and hold a removal.
-    if (this.rank > 0 && this.completeAt > this.lastSentAt) this.forgetFailures()
+    if (this.rank > 0 && this.completeAt > this.lastSentAt) this.removeFailures()
     this.inFlight = true
     this.lastSentAt = now
     const {collection, cursor, settings} = this
@@ -257,14 +258,14 @@
     })
   }
 
-  private forgetFailures(): void {
+  private removeFailures(): void {
     this.failures = 0
-    this.unanswered = false
+    this.hasStoreFailure = false
   }
 
   /// Word of the store ends a time without; what is removed then may have lapsed.
-  private noteSilence(now: number): void {
-    this.toldHoldUntil = Math.max(this.toldHoldUntil, this.getHoldAfterSilence(now))
+  private updatePeerHold(now: number): void {
+    this.peerHoldUntil = Math.max(this.peerHoldUntil, this.getHoldAfterOutage(now))
   }
 
   /// Until when removals are held after a time without word of the store, as of now.
@@ -274,24 +275,24 @@
   /// hold ends while removals of that time still count as known in time. Held for the whole grace because of
   /// its own outage, a back end was known to be gone up to 3,428 ms after it was, of 3,000 (virtual time, 16
   /// daemons, the first reader turned away for 5 s).
-  private getHoldAfterSilence(now: number): number {
+  private getHoldAfterOutage(now: number): number {
     const {
       expiryOutageMs: lapseOutageMs,
       expiryGraceMs: lapseGraceMs,
       peerConfirmationMs: servedElsewhereMs,
       staleMs
     } = this.settings
-    const silentMs = this.getAgeMs(now)
-    if (silentMs < lapseOutageMs || !Number.isFinite(silentMs)) return -Infinity
+    const unconfirmedMs = this.getAgeMs(now)
+    if (unconfirmedMs < lapseOutageMs || !Number.isFinite(unconfirmedMs)) return -Infinity
     const until = now + lapseGraceMs
-    return silentMs >= servedElsewhereMs ? until : Math.min(until, this.completeAt + staleMs)
+    return unconfirmedMs >= servedElsewhereMs ? until : Math.min(until, this.completeAt + staleMs)
   }
 
   private hasHadLongOutage(now: number): boolean {
-    return this.unanswered && now - this.failingSince >= this.settings.expiryOutageMs
+    return this.hasStoreFailure && now - this.failingSince >= this.settings.expiryOutageMs
   }
 
-  private backOff(now: number): void {
+  private startBackoff(now: number): void {
     const {backoffMs, maximumBackoffMs, emptyBackoffMs: unknowingBackoffMs} = this.settings
     const pause = Math.min(
       this.hasRecords() ? maximumBackoffMs : unknowingBackoffMs,
--- a/src/membership/member-list.ts
+++ b/src/membership/member-list.ts
@@ -1,6 +1,6 @@
 /** What a daemon believes of every daemon, with the counts and lists that others ask for at every event. */
 import { hashText } from '../shared/rendezvous-hash.js';
-import { daemonName, isGone } from './member-rules.js';
+import { getDaemonName, isGone } from './member-rules.js';
 import type { Member } from './membership-messages.js';
 
 /** The belief about one daemon. */
@@ -25,7 +25,7 @@
   private cachedNames: Set<string> | undefined;
   private cachedAddresses: Set<string> | undefined;
   /** Members that are not alive: only these have something to wait for. */
-  private readonly doubted = new Set<string>();
+  private readonly notAlive = new Set<string>();
 
   /** How many daemons are known, dead ones included. */
   get size(): number {
@@ -57,8 +57,8 @@
   }
 
   /** The members that are not alive. */
-  getDoubted(): readonly MemberRecord[] {
-    const records = [...this.doubted].map((id) => this.records.get(id));
+  getNotAlive(): readonly MemberRecord[] {
+    const records = [...this.notAlive].map((id) => this.records.get(id));
     return records.filter((record) => record !== undefined);
   }
 
@@ -68,12 +68,12 @@
    */
   getContact(): ContactCount {
     if (this.cachedContact) return this.cachedContact;
-    const names = new Set(this.getActive().map((member) => daemonName(member.id)));
+    const names = new Set(this.getActive().map((member) => getDaemonName(member.id)));
     let alive = 0;
     let known = 0;
     for (const { member } of this.records.values()) {
       if (member.state === 'alive') alive += 1;
-      const missing = member.state === 'dead' && !names.has(daemonName(member.id));
+      const missing = member.state === 'dead' && !names.has(getDaemonName(member.id));
       if (member.state === 'alive' || member.state === 'suspect' || missing) known += 1;
     }
     this.cachedContact = { alive, known };
@@ -95,8 +95,8 @@
    * seconds, one that is taken for dead may only be cut off. One that has gone for good counts until it is
    * forgotten.
    */
-  countNames(): number {
-    this.cachedNames ??= new Set(this.getAll().map((member) => daemonName(member.id)));
+  getNameCount(): number {
+    this.cachedNames ??= new Set(this.getAll().map((member) => getDaemonName(member.id)));
     return this.cachedNames.size;
   }
 
@@ -109,19 +109,19 @@
   /** Takes a belief. */
   set(member: Member, now: number): void {
     this.records.set(member.id, { member, changedAt: now });
-    if (member.state === 'alive') this.doubted.delete(member.id);
-    else this.doubted.add(member.id);
-    this.dropCaches();
+    if (member.state === 'alive') this.notAlive.delete(member.id);
+    else this.notAlive.add(member.id);
+    this.removeCaches();
   }
 
   /** Forgets a daemon. */
   remove(id: string): void {
     this.records.delete(id);
-    this.doubted.delete(id);
-    this.dropCaches();
+    this.notAlive.delete(id);
+    this.removeCaches();
   }
 
-  private dropCaches(): void {
+  private removeCaches(): void {
     this.cachedActive = undefined;
     this.cachedActiveIds = undefined;
     this.cachedContact = undefined;
--- a/src/membership/member-rules.ts
+++ b/src/membership/member-rules.ts
@@ -20,7 +20,7 @@
 }
 
 /** The name of a daemon, which its restarts share. */
-export function daemonName(id: string): string {
+export function getDaemonName(id: string): string {
   const end = id.lastIndexOf('.');
   return end < 0 ? id : id.slice(0, end);
 }
--- a/src/membership/membership-messages.ts
+++ b/src/membership/membership-messages.ts
@@ -47,12 +47,12 @@
   | { readonly kind: 'sync'; readonly reply: boolean; readonly members: readonly MemberUpdate[] };
 
 /** Turns a member into its short form. */
-export function toUpdate(member: Member): MemberUpdate {
+export function encodeMember(member: Member): MemberUpdate {
   return [member.id, member.address, member.zone, member.region, member.incarnation, member.state];
 }
 
 /** Turns the short form back into a member. */
-export function fromUpdate(update: MemberUpdate): Member {
+export function decodeMember(update: MemberUpdate): Member {
   const [id, address, zone, region, incarnation, state] = update;
   return { id, address, zone, region, incarnation, state };
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -10,8 +10,8 @@
 import type { MembershipSettings } from './membership-settings.js';
 import { ProbeOrder } from './probe-order.js';
 import {
-  fromUpdate,
-  toUpdate,
+  decodeMember,
+  encodeMember,
   type Member,
   type MemberState,
   type MembershipMessage,
@@ -33,14 +33,14 @@
 }
 
 /** Daemons of the whole fleet that try a lost seed in one interval, about. */
-const STRANGER_TRIES = 3;
+const LOST_SEED_TRIES = 3;
 /** A daemon that has just started exchanges lists this often at the short interval. */
-const EARLY_SYNCS = 5;
+const STARTUP_SYNCS = 5;
 /**
  * Interval of these, and of those before this daemon has met another. Milliseconds. 72 daemons that start together so agree within
  * about a second; at 2000 views were incomplete for 6 to 10 s, and several daemons took one thing for theirs (virtual time, 12 seeds).
  */
-const EARLY_SYNC_INTERVAL_MS = 500;
+const STARTUP_SYNC_INTERVAL_MS = 500;
 
 /** The membership state machine of one daemon. Times are monotonic milliseconds. */
 export class Membership {
@@ -101,7 +101,7 @@
 
   /** Daemons that may be at work: among so many is divided what all of them together may do. */
   getSharingDaemonCount(): number {
-    return this.list.countNames();
+    return this.list.getNameCount();
   }
 
   /** Whether something is known of every seed. A group that started cut off from the others may not know how many there are. */
@@ -125,7 +125,7 @@
     this.list.set(this.self, now);
     this.enqueueGossip(this.self.id);
     for (const member of this.getActive()) {
-      this.send(member.address, { kind: 'sync', reply: false, members: [toUpdate(this.self)] });
+      this.send(member.address, { kind: 'sync', reply: false, members: [encodeMember(this.self)] });
     }
   }
 
@@ -137,11 +137,11 @@
       this.nextProbeAt = now + this.settings.probeIntervalMs;
       this.probeNext(now);
     }
-    if (now >= this.nextDeadProbeAt) this.probeOneDead(now);
+    if (now >= this.nextDeadProbeAt) this.probeDeadMember(now);
     if (now >= this.nextSyncAt) this.syncWithOne(now);
   }
 
-  private probeOneDead(now: number): void {
+  private probeDeadMember(now: number): void {
     this.nextDeadProbeAt = now + this.settings.deadProbeIntervalMs;
     const dead = this.getAll().filter((member) => member.state === 'dead');
     if (dead.length > 0) this.probe(dead[this.random.below(dead.length)].id, now);
@@ -161,13 +161,14 @@
         break;
       case 'syncDigest':
         if (message.digest !== this.list.getDigest()) {
-          this.send(fromAddress, { kind: 'sync', reply: true, members: this.fullList() });
+          this.send(fromAddress, { kind: 'sync', reply: true, members: this.getFullList() });
         }
         break;
       case 'sync':
         this.joinedAt ??= now;
         this.applyList(fromId, message.members, now);
-        if (message.reply) this.send(fromAddress, { kind: 'sync', reply: false, members: this.fullList() });
+        if (message.reply)
+          this.send(fromAddress, { kind: 'sync', reply: false, members: this.getFullList() });
         break;
     }
   }
@@ -183,8 +184,8 @@
       const previous = this.list.get(message.target);
       if (previous) this.apply({ ...previous, state: 'dead' }, now);
       const news = previous
-        ? [toUpdate(this.self), toUpdate({ ...previous, state: 'dead' })]
-        : [toUpdate(this.self)];
+        ? [encodeMember(this.self), encodeMember({ ...previous, state: 'dead' })]
+        : [encodeMember(this.self)];
       this.send(fromAddress, { kind: 'sync', reply: false, members: news });
       return;
     }
@@ -240,7 +241,7 @@
   }
 
   private checkSuspicion(now: number): void {
-    const doubted = this.list.getDoubted();
+    const doubted = this.list.getNotAlive();
     if (doubted.length === 0) return;
     const scale = Math.max(1, Math.log10(this.list.size + 1));
     for (const { member, changedAt } of doubted) {
@@ -249,12 +250,12 @@
       if (member.state === 'suspect' && age > this.settings.suspicionMs * scale) {
         this.apply({ ...member, state: 'dead' }, now);
       } else if (isGone(member.state) && age > this.settings.deadRetentionMs) {
-        this.forget(member.id);
+        this.remove(member.id);
       }
     }
   }
 
-  private forget(id: string): void {
+  private remove(id: string): void {
     this.list.remove(id);
     this.gossip.remove(id);
   }
@@ -265,17 +266,17 @@
       ? [this.ownZoneOrder, this.otherZonesOrder]
       : [this.otherZonesOrder, this.ownZoneOrder];
     for (const order of orders) {
-      const target = this.nextTarget(order);
+      const target = this.pickTarget(order);
       if (target === undefined) continue;
       this.probe(target, now);
       return;
     }
   }
 
-  private nextTarget(order: ProbeOrder): string | undefined {
+  private pickTarget(order: ProbeOrder): string | undefined {
     const inOwnZone = order === this.ownZoneOrder;
     for (let attempt = 0; attempt <= this.list.size; attempt += 1) {
-      const id = order.next(() => this.membersToProbe(inOwnZone));
+      const id = order.pickNext(() => this.getMembersToProbe(inOwnZone));
       if (id === undefined) return undefined;
       const state = this.list.get(id)?.state;
       if (state !== undefined && state !== 'dead') return id;
@@ -283,7 +284,7 @@
     return undefined;
   }
 
-  private membersToProbe(inOwnZone: boolean): string[] {
+  private getMembersToProbe(inOwnZone: boolean): string[] {
     const members = this.getAll().filter((member) => member.id !== this.self.id && member.state !== 'dead');
     return members
       .filter((member) => (member.zone === this.self.zone) === inOwnZone)
@@ -302,7 +303,7 @@
       onBehalfOf,
     });
     // A suspect or dead daemon is told what is said of it, so that it can refute.
-    const about = member.state !== 'alive' ? [toUpdate(member)] : [];
+    const about = member.state !== 'alive' ? [encodeMember(member)] : [];
     this.send(member.address, {
       kind: 'ping',
       sequence: this.sequence,
@@ -318,19 +319,20 @@
   private syncWithOne(now: number): void {
     const others = this.getActive().filter((member) => member.id !== this.self.id);
     const known = new Set(others.map((member) => member.address));
-    const strangers = this.seeds.filter((address) => address !== this.self.address && !known.has(address));
+    const lostSeeds = this.seeds.filter((address) => address !== this.self.address && !known.has(address));
     // In a large fleet a few daemons try a lost seed, not all of them at once.
-    const tryStranger = this.random.next() < STRANGER_TRIES / Math.max(1, known.size);
-    const candidates = strangers.length > 0 && tryStranger ? strangers : [...known];
-    const early = this.syncCount < EARLY_SYNCS || !this.hasJoined();
+    const tryLostSeed = this.random.next() < LOST_SEED_TRIES / Math.max(1, known.size);
+    const candidates = lostSeeds.length > 0 && tryLostSeed ? lostSeeds : [...known];
+    const isStarting = this.syncCount < STARTUP_SYNCS || !this.hasJoined();
     this.syncCount += 1;
-    const late = strangers.length > 0 ? this.settings.strangerSyncIntervalMs : this.settings.syncIntervalMs;
-    const interval = early ? EARLY_SYNC_INTERVAL_MS : late;
+    const regularInterval =
+      lostSeeds.length > 0 ? this.settings.strangerSyncIntervalMs : this.settings.syncIntervalMs;
+    const interval = isStarting ? STARTUP_SYNC_INTERVAL_MS : regularInterval;
     this.nextSyncAt = now + interval * (0.75 + this.random.next() / 2);
     if (candidates.length === 0) return;
     const address = candidates[this.random.below(candidates.length)];
-    if (candidates === strangers || early || !this.hasJoined()) {
-      const members = this.hasJoined() ? this.fullList() : [toUpdate(this.self)];
+    if (candidates === lostSeeds || isStarting || !this.hasJoined()) {
+      const members = this.hasJoined() ? this.getFullList() : [encodeMember(this.self)];
       this.send(address, { kind: 'sync', reply: true, members });
     } else {
       this.send(address, { kind: 'syncDigest', digest: this.list.getDigest() });
@@ -343,18 +345,18 @@
     this.nextSyncAt = Math.min(this.nextSyncAt, soon);
   }
 
-  private fullList(): MemberUpdate[] {
-    return this.getAll().map(toUpdate);
+  private getFullList(): MemberUpdate[] {
+    return this.getAll().map(encodeMember);
   }
 
   private applyAll(updates: readonly MemberUpdate[], now: number): void {
-    for (const update of updates) this.apply(fromUpdate(update), now);
+    for (const update of updates) this.apply(decodeMember(update), now);
   }
 
   /** Of a whole list only what is news to others is passed on: who sent it, and who went. */
   private applyList(fromId: string, updates: readonly MemberUpdate[], now: number): void {
     for (const update of updates) {
-      const member = fromUpdate(update);
+      const member = decodeMember(update);
       this.apply(member, now, member.id === fromId || member.state !== 'alive');
     }
   }
@@ -367,16 +369,15 @@
     const current = this.list.get(update.id);
     if (current ? !overrides(update, current) : update.state === 'dead') return;
     this.list.set(update, now);
-    if (!current)
-      (update.zone === this.self.zone ? this.ownZoneOrder : this.otherZonesOrder).insert(update.id);
+    if (!current) (update.zone === this.self.zone ? this.ownZoneOrder : this.otherZonesOrder).add(update.id);
     if (current?.state === 'dead' && update.state === 'alive') this.syncSoon(now);
     if (passOn) this.enqueueGossip(update.id);
     this.emit({ kind: 'memberChanged', member: update, previous: current?.state });
   }
 
   private refute(update: Member): void {
-    const doubted = update.state === 'suspect' || update.state === 'dead';
-    if (!doubted || update.incarnation < this.self.incarnation || this.self.state !== 'alive') return;
+    const isDoubted = update.state === 'suspect' || update.state === 'dead';
+    if (!isDoubted || update.incarnation < this.self.incarnation || this.self.state !== 'alive') return;
     this.self = { ...this.self, incarnation: update.incarnation + 1 };
     this.list.set(this.self, 0);
     this.enqueueGossip(this.self.id);
@@ -390,7 +391,7 @@
     const updates: MemberUpdate[] = [];
     for (const id of this.gossip.take(this.settings.updatesPerMessage)) {
       const member = this.list.get(id);
-      if (member) updates.push(toUpdate(member));
+      if (member) updates.push(encodeMember(member));
     }
     return updates;
   }
--- a/src/membership/probe-order.ts
+++ b/src/membership/probe-order.ts
@@ -11,13 +11,13 @@
   constructor(private readonly random: RandomSource) {}
 
   /** The next member, or undefined when there is none. `members` names them when a new round begins. */
-  next(members: () => string[]): string | undefined {
+  pickNext(members: () => string[]): string | undefined {
     if (this.queue.length === 0) this.queue = this.shuffle(members());
     return this.queue.pop();
   }
 
   /** A member joined: it is probed in the present round, and not only in the next. */
-  insert(id: string): void {
+  add(id: string): void {
     this.queue.splice(this.random.below(this.queue.length + 1), 0, id);
   }
 
--- a/src/places/places.ts
+++ b/src/places/places.ts
@@ -11,17 +11,17 @@
 
 /// The places of a fleet.
 export class Places {
-  private readonly several: boolean
+  private readonly isMultiRegion: boolean
   private readonly regions: ReadonlyMap<string, string>
 
   constructor(private readonly regionByZone: RegionByZone) {
     this.regions = new Map(Object.entries(regionByZone))
-    this.several = new Set(Object.values(regionByZone)).size > 1
+    this.isMultiRegion = new Set(Object.values(regionByZone)).size > 1
   }
 
   /// Whether the fleet spans several regions.
   hasSeveralRegions(): boolean {
-    return this.several
+    return this.isMultiRegion
   }
 
   /// The region of a zone; undefined for a zone that the settings do not name.
@@ -39,10 +39,10 @@
   /// away from it for what it may cost would waste its back ends.
   getDistance(one: string, other: string): DistanceClass {
     if (one === other) return "sameZone"
-    if (!this.several) return "sameRegion"
+    if (!this.isMultiRegion) return "sameRegion"
     const region = this.getRegion(one)
     const otherRegion = this.getRegion(other)
-    const apart = region !== undefined && otherRegion !== undefined && region !== otherRegion
-    return apart ? "otherRegion" : "sameRegion"
+    const isOtherRegion = region !== undefined && otherRegion !== undefined && region !== otherRegion
+    return isOtherRegion ? "otherRegion" : "sameRegion"
   }
 }
--- a/src/places/round-trips.ts
+++ b/src/places/round-trips.ts
@@ -3,11 +3,11 @@
 
 /// Samples of which the middle one counts: a sample also holds the time that the peer took, and one peer that
 /// is slow or stood still says nothing of the link to the others there.
-const LOOKED_BACK_ON = 5
+const MEDIAN_WINDOW = 5
 
 /// The learned times of one daemon. Milliseconds.
 export class RoundTrips {
-  private readonly learned = new Map<string, number>()
+  private readonly medians = new Map<string, number>()
   private readonly recent = new Map<string, number[]>()
 
   constructor(private readonly defaults: Readonly<Record<DistanceClass, number>>) {}
@@ -18,16 +18,16 @@
     const key = getKey(region, distance)
     const samples = this.recent.get(key) ?? []
     samples.push(ms)
-    if (samples.length > LOOKED_BACK_ON) samples.shift()
+    if (samples.length > MEDIAN_WINDOW) samples.shift()
     this.recent.set(key, samples)
-    const before = Array.from({length: LOOKED_BACK_ON - samples.length}, () => this.defaults[distance])
-    const sorted = [...before, ...samples].sort((left, right) => left - right)
-    this.learned.set(key, sorted[LOOKED_BACK_ON >> 1])
+    const padding = Array.from({length: MEDIAN_WINDOW - samples.length}, () => this.defaults[distance])
+    const sorted = [...padding, ...samples].sort((left, right) => left - right)
+    this.medians.set(key, sorted[MEDIAN_WINDOW >> 1])
   }
 
   /// The round trip to `region`, which lies so far away.
   getRoundTripMs(region: string | undefined, distance: DistanceClass): number {
-    return this.learned.get(getKey(region, distance)) ?? this.defaults[distance]
+    return this.medians.get(getKey(region, distance)) ?? this.defaults[distance]
   }
 }
 
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -232,12 +232,12 @@
     const collector = new UsageCollector();
     counter.add('anna', 100);
     counter.add('bert', 4900);
-    const first = counter.takeUntold(4950, false);
+    const first = counter.takeUnsent(4950, false);
     counter.add('anna', 4990);
     counter.add('bert', 5001);
-    const second = counter.takeUntold(5500, false);
-    expect(counter.takeUntold(6500, false)).not.to.equal(undefined);
-    expect(counter.takeUntold(7500, false)).to.equal(undefined);
+    const second = counter.takeUnsent(5500, false);
+    expect(counter.takeUnsent(6500, false)).not.to.equal(undefined);
+    expect(counter.takeUnsent(7500, false)).to.equal(undefined);
     if (!first || !second) throw new Error('nothing was told');
     for (const message of [second, first, second]) collector.apply('d1', message);
     expect(collector.sum(0)).to.deep.equal({ anna: 2, bert: 1 });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -140,9 +140,9 @@
   it('a member that joins during a round of probes is probed in that round', () => {
     const order = new ProbeOrder(new SeededRandom(1));
     const members = Array.from({ length: 100 }, (_, index) => `d${index}`);
-    for (let count = 0; count < 50; count += 1) order.next(() => [...members]);
-    order.insert('late');
-    const rest = Array.from({ length: 51 }, () => order.next(() => [...members]));
+    for (let count = 0; count < 50; count += 1) order.pickNext(() => [...members]);
+    order.add('late');
+    const rest = Array.from({ length: 51 }, () => order.pickNext(() => [...members]));
     expect(rest).to.include('late');
     expect(new Set(rest).size).to.equal(51);
   });
