--- a/src/duties/duty-manager.ts
+++ b/src/duties/duty-manager.ts
@@ -1,7 +1,8 @@
-/// The duties that one daemon of the fleet has before the platform. Few daemons, the first by rendezvous
-/// hashing, hear what all others count; one of these holds the lease and acts. A holder stays until it ends
-/// or no longer hears the others, so that duties move seldom; no two holders ever act at once, and none acts
-/// again before the lease of the one between has run out.
+/// The duties towards the platform, which one daemon of the fleet performs: usage reports and orders of
+/// servers. A few daemons, the first by rendezvous hashing, collect the request counts of all others; one of
+/// these collectors holds the lease and makes the calls. A holder keeps the lease until it stops or no longer
+/// is a collector, so that the duties move seldom. No two holders ever make calls at the same time, and a
+/// former holder makes no further call before the lease of the holder that followed it has expired.
 import {CapacityDemand, type CapacityDemandSettings} from "../capacity/capacity-demand.js"
 import {
   CapacityManager,
@@ -24,49 +25,51 @@
 /// Settings of the duties.
 export interface DutySettings {
   readonly lease: LeaseSettings
-  /// No call is made so long after the lease was taken over from another daemon. Milliseconds. Where the
-  /// platform rejects lower fences 0 is enough; elsewhere a call of the holder before must have arrived or
-  /// timed out.
+  /// No call is made for this duration after the lease was taken over from another daemon. Milliseconds. 0 is
+  /// enough if the platform rejects lower fences; otherwise a call of the previous holder must have arrived or
+  /// timed out by then.
   readonly takeoverWaitMs: number
-  /// Which duties there are.
+  /// Whether usage is reported.
   readonly reportsUsage: boolean
+  /// Whether servers are ordered.
   readonly ordersServers: boolean
   readonly usage: UsageReporterSettings
   readonly capacity: CapacityManagerSettings
   readonly demand: CapacityDemandSettings
 }
 
-/// What the duties look at.
+/// The state that the duties read.
 interface DutyContext {
-  /// Active members; the same array as long as they are the same.
+  /// Active members; the same array until the members change.
   getMembers(): readonly Member[]
   getServices(): readonly BackendService[]
   getBackends(service: string): readonly BackendView[]
 }
 
-/// What the duties ask for and tell.
+/// Effects of the duties: reads and writes of tables, calls to the platform, messages and notifications.
 export type DutyEffect =
   | UsageEffect
   | LeaseEffect
   | CapacityEffect
   | {readonly kind: "sendPeer"; readonly address: string; readonly message: UsageCounts}
 
-/// The lease of the duties among those of services, whose names have no space.
+/// Name of the duties' lease. It contains spaces, so it cannot be the name of a service, which has a lease
+/// too.
 export const DUTY_CELL = "duties of the fleet"
 const COLLECTOR_KEY = "usage-collector"
-/// Daemons that hear all counts: with one killed and one cut off there is still one that knows them.
+/// Number of daemons that collect all counts: with one killed and one cut off, one is still left.
 const COLLECTOR_COUNT = 3
-/// Interval between tellings of counts, for each daemon of the fleet: a daemon that is killed loses so much
-/// of its counts, which are the smaller a part the more daemons there are. Milliseconds.
+/// Share of the send interval of counts for each daemon of the fleet. A daemon that is killed loses the counts
+/// of one interval; with more daemons these are a smaller part of the total. Milliseconds.
 const SEND_INTERVAL_PER_DAEMON_MS = 16
-/// The shortest and the longest such interval. Milliseconds.
+/// The shortest and the longest send interval. Milliseconds.
 const MINIMUM_SEND_INTERVAL_MS = 200
 const MAXIMUM_SEND_INTERVAL_MS = 1000
-/// A daemon must have been among the collectors for so long before it takes the lease. Milliseconds.
+/// A daemon must have been a collector for this duration before it acquires the lease. Milliseconds.
 const MINIMUM_COLLECTOR_AGE_MS = 1500
-/// A collector that has not heard a whole window leaves a free lease to the others for so long: two of their
-/// looks at it. Milliseconds. Without it 2 reports of 6 were wrong while 30 daemons were restarted one after
-/// the other (virtual time).
+/// A collector that has not collected a complete window leaves a free lease to the others for this duration:
+/// the interval of two of their checks. Without the delay, 2 of 6 reports were wrong while 30 daemons were
+/// restarted one after the other (virtual time). Milliseconds.
 const NEW_COLLECTOR_DELAY_MS = 2500
 
 /// The duties of one daemon. Times are monotonic milliseconds.
@@ -79,7 +82,7 @@
   private readonly demands = new Map<string, CapacityDemand>()
   private reporter: UsageReporter | undefined
   private ranked: readonly Member[] = []
-  /// Since when this daemon hears all counts; undefined while it does not.
+  /// Since when this daemon is a collector; undefined while it is none.
   private collectsSince: number | undefined
   private collectors: readonly Member[] = []
   private broadcast = true
@@ -100,18 +103,18 @@
     this.lease = new CellLease(DUTY_CELL, selfId, settings.lease, effect => this.onLease(effect), now)
   }
 
-  /// Counts a request that began to run at `at`.
+  /// Counts a request that a back end began to execute at `at`, in monotonic milliseconds.
   onRequestStarted(tenant: string, at: number): void {
     const fleetMs = this.clock.getTime(at)
     if (fleetMs !== undefined && this.settings.reportsUsage) this.counter.add(tenant, fleetMs)
   }
 
-  /// Takes what a daemon has counted.
+  /// Adds the counts that a daemon sent.
   receiveCounts(daemonId: string, counts: UsageCounts): void {
     this.collector.apply(daemonId, counts)
   }
 
-  /// Advances everything. `leaving` says that this daemon is about to end.
+  /// Advances timers. `leaving` when this daemon is about to stop.
   tick(leaving: boolean, now: number): void {
     this.tickedAt = now
     const fleetMs = this.clock.getTime(now)
@@ -129,29 +132,30 @@
     if (this.settings.ordersServers) this.orderCapacity(authority, now)
   }
 
-  /// This process's clock stood still for a time that nobody here has counted.
+  /// The machine was suspended for an unknown time that the monotonic clock did not count.
   onMachineSuspended(): void {
     this.lease.resumeAfterSuspension()
   }
 
-  /// Takes the answer to a `leaseTable` effect.
+  /// Applies the answer to a `leaseTable` effect.
   receiveLeaseResult(result: TableResult, now: number): void {
     this.lease.receiveTableResult(result, now)
   }
 
-  /// Takes the answer to a `usageTable` effect.
+  /// Applies the answer to a `usageTable` effect.
   receiveUsageResult(window: number, result: TableResult, now: number): void {
     this.reporter?.receiveTableResult(window, result, now)
   }
 
-  /// Takes the outcome of a `callDuty` effect.
+  /// Applies the result of a `callDuty` effect.
   receiveDutyResult(call: DutyCall, result: DutyResult, now: number): void {
     if (result.kind === "superseded") this.lease.giveUp()
     if (call.kind === "orderServers") this.capacity.receiveResult(call, result, now)
     else this.reporter?.receiveResult(call.window, result, this.clock.getTime(now) ?? 0, now)
   }
 
-  /// Every daemon that may come to hold the duties follows the demand, so that it knows the past.
+  /// Updates the demand of each scaled service. Every collector does so, so that it has the history when it
+  /// becomes the holder.
   private updateDemand(now: number): void {
     for (const {name, scaling} of this.context.getServices()) {
       if (!scaling) continue
@@ -169,8 +173,8 @@
     }
   }
 
-  /// Whoever has heard a whole window takes a free lease first: a daemon that began to hear later lacks what
-  /// daemons that have ended since had counted.
+  /// A collector that has collected a complete window acquires a free lease first: one that began later lacks
+  /// the counts of daemons that have stopped since.
   private tickLease(leaving: boolean, now: number): void {
     const {usage} = this.settings
     const collectedMs = this.collectsSince === undefined ? 0 : now - this.collectsSince
@@ -186,8 +190,8 @@
     return new UsageReporter(usage, this.collector, firstCompleteWindow, this.emit)
   }
 
-  /// A lease that is given back may be taken at once by the daemon that acted before. So it is kept for as
-  /// long as one lasts; after that the daemon before has not acted for so long.
+  /// A released lease may be acquired immediately by the previous holder. It is therefore kept for the duration
+  /// of a lease, after which the previous holder has made no calls for that duration.
   private release(now: number): void {
     if (now - this.callsAllowedAt >= this.settings.lease.durationMs) this.lease.release(now)
   }
--- a/src/duties/fleet-clock.ts
+++ b/src/duties/fleet-clock.ts
@@ -1,33 +1,34 @@
-/// The time of day as most daemons have it. The clock of one machine may be seconds off or jump; the median
-/// of many does not, as long as fewer than half of them are wrong at once.
+/// The fleet's time of day: the median of the clocks of many daemons. The clock of one machine may be off by
+/// seconds or jump; the median is right while fewer than half of the clocks are wrong at the same time.
 
-/// A daemon's word on its clock counts for so long. Milliseconds. At one probe a second each way a daemon
-/// hears some 30 others in it, so that with 30 in 100 clocks wrong the median is right but for one time in
-/// 10,000.
+/// Lifetime of a sample. Milliseconds. At one probe per second in each direction a daemon receives samples of
+/// about 30 others in this time, so that with 30 of 100 clocks wrong the median is wrong about once in 10,000
+/// times.
 const SAMPLE_LIFETIME_MS = 15_000
-/// Samples kept at most; twice the others that are heard in that time.
+/// Maximum number of samples: twice the number of other daemons in that time.
 const MAXIMUM_SAMPLES = 64
 
 interface Sample {
-  /// Time of day less this daemon's steady clock. Milliseconds.
+  /// Time of day minus this daemon's monotonic clock. Milliseconds.
   readonly offset: number
+  /// When the sample was taken. Monotonic milliseconds.
   readonly at: number
 }
 
-/// The fleet's time as one daemon knows it. `now` is its steady clock; all times are milliseconds.
+/// The fleet's time as one daemon knows it. `now` is its monotonic clock; all times are milliseconds.
 export class FleetClock {
-  /// By daemon, the one heard last at the end.
+  /// By daemon, the newest sample last.
   private readonly samples = new Map<string, Sample>()
   private median: number | undefined
 
   constructor(private readonly selfId: string) {}
 
-  /// Takes the time of day of this machine.
+  /// Adds the time of day of this machine.
   setLocalTime(wallMs: number, now: number): void {
     this.addSample(this.selfId, wallMs, now)
   }
 
-  /// Takes the time of day that a daemon had when it sent a message that arrives now.
+  /// Adds the time of day of a daemon when it sent a message that arrives now.
   addSample(id: string, wallMs: number, now: number): void {
     this.samples.delete(id)
     this.samples.set(id, {offset: wallMs - now, at: now})
@@ -37,8 +38,8 @@
 
   /// The time of day of this machine; undefined before the first tick.
   getLocalTime(now: number): number | undefined {
-    const own = this.samples.get(this.selfId)
-    return own && own.offset + now
+    const local = this.samples.get(this.selfId)
+    return local && local.offset + now
   }
 
   /// The time of day of the fleet; undefined before the first sample.
--- a/src/duties/usage-collector.ts
+++ b/src/duties/usage-collector.ts
@@ -1,5 +1,4 @@
-/// The counts of all daemons as a collector hears them. What a daemon told counts also when it has ended
-/// since.
+/// Collects the usage counts that all daemons send. The counts of a daemon remain after it has stopped.
 import type {UsageCounts, WindowCounts} from "./duty-messages.js"
 
 /// The counts of one window: by daemon, by tenant.
@@ -9,7 +8,7 @@
 export class UsageCollector {
   private readonly windows = new Map<number, CollectedWindow>()
 
-  /// Takes a daemon's totals. Totals only rise, so that messages may come late, twice or in any order.
+  /// Applies the totals of a daemon. Totals only increase, so messages may be late, repeated or out of order.
   apply(daemonId: string, {windows}: UsageCounts): void {
     for (const [number, entries] of windows) {
       const known = getOrAdd(getOrAdd(this.windows, number), daemonId)
@@ -17,7 +16,7 @@
     }
   }
 
-  /// Whether anything is known of a window.
+  /// Whether there are counts of a window.
   has(number: number): boolean {
     return this.windows.has(number)
   }
@@ -30,7 +29,7 @@
     return Object.fromEntries([...sums].sort(([left], [right]) => (left < right ? -1 : 1)))
   }
 
-  /// Forgets windows before this one.
+  /// Drops the windows before `first`.
   removeBefore(first: number): void {
     for (const number of this.windows.keys()) if (number < first) this.windows.delete(number)
   }
--- a/src/duties/usage-counter.ts
+++ b/src/duties/usage-counter.ts
@@ -1,25 +1,26 @@
-/// Requests that began to run through this daemon, by window of the fleet's time and tenant, and what of it
-/// the collectors have not been told.
+/// Counts this daemon's requests that a back end began to execute, by window of the fleet's time and by tenant,
+/// and keeps track of the counts that were not sent to the collectors yet.
 import type {UsageCounts} from "./duty-messages.js"
 
-/// Windows kept, so that a new collector can be told of those that are not reported yet. Windows.
+/// Number of windows kept, so that a new collector can receive those that are not reported yet.
 const KEPT_WINDOWS = 4
-/// A window is told once more in full after its end: what was lost on the way is made up for.
+/// How often the complete counts of a window are sent after its end, to replace lost messages.
 const FULL_SENDS = 2
 
 interface CountedWindow {
   readonly counts: Map<string, number>
+  /// Tenants whose count has changed since the last message.
   readonly unsent: Set<string>
   fullSendsLeft: number
 }
 
-/// The counts of one daemon. Times of day are milliseconds.
+/// The counts of one daemon. Times of day and window lengths are milliseconds.
 export class UsageCounter {
   private readonly windows = new Map<number, CountedWindow>()
 
   constructor(private readonly windowMs: number) {}
 
-  /// Counts a request that began to run at a time of the fleet.
+  /// Counts a request that a back end began to execute at a time of the fleet's clock.
   add(tenant: string, fleetMs: number): void {
     const number = Math.floor(fleetMs / this.windowMs)
     let window = this.windows.get(number)
@@ -31,7 +32,8 @@
     window.unsent.add(tenant)
   }
 
-  /// What is to be told now; undefined when it is nothing. `toAll` tells everything: collectors have changed.
+  /// Returns the counts to send now, or undefined if there are none. `toAll` includes all counts, because the
+  /// collectors have changed.
   takeUnsent(fleetMs: number, toAll: boolean): UsageCounts | undefined {
     const current = Math.floor(fleetMs / this.windowMs)
     const windows: UsageCounts["windows"] = []
--- a/src/duties/usage-reporter.ts
+++ b/src/duties/usage-reporter.ts
@@ -1,7 +1,6 @@
-/// Reports each window's usage to the platform, once. What will be reported is written to the store first,
-/// under the condition that nothing is written for that window: whoever reports later repeats it word for
-/// word, so two different reports of one window are never both made, whoever was frozen, cut off or killed in
-/// between.
+/// Reports each window's usage to the platform once. The report is written to the table store first, on the
+/// condition that there is none for that window yet. A later reporter repeats the stored report exactly, so two
+/// different reports of one window are never made, even if a daemon was paused, cut off or killed in between.
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {TableRequest, TableResult} from "../contracts/table-service.js"
 import type {DutyAuthority, DutyCall, DutyResult, WindowCounts} from "./duty-messages.js"
@@ -11,25 +10,25 @@
 export interface UsageReporterSettings {
   /// Length of a window. Milliseconds.
   readonly windowMs: number
-  /// A report is due so long after its window's end. Milliseconds.
+  /// A report is due this long after the end of its window. Milliseconds.
   readonly dueMs: number
-  /// Counts of a window are awaited for so long after its end: two tellings of each daemon and a pause of a
-  /// process between them. Milliseconds. Default 2500.
+  /// How long counts of a window are awaited after its end: two send intervals of each daemon, with a process
+  /// pause between them. Milliseconds. Default 2500.
   readonly settleMs: number
-  /// First pause after a call that failed; doubled at each further one. Milliseconds. Default 200.
+  /// Back-off after the first failed call; doubled for each further failure. Milliseconds. Default 200.
   readonly backoffMs: number
-  /// The longest such pause. Milliseconds. Default 1600.
+  /// The longest back-off. Milliseconds. Default 1600.
   readonly maximumBackoffMs: number
 }
 
-/// Default settings; the windows and when they are due have none.
+/// Default settings; the window length and the due time have none.
 export const DEFAULT_USAGE_REPORTER_SETTINGS: Omit<UsageReporterSettings, "windowMs" | "dueMs"> = {
   settleMs: 2500,
   backoffMs: 200,
   maximumBackoffMs: 1600
 }
 
-/// What the reporter asks for and tells.
+/// Effects of the reporter: writes to the store, calls to the platform and notifications.
 export type UsageEffect =
   | {readonly kind: "usageTable"; readonly window: number; readonly request: TableRequest}
   | {readonly kind: "callDuty"; readonly call: DutyCall; readonly authority: DutyAuthority}
@@ -43,26 +42,26 @@
 
 interface Report {
   readonly window: number
-  /// What the store holds for this window; undefined before it is known.
+  /// The report in the store for this window; undefined while it is unknown.
   counts: WindowCounts | undefined
   done: boolean
   inFlight: boolean
   failures: number
   nextAt: number
-  /// Writes to the store so far.
+  /// Number of writes to the store so far, which makes their ids unique.
   writes: number
 }
 
-/// A window whose report is overdue by so much is dropped: nobody knows any more what was sent for it.
-/// Milliseconds.
+/// A window whose report is overdue by more than this is dropped, because no daemon knows any longer what was
+/// reported for it. Milliseconds.
 const MAXIMUM_OVERDUE_MS = 20_000
-/// Rows of windows so far back are removed; no daemon still tries to report them. Windows; of 5 s each they
-/// are ten minutes, and reports are due after 10 s.
+/// Number of windows after which a row is removed from the store: no daemon tries to report it any longer. With
+/// windows of 5 s this is ten minutes, and reports are due after 10 s.
 const KEPT_ROWS = 120
-/// Revision of a row that does not exist, as the store counts.
+/// Revision that the store expects for a row that does not exist.
 const ABSENT_REVISION = 0
 
-/// The reporter of one daemon. `now` is its steady clock, `fleetMs` the fleet's time of day; both in
+/// The reporter of one daemon. `now` is its monotonic clock, `fleetMs` the fleet's time of day; both in
 /// milliseconds.
 export class UsageReporter {
   private readonly reports = new Map<number, Report>()
@@ -70,12 +69,12 @@
   constructor(
     private readonly settings: UsageReporterSettings,
     private readonly collector: UsageCollector,
-    /// The first window that this daemon has seen from its beginning.
+    /// The first window that began after this daemon started.
     private readonly firstCompleteWindow: number,
     private readonly emit: EffectSink<UsageEffect>
   ) {}
 
-  /// Takes the next step for each window that is due, under the authority of the lease.
+  /// Runs the next step for each window that is due, under the authority of the lease.
   tick(authority: DutyAuthority, fleetMs: number, now: number): void {
     const {windowMs, dueMs, settleMs} = this.settings
     const newest = Math.floor((fleetMs - settleMs) / windowMs) - 1
@@ -86,7 +85,7 @@
     }
   }
 
-  /// Takes the answer to a `usageTable` effect.
+  /// Applies the answer to a `usageTable` effect.
   receiveTableResult(window: number, result: TableResult, now: number): void {
     const report = this.reports.get(window)
     if (!report) return
@@ -97,7 +96,7 @@
         report.nextAt = now
         break
       case "conflict":
-        // Another daemon was first, or an earlier try of this one: what stands there is what counts.
+        // Another daemon or an earlier attempt of this one was first; the stored report is the valid one.
         report.counts = result.rows[0]?.value as WindowCounts | undefined
         report.nextAt = now
         break
@@ -107,7 +106,7 @@
     }
   }
 
-  /// Takes the outcome of a report.
+  /// Applies the result of a report.
   receiveResult(window: number, result: DutyResult, fleetMs: number, now: number): void {
     const report = this.reports.get(window)
     if (!report) return
@@ -123,8 +122,8 @@
     this.emit({kind: "usageReported", window, requests, lateMs})
   }
 
-  /// A window is reported by whoever has heard of it or has seen it whole: a report of nothing by a daemon
-  /// that started later would be final and wrong.
+  /// Whether this daemon may report a window: it has counts of it or was running for the complete window. An
+  /// empty report by a daemon that started later would be final and wrong.
   private isReportable(window: number): boolean {
     return window >= this.firstCompleteWindow || this.collector.has(window)
   }
--- a/src/fleet/fleet-effects.ts
+++ b/src/fleet/fleet-effects.ts
@@ -1,12 +1,13 @@
-/// What a daemon's copy of the configuration and of the back ends asks for and tells.
+/// Effects of a daemon's replica of the configuration and of the list of back ends: reads of the table store,
+/// messages for peers, and changes that the daemon has to apply.
 import type {BackendRecord, RouteConfiguration} from "../forwarding/routes/route.js"
 import type {RecordsChanged} from "./fleet-messages.js"
 import type {RecordCollection, RecordRead} from "./record-store.js"
 
-/// What the replica asks for and tells.
+/// A request or a notification of the replica.
 export type FleetEffect =
   | {readonly kind: "readRecords"; readonly read: RecordRead}
-  /// The store had changes, which the peers should hear of.
+  /// Changes that were read from the store and are to be published to the peers.
   | {readonly kind: "tellPeers"; readonly message: RecordsChanged}
   | {
       readonly kind: "configurationChanged"
@@ -25,21 +26,21 @@
       readonly revision: number
       readonly source: RecordSource
     }
-  /// The record is gone after an outage; the back end keeps its work for a while.
+  /// The record was missing after an outage of the store; the back end keeps its work until `holdUntil`.
   | {
       readonly kind: "backendLapsed"
       readonly id: string
       readonly revision: number
       readonly source: RecordSource
-      /// Until when. Monotonic milliseconds.
+      /// Monotonic milliseconds.
       readonly holdUntil: number
     }
   | {readonly kind: "storeLost"; readonly collection: RecordCollection; readonly reason: string}
-  /// The store answers again; `outageMs` is how long it had not, as far as this daemon knows. Milliseconds.
+  /// The store answers again; `outageMs` is the length of the outage as far as this daemon knows. Milliseconds.
   | {readonly kind: "storeRegained"; readonly collection: RecordCollection; readonly outageMs: number}
 
-/// Where a record came from: the store, or a peer's id.
+/// Where a record came from: `STORE_SOURCE`, or the id of a peer.
 export type RecordSource = string
 
-/// The source of records that came from the store itself.
+/// The source of records that were read from the store.
 export const STORE_SOURCE = "store"
--- a/src/fleet/fleet-messages.ts
+++ b/src/fleet/fleet-messages.ts
@@ -1,5 +1,5 @@
-/// Messages between daemons about the load of back ends and the records that they know. The schemas are the
-/// one place that says their form; the types are inferred.
+/// Messages between daemons about the load of back ends and about the store's records. The schemas are the
+/// only definition of these messages; the types are inferred from them.
 import * as z from "zod"
 import {routeConfigurationSchema} from "../forwarding/routes/route-schema.js"
 import type {BackendRecord} from "../forwarding/routes/route.js"
@@ -16,7 +16,7 @@
   state: z.enum(["ready", "draining"]),
   stage: z.enum(["prefill", "decode"]).optional(),
   isSpot: z.boolean().optional(),
-  /// Not told by older daemons.
+  /// Absent in messages of older daemons.
   bornMs: count.optional()
 }) as unknown as z.ZodType<BackendRecord>
 
@@ -39,54 +39,54 @@
   backendRecordSchema
 ])
 
-/// How much of a collection a daemon knows.
+/// The state of a daemon's copy of a collection.
 const knowledgeSchema = z.object({
-  /// Every change up to this revision is known; -1 when none is.
+  /// Every change up to this revision is in the copy; -1 when the copy is not complete up to any revision.
   complete: count,
-  /// Revision of the newest change known.
+  /// Revision of the newest change in the copy.
   changed: count,
-  /// How long ago the store was last known to have nothing newer. Milliseconds.
+  /// Time since the copy was last known to be up to date with the store. Milliseconds.
   ageMs: count,
-  /// The store's clock at the answer that said so. Word of one answer reaches a daemon many times, each time
-  /// a little late; only the first counts. Not told by older daemons, whose word so counts for nothing.
-  /// Milliseconds.
+  /// The store's clock at the answer that confirmed this. Reports of one answer reach a daemon several times,
+  /// each with a little more delay; only the first one counts. Absent in messages of older daemons, whose
+  /// reports therefore do not confirm a copy. Milliseconds.
   storeMs: count.optional(),
-  /// What was removed up to this revision the sender may never have heard of: its copy began there with what
-  /// was left. Not told by older daemons, nor for a collection without removals.
+  /// The sender may lack removals up to this revision, since its copy began with a snapshot of that revision.
+  /// Absent in messages of older daemons, and for a collection without removals.
   since: count.optional()
 })
 
-/// The same for both collections.
+/// The state of a daemon's copies of both collections.
 const fleetKnowledgeSchema = z.object({configuration: knowledgeSchema, backends: knowledgeSchema})
 
-/// Loads on the back ends, and how much the sender knows of the store's records.
+/// Loads on the back ends, and the state of the sender's copy of the store's records.
 const loadDigestSchema = z.object({
   kind: z.literal("loadDigest"),
-  /// Whose loads: the sender's own, those of its zone, of its region, or of the whole fleet. Not told by
-  /// older daemons: their own.
+  /// What the loads cover: the sender alone, its zone, its region, or the whole fleet. Absent in messages of
+  /// older daemons, which send their own loads.
   scope: z.enum(["own", "zone", "region", "fleet"]).optional(),
-  /// Which region, where the loads are those of one.
+  /// The region, when the scope is a region.
   region: text.optional(),
-  /// The receiver tells the other relays of its region.
+  /// The receiver forwards the message to the other relays of its region.
   passOn: z.boolean().optional(),
   knowledge: fleetKnowledgeSchema,
-  /// Back end, requests, prompt tokens to compute, distrust; then, not told by older daemons, tokens of late
-  /// prompts and attempts that succeeded and failed since the last digest.
+  /// Back end, requests, prompt tokens to compute, distrust; then, absent in messages of older daemons, tokens
+  /// of overdue prompts and attempts that succeeded and failed since the last digest.
   loads: z.array(z.tuple([text, count, count, count, count.optional(), count.optional(), count.optional()])),
-  /// Prompt parts that the sender had computed since its last digest: engine, hash of the part, tokens.
+  /// Prompt parts computed for the sender since its last digest: engine, hash of the part, tokens.
   placements: z.array(z.tuple([text, count, count])),
-  /// Limits that back ends name: id, start of the incarnation (0 where not told), requests a second (-1 for a
-  /// limit that has ended), and for how long so. Milliseconds. Not told by older daemons.
+  /// Limits that back ends advertise: id, start of the incarnation (0 when unknown), requests per second (-1
+  /// for a limit that has ended), and age of this value in milliseconds. Absent in messages of older daemons.
   limits: z.array(z.tuple([text, count, count, count])).optional(),
-  /// Back ends that have said that they leave: id, start of the incarnation (0 where not told). Not told by
-  /// older daemons.
+  /// Back ends that announced that they are leaving: id, start of the incarnation (0 when unknown). Absent in
+  /// messages of older daemons.
   leaving: z.array(z.tuple([text, count])).optional()
 })
 
-/// Asks a peer that knows more for its records.
+/// Asks a peer with a newer copy for its records.
 const recordsPullSchema = z.object({kind: z.literal("recordsPull"), sequence: count})
 
-/// The records, removals included.
+/// All records of the sender's copy, removals included.
 const recordsSnapshotSchema = z.object({
   kind: z.literal("recordsSnapshot"),
   sequence: count,
@@ -94,8 +94,8 @@
   records: z.array(storedRecordSchema)
 })
 
-/// Changes that the sender has just read from the store: all between two revisions. Large ones are told by
-/// their revision alone, and every daemon reads them for itself.
+/// All changes between two revisions, which the sender has just read from the store. Large changes are
+/// published without their records, and every daemon reads them from the store.
 const recordsChangedSchema = z.object({
   kind: z.literal("recordsChanged"),
   collection: z.enum(["configuration", "backends"]),
@@ -103,14 +103,15 @@
   to: count,
   changed: count,
   records: z.array(storedRecordSchema),
-  /// The store has just come back: back ends that are missing may have lapsed only. Not told by older
-  /// daemons.
+  /// The store has just recovered from an outage: removed records may only have expired. Absent in messages
+  /// of older daemons.
   lapsed: z.boolean().optional(),
-  /// A relay passes it on to its zone. Not told by older daemons, which tell everybody themselves.
+  /// The receiving relay forwards the message to its zone. Absent in messages of older daemons, which send
+  /// it to every peer themselves.
   passOn: z.boolean().optional()
 })
 
-/// The forms of all messages of the fleet part.
+/// Schemas of all messages of this folder.
 export const fleetMessageSchemas = [
   loadDigestSchema,
   recordsPullSchema,
@@ -118,10 +119,15 @@
   recordsChangedSchema
 ] as const
 
+/// A record of the store, or its removal.
 export type StoredRecord = z.infer<typeof storedRecordSchema>
+/// The state of a daemon's copy of one collection.
 export type RecordKnowledge = z.infer<typeof knowledgeSchema>
+/// The state of a daemon's copies of both collections.
 export type FleetKnowledge = z.infer<typeof fleetKnowledgeSchema>
+/// Changes that a peer has read from the store.
 export type RecordsChanged = z.infer<typeof recordsChangedSchema>
+/// Any message of this folder.
 export type FleetMessage =
   | z.infer<typeof loadDigestSchema>
   | z.infer<typeof recordsPullSchema>
--- a/src/fleet/fleet-replica-settings.ts
+++ b/src/fleet/fleet-replica-settings.ts
@@ -1,43 +1,45 @@
-/// Settings of a daemon's copy of the configuration and of the back ends.
+/// Settings of a daemon's replica of the configuration and of the list of back ends.
 
 /// Settings of the replica.
 export interface FleetReplicaSettings {
-  /// How long a read waits for a change: peers hear so late that there was none. Milliseconds. Default 450.
+  /// How long a read waits at the store for a change. It is also the delay after which peers learn that there
+  /// was none. Milliseconds. Default 450.
   readonly waitMs: number
-  /// An answer so much later than the wait that was asked for counts as lost. Milliseconds. Default 800; a
-  /// store answers in some 4, a slow one in some 200.
+  /// A read fails when there is no answer this long after its wait. Milliseconds. Default 800; a store answers
+  /// in about 4, a slow one in about 200.
   readonly answerTimeoutMs: number
-  /// The same of the first read of a daemon that has heard nothing for long: if it is lost the next one goes
-  /// out while a change still counts as in force in time. Milliseconds. Default 350, with the longest patience
-  /// and a pause some 250 less than a change may take.
+  /// The timeout of the first read of a daemon that has had no recent confirmation of its copy. If that read
+  /// is lost, the next one is still early enough to apply a change within the bound. Milliseconds. Default 350:
+  /// with the longest stand-by delay and a back-off this is about 250 less than a change may take.
   readonly firstAnswerTimeoutMs: number
-  /// The second daemon in rank asks the store when it has not heard for so long that its copy is complete.
-  /// Milliseconds. Default 1200.
+  /// The daemon that is second in rank reads the store when its copy has not been confirmed as complete for
+  /// this duration. Milliseconds. Default 1200.
   readonly standbyDelayMs: number
-  /// Each further rank waits so much longer, up to the longest patience. Milliseconds. Default 100.
+  /// Added for each further rank, up to the longest stand-by delay. Milliseconds. Default 100.
   readonly standbyDelayStepMs: number
-  /// Every daemon asks the store after this. Milliseconds. Default 1400.
+  /// The longest stand-by delay: after it every daemon reads the store. Milliseconds. Default 1400.
   readonly maximumStandbyDelayMs: number
-  /// Pause after an answer with changes, so that changes in a row come in one answer. Milliseconds. Default
-  /// 150.
+  /// Pause after an answer with changes, so that the next answer contains a batch of changes. Milliseconds.
+  /// Default 150.
   readonly batchDelayMs: number
-  /// First pause after a read that failed; doubled at each further one. Milliseconds. Default 100.
+  /// Back-off after the first failed read; doubled for each further failure. Milliseconds. Default 100.
   readonly backoffMs: number
-  /// The longest such pause. Milliseconds. Default 800.
+  /// The longest back-off. Milliseconds. Default 800.
   readonly maximumBackoffMs: number
-  /// The longest pause of a daemon that knows nothing yet, and so serves nobody. Milliseconds. Default 200.
+  /// The longest back-off of a daemon that has no records yet and so cannot serve requests. Milliseconds.
+  /// Default 200.
   readonly emptyBackoffMs: number
-  /// A copy that was confirmed longer ago proves nothing about what it lacks: a newer one may have been bound
-  /// to be in force by now. Milliseconds. Default 1800, which is less than a change may take.
+  /// A copy that was confirmed longer ago does not show that something is absent: a newer configuration may be
+  /// required to be in force by now. Milliseconds. Default 1800, which is less than a change may take.
   readonly staleMs: number
-  /// An outage of the store that lasted so long may have cost back ends their records although they live.
+  /// After an outage of the store of this length, records of healthy back ends may have expired.
   /// Milliseconds. Default 2000.
   readonly expiryOutageMs: number
-  /// If the store answered any daemon, word of it is here after so long: the longest patience, a read and
-  /// three digests. Milliseconds. Default 2200.
+  /// If the store answered any daemon, a peer's confirmation arrives within this time: the longest stand-by
+  /// delay, a read and three digests. Milliseconds. Default 2200.
   readonly peerConfirmationMs: number
-  /// How long a back end whose record was gone after an outage keeps its work, if it was ready. Milliseconds.
-  /// Default 1800.
+  /// How long a ready back end whose record was missing after an outage keeps its work. Milliseconds. Default
+  /// 1800.
   readonly expiryGraceMs: number
 }
 
--- a/src/fleet/fleet-replica.ts
+++ b/src/fleet/fleet-replica.ts
@@ -1,9 +1,9 @@
-/// A daemon's copy of the configuration and of the list of back ends. One daemon of the fleet follows the
-/// store's changes and tells the others (`StoreFollower` says when each asks); what is known stands in
-/// `RecordCopy`.
+/// A daemon's replica of the configuration and of the list of back ends. One daemon of the fleet follows the
+/// store's changes and publishes them to its peers (`StoreFollower` decides when each daemon reads);
+/// `RecordCopy` holds the records.
 ///
-/// Every daemon's copy is complete up to a revision. A peer's word that the store had nothing newer some time
-/// ago counts here too if no change between the two is missing.
+/// Every daemon's copy is complete up to a revision. A peer's report that the store had nothing newer at some
+/// time also confirms this copy, provided that no change between the two copies is missing.
 import type {RouteConfiguration} from "../forwarding/routes/route.js"
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {RandomSource} from "../shared/random.js"
@@ -17,8 +17,8 @@
 export type {FleetEffect} from "./fleet-effects.js"
 export {DEFAULT_FLEET_REPLICA_SETTINGS, type FleetReplicaSettings} from "./fleet-replica-settings.js"
 
-/// Larger changes are told by their revision alone, and every daemon reads them for itself: a relay that
-/// passes them on to 30 daemons over a link of 20 Mbit/s would be busy for half a second. Characters.
+/// Larger changes are published without their records, and every daemon reads them from the store: a relay
+/// that forwards them to 30 daemons over a link of 20 Mbit/s would be busy for half a second. Characters.
 const MAXIMUM_PUBLISHED_LENGTH = 32_768
 
 /// The replica of one daemon. Times are monotonic milliseconds.
@@ -38,22 +38,22 @@
     this.followers = {configuration: createFollower("configuration"), backends: createFollower("backends")}
   }
 
-  /// The configuration in force; undefined before the first.
+  /// The configuration in force; undefined until one is known.
   getConfiguration(): RouteConfiguration | undefined {
     return this.copy.getConfiguration()
   }
 
-  /// Whether the list of back ends is known at all.
+  /// Whether any record of a back end is known, removals included.
   hasBackends(): boolean {
     return this.copy.hasRecords("backends")
   }
 
-  /// Sets this daemon's place among those that follow the store; 0 is the first.
+  /// Sets this daemon's rank among those that follow the store; 0 is the first.
   setRank(rank: number): void {
     for (const follower of Object.values(this.followers)) follower.setRank(rank)
   }
 
-  /// How much is known, for the peers.
+  /// The state of the copies, for the peers.
   getKnowledge(now: number): FleetKnowledge {
     const {configuration, backends} = this.followers
     return {
@@ -62,17 +62,18 @@
     }
   }
 
-  /// How long ago the store was last known to have nothing newer. Milliseconds.
+  /// Time since the copy was last known to be up to date with the store. Milliseconds.
   getAgeMs(collection: RecordCollection, now: number): number {
     return this.followers[collection].getAgeMs(now)
   }
 
-  /// Whether a peer knows of changes that are missing here.
+  /// Whether a peer has changes that are missing here.
   isBehind(collection: RecordCollection): boolean {
     return this.followers[collection].isBehind()
   }
 
-  /// How long the store has not answered this daemon about a collection. Milliseconds; 0 when it does.
+  /// Duration of the store's current outage for a collection, as this daemon sees it. Milliseconds; 0 when
+  /// there is none.
   getOutageMs(collection: RecordCollection, now: number): number {
     return this.followers[collection].getOutageMs(now)
   }
@@ -83,23 +84,23 @@
     return this.getAgeMs("configuration", now) > this.settings.staleMs
   }
 
-  /// The clock stood still for a time that it has not counted. Milliseconds.
+  /// The machine was suspended for a time that the monotonic clock did not count. Milliseconds.
   onMachineSuspended(forMs: number): void {
     for (const follower of Object.values(this.followers)) follower.onMachineSuspended(forMs)
   }
 
-  /// Everything known, removals included, for a peer.
+  /// All records, removals included, for a peer.
   getRecords(): StoredRecord[] {
     return this.copy.getRecords()
   }
 
-  /// Advances timers: asks the store.
+  /// Advances timers: reads the store when a read is due.
   tick(now: number): void {
     for (const follower of Object.values(this.followers)) follower.tick(now)
     this.copy.tick(now)
   }
 
-  /// Takes the answer to a `readRecords` effect.
+  /// Applies the answer to a `readRecords` effect.
   receiveReadResult(collection: RecordCollection, result: RecordReadResult, now: number): void {
     const follower = this.followers[collection]
     follower.receiveReadEnd(result.kind === "snapshot" || result.kind === "changes", now)
@@ -126,7 +127,7 @@
     }
   }
 
-  /// Takes changes that a peer has read from the store.
+  /// Applies changes that a peer has read from the store.
   receiveChanges(peerId: string, message: RecordsChanged, now: number): void {
     const follower = this.followers[message.collection]
     const holdUntil = message.lapsed === true ? follower.getPeerHold(now) : undefined
@@ -137,7 +138,7 @@
     else follower.receivePeerRevision(message.changed, now)
   }
 
-  /// Takes everything that a peer knows.
+  /// Applies the complete copy of a peer.
   receiveSnapshot(
     peerId: string,
     knowledge: FleetKnowledge,
@@ -151,7 +152,7 @@
     this.receiveKnowledge(knowledge, now)
   }
 
-  /// Takes a peer's word on how much it knows.
+  /// Applies the state of a peer's copies.
   receiveKnowledge(knowledge: FleetKnowledge, now: number): void {
     for (const follower of Object.values(this.followers))
       follower.receiveKnowledge(knowledge[follower.collection], now)
--- a/src/fleet/lapsed-backends.ts
+++ b/src/fleet/lapsed-backends.ts
@@ -1,21 +1,21 @@
-/// Back ends whose records were gone when the store came back from an outage. A back end that could not reach
-/// the store loses its record although it lives, and writes it anew within moments; one that does not is
-/// gone.
+/// Back ends whose records were missing when the store recovered from an outage. The record of a back end that
+/// could not reach the store expires although the back end is healthy, and the back end writes it again
+/// shortly afterwards. A back end that does not is treated as removed.
 export class ExpiredBackends {
-  /// Until when each one may still come back. Monotonic milliseconds.
+  /// End of the grace period of each back end. Monotonic milliseconds.
   private readonly untilById = new Map<string, number>()
 
-  /// The record is gone; the back end keeps its work until then.
+  /// Adds a back end whose record is missing, unless it has a grace period already. Monotonic milliseconds.
   add(id: string, until: number): void {
     if (!this.untilById.has(id)) this.untilById.set(id, until)
   }
 
-  /// The record is back.
+  /// Ends the grace period of a back end whose record was written again.
   remove(id: string): void {
     this.untilById.delete(id)
   }
 
-  /// Those that have not come back in time. They are told once.
+  /// Returns and forgets the back ends whose grace period has ended.
   takeExpired(now: number): string[] {
     const expired = [...this.untilById].filter(([, until]) => now >= until).map(([id]) => id)
     for (const id of expired) this.untilById.delete(id)
--- a/src/fleet/peer-exchange.ts
+++ b/src/fleet/peer-exchange.ts
@@ -1,5 +1,6 @@
-/// What daemons tell each other beside membership: the load that each puts on the back ends, and records to a
-/// daemon that lags behind because the store does not answer it.
+/// Messages between daemons other than membership: the load that each daemon puts on the back ends, changes
+/// read from the store, and records for a daemon that lags behind because the store does not answer it. Relies
+/// on the list of members, the fleet replica and, in a large fleet, the load relays.
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {RandomSource} from "../shared/random.js"
 import type {BackendDirectory} from "../forwarding/backends/backend-directory.js"
@@ -15,29 +16,30 @@
 
 /// Settings of the exchange.
 export interface PeerExchangeSettings {
-  /// The longest interval between digests. Milliseconds. Default 400.
+  /// The longest interval between digests, and the range of the random first delay. Milliseconds. Default 400.
   readonly digestIntervalMs: number
-  /// Interval for each peer that gets one: a small fleet can afford fresher digests. Milliseconds. Default
-  /// 20.
+  /// Share of the interval for each peer that receives a digest: a small fleet can afford fresher digests.
+  /// Milliseconds. Default 20.
   readonly digestIntervalPerPeerMs: number
   /// The shortest interval. Milliseconds. Default 100.
   readonly minimumDigestIntervalMs: number
-  /// In a fleet with more peers than this loads go through relays. Default 12.
+  /// In a fleet with more peers than this, loads are sent through relays. Default 12.
   readonly digestPeers: number
-  /// The longest interval between digests through relays. Milliseconds. Default 250: three of them are about
+  /// The longest interval between digests through relays. Milliseconds. Default 250: three intervals are about
   /// the time in which an engine computes a long prompt.
   readonly relayIntervalMs: number
-  /// Interval for each daemon of the fleet: what a relay sends grows with its members, and a middle fleet can
-  /// afford fresher loads. Milliseconds. Default 2.
+  /// Share of that interval for each daemon of the fleet: the traffic of a relay grows with its members, and a
+  /// medium-sized fleet can afford fresher loads. Milliseconds. Default 2.
   readonly relayIntervalPerDaemonMs: number
-  /// The shortest such interval. Milliseconds. Default 120.
+  /// The shortest interval between digests through relays. Milliseconds. Default 120.
   readonly minimumRelayIntervalMs: number
-  /// Interval between digests from region to region, whose links are dear and whose engines are seldom used.
-  /// Milliseconds. Default 350.
+  /// Interval between digests from region to region: these links are expensive, and engines of another region
+  /// are seldom used. Milliseconds. Default 350.
   readonly regionIntervalMs: number
-  /// A relay that has told nothing for so long is passed over. Milliseconds. Default 1000.
+  /// A relay that has sent nothing for this duration is replaced by the next one. Milliseconds. Default 1000.
   readonly relayTimeoutMs: number
-  /// A daemon that has been behind a peer for so long asks it for its records. Milliseconds. Default 300.
+  /// A daemon that has lagged behind a peer for this duration asks it for its records. Milliseconds. Default
+  /// 300.
   readonly pullDelayMs: number
 }
 
@@ -55,13 +57,15 @@
   pullDelayMs: 300
 }
 
-/// Where prompts were computed: what this daemon tells, and what it learns.
+/// Where prompt parts were computed.
 interface PlacementExchange {
+  /// Returns and clears the placements that this daemon has not published yet.
   take(): readonly PartPlacement[]
+  /// Applies a placement that a peer published.
   addPlacement(placement: PartPlacement): void
 }
 
-/// What goes along with the loads.
+/// Further contents of a digest.
 interface DigestExtras {
   readonly placements: PlacementExchange
   readonly limits: Pick<BackendLimits, "getTold" | "applyTold">
@@ -74,19 +78,20 @@
   readonly message: FleetMessage
 }
 
-/// Loads of the whole fleet as a relay tells them stand under this name, in place of those of single peers.
+/// The name under which the directory keeps the whole fleet's loads from a relay, in place of those of
+/// individual peers.
 const FLEET_LOADS_KEY = "fleet"
 
 /// The daemons of the fleet.
 interface PeerMembers extends RelayPlace {
   readonly selfAddress: string
-  /// Active members, this daemon included; the same array as long as they are the same.
+  /// Active members, this daemon included; the same array until the members change.
   getActive(): readonly Member[]
 }
 
-/// A daemon that passed over a silent relay tries the first one again after so long. Milliseconds. Without it
-/// both relays of a zone went on for good: 150 in place of 100 digests a second between zones at 72 daemons
-/// (virtual time).
+/// A daemon that replaced a silent relay tries the first relay again after this delay. Without the retry, both
+/// relays of a zone stayed in use permanently: 150 instead of 100 digests per second between zones at 72
+/// daemons (virtual time). Milliseconds.
 const PREFERRED_RELAY_RETRY_MS = 10_000
 
 const NO_RELAYS: RelayRanking = {
@@ -109,7 +114,7 @@
   private ranking: RelayRanking = NO_RELAYS
   private nextRegionDigestAt = -Infinity
   private peers: readonly string[] = []
-  /// The relay in use, and when it was taken or last heard.
+  /// The relay in use, and when it was selected or last sent something.
   private relayAddress: string | undefined
   private lastRelayContactAt = -Infinity
   private preferredRelayRetryAt = -Infinity
@@ -132,39 +137,39 @@
     if (now < this.nextDigestAt) return
     this.rankMembers()
     this.directory.peers.removeOld(now)
-    const own = {loads: this.directory.takeLoads(now), placements: [...this.extras.placements.take()]}
-    if (this.isRelayed()) this.tickRelayed(own, now)
+    const local = {loads: this.directory.takeLoads(now), placements: [...this.extras.placements.take()]}
+    if (this.isRelayed()) this.tickRelayed(local, now)
     else {
       this.nextDigestAt = now + this.getDigestIntervalMs(this.peers.length)
-      this.sendDigest(this.peers, "own", own, now)
+      this.sendDigest(this.peers, "own", local, now)
     }
   }
 
-  /// There is news that should not wait for the next digest.
+  /// Makes the next digest due now, because something should not wait for its interval.
   sendDigestSoon(now: number): void {
     this.nextDigestAt = Math.min(this.nextDigestAt, now)
   }
 
-  private tickRelayed(own: RelayedLoads, now: number): void {
+  private tickRelayed(local: RelayedLoads, now: number): void {
     this.nextDigestAt = now + this.getRelayIntervalMs()
     this.relay.removeExpired(now)
     const {selfAddress} = this.members
     const relayAddress = this.pickRelay(now)
     const memberAddresses = this.relay.getMemberAddresses()
     if (relayAddress === selfAddress || memberAddresses.length > 0)
-      this.sendRelayedLoads(own, memberAddresses, now)
+      this.sendRelayedLoads(local, memberAddresses, now)
     else {
-      // Others tell for the region: kept here, it would be told when it is long past.
+      // Other relays send for the region: outcomes kept here would be out of date when they are sent.
       this.relay.removeRegionBacklog()
-      if (relayAddress !== undefined) this.sendDigest([relayAddress], "own", own, now)
+      if (relayAddress !== undefined) this.sendDigest([relayAddress], "own", local, now)
     }
   }
 
-  /// Where daemons disagree for a while on who relays, a zone has two relays, and each tells the other what
-  /// its part puts on.
+  /// Sends the loads of the zone, the region and the fleet. While daemons disagree about the relay, a zone has
+  /// two of them, and each sends the other the loads of its part of the zone.
   private sendRelayedLoads(
     {loads, placements}: RelayedLoads,
-    dependants: readonly string[],
+    memberAddresses: readonly string[],
     now: number
   ): void {
     this.relay.addOutcomes(loads)
@@ -172,11 +177,11 @@
     this.sendDigest(this.getOtherRelaysOfRegion(), "zone", this.relay.takeZone(loads), now)
     this.sendRegionLoads(loads, now)
     const fleet = this.relay.takeFleet(loads)
-    this.sendDigest(dependants, "fleet", fleet, now)
+    this.sendDigest(memberAddresses, "fleet", fleet, now)
     this.directory.applyFleetLoads(FLEET_LOADS_KEY, fleet.loads, now)
   }
 
-  /// One daemon of a region tells each other region what its own puts on.
+  /// Sends the region's loads to each other region, if this daemon is the region's relay and it is time.
   private sendRegionLoads(loads: RelayedLoads["loads"], now: number): void {
     const {regionRelay, otherRegionRelays} = this.ranking
     if (regionRelay !== this.members.selfAddress || otherRegionRelays.length === 0) {
@@ -217,7 +222,7 @@
     this.sendToAll(addresses, message)
   }
 
-  /// Takes a peer's message.
+  /// Handles a message from a peer.
   receive(fromId: string, fromAddress: string, message: FleetMessage, now: number): void {
     switch (message.kind) {
       case "loadDigest":
@@ -244,8 +249,8 @@
     }
   }
 
-  /// Sends changes to every peer; in a large fleet to the relays, which pass them on. A zone without a relay
-  /// hears of them by digests, or reads them itself.
+  /// Sends changes to every peer; in a large fleet to the relays, which forward them. A zone without a relay
+  /// learns of them from digests, or reads the store itself.
   sendChanges(message: RecordsChanged): void {
     this.rankMembers()
     if (this.isRelayed()) {
@@ -255,8 +260,8 @@
     } else this.sendToAll(this.peers, message)
   }
 
-  /// Loads of another region go to the other relays of this one, with what this daemon knows of the store by
-  /// now.
+  /// Forwards the loads of another region to the other relays of this one, with the current state of this
+  /// daemon's copies in place of the sender's.
   private sendLoadsToRelays(message: LoadDigest, now: number): void {
     const knowledge = this.replica.getKnowledge(now)
     this.sendToAll(this.getOtherRelaysOfRegion(), {...message, knowledge, passOn: false})
@@ -270,16 +275,17 @@
     return this.peers.length > this.settings.digestPeers
   }
 
-  /// The store is asked first; a peer is asked when the store has not helped for a while.
+  /// Asks a peer for its records when this daemon has lagged behind for a while. The store is read first, so
+  /// the pull waits for `pullDelayMs` unless nothing is known yet.
   private sendPullWhenBehind(fromAddress: string, knowledge: FleetKnowledge, now: number): void {
-    const own = this.replica.getKnowledge(now)
-    const lacks = (collection: RecordCollection) => knowledge[collection].changed > own[collection].complete
+    const local = this.replica.getKnowledge(now)
+    const lacks = (collection: RecordCollection) => knowledge[collection].changed > local[collection].complete
     const behind = this.replica.isBehind("configuration") || this.replica.isBehind("backends")
     if (!behind) this.behindSince = undefined
     if (!lacks("configuration") && !lacks("backends")) return
     this.behindSince ??= now
-    const knowsNothing = own.configuration.changed === 0 || own.backends.changed === 0
-    if (!knowsNothing && now - this.behindSince < this.settings.pullDelayMs) return
+    const isEmpty = local.configuration.changed === 0 || local.backends.changed === 0
+    if (!isEmpty && now - this.behindSince < this.settings.pullDelayMs) return
     this.behindSince = now
     this.sequence += 1
     this.emit({address: fromAddress, message: {kind: "recordsPull", sequence: this.sequence}})
@@ -302,8 +308,8 @@
     this.extras.leaving.applyTold(message.leaving ?? [], now)
     switch (message.scope ?? "own") {
       case "own":
-        // Whoever tells a relay its loads hears those of the fleet from it; in a small fleet everybody tells
-        // everybody.
+        // A daemon that sends its loads to a relay receives those of the fleet from it; in a small fleet every
+        // daemon sends to every other one.
         if (this.isRelayed()) this.relay.applyMember(fromId, fromAddress, message, now)
         else this.directory.peers.applyDigest(fromId, message.loads, now)
         break
@@ -320,8 +326,8 @@
     }
   }
 
-  /// The first relay of the zone, or the second when the first has told nothing for a while; then the first
-  /// again.
+  /// Picks the first relay of the zone; the next one when it has sent nothing for a while; and after a delay
+  /// the first one again.
   private pickRelay(now: number): string | undefined {
     const {ownZone} = this.ranking
     const known = this.relayAddress !== undefined && ownZone.includes(this.relayAddress)
--- a/src/fleet/record-copy.ts
+++ b/src/fleet/record-copy.ts
@@ -1,5 +1,5 @@
-/// The records that a daemon knows, each at the newest revision. Revisions never go back: an old snapshot
-/// cannot undo what is known, and a removed back end does not return with an older record.
+/// A daemon's copy of the store's records, each at its newest known revision. Revisions never decrease: an old
+/// snapshot does not revert newer records, and a removed back end does not return with an older record.
 import type {BackendRecord, RouteConfiguration} from "../forwarding/routes/route.js"
 import type {EffectSink} from "../shared/effect-sink.js"
 import {STORE_SOURCE, type FleetEffect, type RecordSource} from "./fleet-effects.js"
@@ -8,13 +8,14 @@
 
 interface KnownBackend {
   readonly revision: number
+  /// Undefined after the removal.
   readonly value: BackendRecord | undefined
 }
 
 interface ApplyOptions {
-  /// A removal counts also at the revision that is known.
+  /// A removal is also applied when its revision equals the known one.
   readonly allowSameRevision?: boolean
-  /// Until when a removed back end keeps its work, if its record may only have lapsed.
+  /// Until when a removed back end keeps its work, if its record may only have expired.
   readonly holdUntil?: number | undefined
 }
 
@@ -28,22 +29,22 @@
 
   constructor(private readonly emit: EffectSink<FleetEffect>) {}
 
-  /// The configuration in force; undefined before the first.
+  /// The configuration in force; undefined until one is known.
   getConfiguration(): RouteConfiguration | undefined {
     return this.current
   }
 
-  /// Whether anything of a collection is known.
+  /// Whether any record of a collection is known.
   hasRecords(collection: RecordCollection): boolean {
     return collection === "configuration" ? this.current !== undefined : this.backends.size > 0
   }
 
-  /// The newest revision among the records of a collection.
+  /// The newest revision among the records of a collection; 0 when there are none.
   getRevision(collection: RecordCollection): number {
     return collection === "configuration" ? this.configurationRevision : this.backendsRevision
   }
 
-  /// Everything known, removals included.
+  /// All records, removals included.
   getRecords(): StoredRecord[] {
     const records: StoredRecord[] = []
     if (this.current)
@@ -57,19 +58,19 @@
     return records
   }
 
-  /// Removes the back ends whose records have not come back in time after an outage.
+  /// Removes the back ends whose records were not written again within the grace period after an outage.
   tick(now: number): void {
     for (const id of this.expired.takeExpired(now))
       this.emit({kind: "backendRemoved", id, revision: this.backendsRevision, source: STORE_SOURCE})
   }
 
-  /// Takes one record from the store or a peer.
+  /// Applies one record from the store or a peer.
   apply(record: StoredRecord, source: RecordSource, options: ApplyOptions = {}): void {
     if (record.collection === "configuration") this.applyConfiguration(record.revision, record.value, source)
     else this.applyBackend(record.id, record, source, options)
   }
 
-  /// A back end that the snapshot lacks was removed, unless its record is newer than the snapshot.
+  /// Removes the back ends that are missing in a snapshot, except those whose record is newer.
   removeMissing(
     revision: number,
     records: readonly StoredRecord[],
@@ -110,8 +111,8 @@
     this.backendsRevision = Math.max(this.backendsRevision, revision)
     if (value) {
       this.expired.remove(id)
-      // A back end that was started again under its id knows nothing of before: everything that is known of
-      // it goes first.
+      // A back end that was restarted under the same id has lost its state, so what is known of the previous
+      // incarnation is removed first.
       if (known?.value && isOtherIncarnation(known.value, value))
         this.emit({kind: "backendRemoved", id, revision, source})
       this.emit({kind: "backendChanged", record: value, revision, source})
@@ -122,7 +123,7 @@
   }
 }
 
-/// Records of older daemons do not tell when a back end was started.
-function isOtherIncarnation({bornMs: known}: BackendRecord, {bornMs: told}: BackendRecord): boolean {
-  return known !== undefined && told !== undefined && known !== told
+/// Whether both records have a start time and it differs; records of older daemons have none.
+function isOtherIncarnation({bornMs: known}: BackendRecord, {bornMs: received}: BackendRecord): boolean {
+  return known !== undefined && received !== undefined && known !== received
 }
--- a/src/fleet/record-store.ts
+++ b/src/fleet/record-store.ts
@@ -1,29 +1,31 @@
-/// The operator's configuration and the list of back ends as a daemon reads them from a shared store.
-/// Contract: every record carries the version of the transaction that wrote it, drawn from one rising
-/// counter; a snapshot may be old, changes come in order, and a history that is gone is said so.
+/// The interface through which a daemon reads the operator's configuration and the list of back ends from the
+/// platform's table store. Contract: every record carries the revision of the transaction that wrote it, taken
+/// from one increasing counter; a snapshot may be old; changes come in order; a read after a revision whose
+/// history was dropped is answered with `historyGone`.
 import type {StoredRecord} from "./fleet-messages.js"
 
 export type {StoredRecord}
 
-/// What is read.
+/// The collections that a daemon reads.
 export type RecordCollection = "configuration" | "backends"
 
-/// A read: of everything, or of what changed after a revision, waiting a while for a change.
+/// A read of everything, or of the changes after a revision.
 export interface RecordRead {
   readonly collection: RecordCollection
+  /// The revision after which changes are read; undefined reads a snapshot.
   readonly after: number | undefined
-  /// Milliseconds.
+  /// How long the store may wait for a change before it answers. Milliseconds.
   readonly waitMs: number
-  /// An answer so much later than the wait counts as lost. Milliseconds.
+  /// The read fails when there is no answer this long after `waitMs`. Milliseconds.
   readonly answerTimeoutMs: number
 }
 
-/// Records as the store gave them.
+/// Records and revision of an answer of the store.
 interface RecordAnswer {
   readonly revision: number
   readonly records: readonly StoredRecord[]
-  /// The store's own steady clock at the answer. Milliseconds. It orders answers to different daemons;
-  /// undefined when the store does not tell.
+  /// The store's monotonic clock at the answer. Milliseconds. It orders answers to different daemons;
+  /// undefined when the store does not send it.
   readonly storeMs?: number | undefined
 }
 
@@ -31,13 +33,13 @@
 export type RecordReadResult =
   | ({readonly kind: "snapshot"} & RecordAnswer)
   | ({readonly kind: "changes"} & RecordAnswer)
-  /// The changes after that revision are no longer known.
+  /// The store no longer has the changes after that revision.
   | {readonly kind: "historyGone"}
-  /// The store turned the call away.
+  /// The store rejected the read.
   | {readonly kind: "rejected"; readonly status: number}
   | {readonly kind: "noAnswer"; readonly reason: string}
 
-/// Reads records. Never throws: a failure is a result.
+/// Reads records. Never throws: a failure is a `RecordReadResult`.
 export abstract class RecordStore {
   abstract read(request: RecordRead): Promise<RecordReadResult>
 }
--- a/src/fleet/relay-ranking.ts
+++ b/src/fleet/relay-ranking.ts
@@ -1,15 +1,15 @@
-/// Which daemons relay loads in a large fleet: two in each zone, the first by rendezvous hashing and one to
-/// stand in for it, and of a region's first ones one that tells the other regions. Every daemon finds the
-/// same ones from its list of members, without talking.
+/// Selects the daemons that relay loads in a large fleet: two per zone by rendezvous hashing, of which the
+/// second is the stand-by, and among the first relays of a region's zones one that sends to the other regions.
+/// Every daemon computes the same result from its list of members, without communication.
 import type {Member} from "../membership/membership-messages.js"
 import {pickByRendezvous, rankByRendezvous} from "../shared/rendezvous-hash.js"
 
-/// Relays of one zone: the first does the work, the second knows enough to take over.
+/// The first relay of a zone is active, the second is its stand-by.
 const RELAYS_PER_ZONE = 2
 const RELAY_KEY = "load-relay"
 const REGION_RELAY_KEY = "region-relay"
 
-/// Where a daemon stands.
+/// Zone and region of a daemon.
 export interface RelayPlace {
   readonly zone: string
   readonly region: string
@@ -17,15 +17,15 @@
 
 /// The relays of a fleet, as peer addresses.
 export interface RelayRanking {
-  /// Relays of the own zone, best first; this daemon's own address among them if it is one.
+  /// Relays of the local zone, best first; contains this daemon's own address if it is one of them.
   readonly ownZone: readonly string[]
-  /// Relays of the other zones of the own region.
+  /// Relays of the other zones of the local region.
   readonly ownRegion: readonly string[]
   /// Relays of every zone of the other regions.
   readonly otherRegions: readonly string[]
-  /// Who tells the other regions what the own one puts on.
+  /// The relay that sends the loads of the local region to the other regions.
   readonly regionRelay: string | undefined
-  /// Who hears it in each of the other regions.
+  /// The relay of each of the other regions that receives them.
   readonly otherRegionRelays: readonly string[]
 }
 
@@ -33,19 +33,19 @@
   readonly addresses: readonly string[]
 }
 
-/// Ranks the members that are alive; those that are suspected relay nothing.
-export function rankRelays(members: readonly Member[], own: RelayPlace): RelayRanking {
+/// Ranks the members that are alive; suspected members are not relays.
+export function rankRelays(members: readonly Member[], local: RelayPlace): RelayRanking {
   const zones = groupByZone(members).map(createZoneRelays)
-  const inRegion = zones.filter(({region}) => region === own.region)
-  const elsewhere = zones.filter(({region}) => region !== own.region)
-  const regions = [...new Set(elsewhere.map(({region}) => region))]
+  const inRegion = zones.filter(({region}) => region === local.region)
+  const otherZones = zones.filter(({region}) => region !== local.region)
+  const regions = [...new Set(otherZones.map(({region}) => region))]
   return {
-    ownZone: inRegion.find(({zone}) => zone === own.zone)?.addresses ?? [],
-    ownRegion: inRegion.filter(({zone}) => zone !== own.zone).flatMap(({addresses}) => addresses),
-    otherRegions: elsewhere.flatMap(({addresses}) => addresses),
+    ownZone: inRegion.find(({zone}) => zone === local.zone)?.addresses ?? [],
+    ownRegion: inRegion.filter(({zone}) => zone !== local.zone).flatMap(({addresses}) => addresses),
+    otherRegions: otherZones.flatMap(({addresses}) => addresses),
     regionRelay: pickRegionRelay(inRegion),
     otherRegionRelays: regions.flatMap(
-      region => pickRegionRelay(elsewhere.filter(zone => zone.region === region)) ?? []
+      region => pickRegionRelay(otherZones.filter(zone => zone.region === region)) ?? []
     )
   }
 }
@@ -68,7 +68,7 @@
   return {zone, region, addresses: ids.map(id => addresses.get(id) ?? "")}
 }
 
-/// One of the first relays of a region's zones.
+/// Picks one of the first relays of a region's zones.
 function pickRegionRelay(zones: readonly ZoneRelays[]): string | undefined {
   return pickByRendezvous(
     REGION_RELAY_KEY,
--- a/src/fleet/store-follower.ts
+++ b/src/fleet/store-follower.ts
@@ -1,10 +1,11 @@
-/// How a daemon follows the store's changes of one collection: when it asks, how long it pauses after a
-/// failure, up to which revision its copy is complete and since when. One daemon of the fleet follows the
-/// store; the others ask for themselves when they have not heard for a while that their copy is complete, the
-/// next in rank first.
+/// Follows the store's changes of one collection: decides when this daemon reads, how long it backs off after
+/// a failure, up to which revision its copy is complete and when that was last confirmed. One daemon of the
+/// fleet follows the store; the others read it themselves when their copy has not been confirmed for a while,
+/// the next in rank first.
 ///
-/// Word of a complete copy is known by the store's clock at the answer and counts once: passed on in a circle
-/// it would come back each time a little late, and the copy would seem to age more slowly.
+/// A confirmation is identified by the store's clock at the answer and counts once. Otherwise a confirmation
+/// that is forwarded in a circle would return each time with a little more delay, and the copy would appear
+/// to age more slowly than it does.
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {RandomSource} from "../shared/random.js"
 import type {FleetEffect} from "./fleet-effects.js"
@@ -12,49 +13,50 @@
 import type {FleetReplicaSettings} from "./fleet-replica-settings.js"
 import type {RecordCollection} from "./record-store.js"
 
-/// Doublings of the pause after a failure; the longest pause is reached before.
+/// Limit of the doublings of the back-off; the longest back-off is reached before it.
 const MAXIMUM_BACKOFF_DOUBLINGS = 6
-/// Only the first in rank tell their peers, so that an outage of the first does not make everybody tell
-/// everybody.
+/// Only daemons of these first ranks publish changes, so that an outage of the first one does not make every
+/// daemon send to every other one.
 const PUBLISHING_RANKS = 3
-/// A read that took so much longer than it was to wait says nothing about the time at which it was answered.
-/// Milliseconds; a slow store answers in some 200.
+/// When a read took this much longer than its wait, the time at which the store answered is unknown. A slow
+/// store answers in about 200. Milliseconds.
 const MAXIMUM_ANSWER_DELAY_MS = 300
-/// A change of back ends that a peer knows of is on its way here already, most times. Milliseconds;
-/// the pause of the reader between answers with changes.
+/// Delay of a read for a change of back ends that a peer reports, since in most cases the change itself is
+/// about to arrive from the reader. The same as the reader's pause between answers with changes. Milliseconds.
 const PEER_CHANGE_DELAY_MS = 150
 
 /// The follower of one collection. Times are monotonic milliseconds.
 export class StoreFollower {
-  /// Changes up to this revision are known; undefined until a snapshot was read.
+  /// The copy is complete up to this revision; undefined until a snapshot was applied, and again after the
+  /// store has dropped its history.
   private knownRevision: number | undefined
-  /// Removals after this revision are known.
+  /// The copy contains all removals after this revision.
   private knowsRemovalsSince = 0
   private inFlight = false
   private lastSentAt: number
-  /// How long the newest read waits for a change. Milliseconds.
+  /// How long the latest read waits at the store for a change. Milliseconds.
   private lastWaitMs = 0
   private nextAt: number
   private failures = 0
-  /// One of the failures was a refusal or silence; a history that is gone is an answer.
+  /// Whether one of the failures was a rejection or a timeout; a dropped history is an answer.
   private hasStoreFailure = false
-  /// `storeLost` was told, and `storeRegained` not yet.
+  /// Whether `storeLost` was emitted and `storeRegained` was not yet.
   private isReportedLost = false
-  /// When the first of the failures in a row was asked.
+  /// When the first read of the current series of failures was sent.
   private failingSince: number
-  /// Until when a removal that this daemon reads may mean only that a record lapsed in an outage.
+  /// Until when a removal that this daemon reads may only mean that the record expired during an outage.
   private readHoldUntil = -Infinity
-  /// The same of a removal of which a peer says so.
+  /// The same for a removal that a peer has read after an outage.
   private peerHoldUntil = -Infinity
-  /// When the copy was last known to be complete, from the store or by a peer's word.
+  /// When the copy was last confirmed as complete, by the store or by a peer.
   private completeAt = -Infinity
-  /// The store's clock at the newest answer of which this daemon knows, its own or a peer's.
+  /// The store's clock at the newest answer that this daemon or a peer received.
   private storeMs = -Infinity
-  /// The newest revision that a peer knows and this daemon may lack.
+  /// The newest revision that a peer reported; this daemon may lack it.
   private peerRevision = 0
   private rank = 0
 
-  /// `hasRecords` says whether anything of the collection is known here, from whomever.
+  /// `hasRecords` returns whether any record of the collection is known, from the store or a peer.
   constructor(
     readonly collection: RecordCollection,
     private readonly settings: FleetReplicaSettings,
@@ -68,88 +70,91 @@
     this.failingSince = now
   }
 
-  /// The revision up to which changes are known; undefined until a snapshot was read.
+  /// The revision up to which the copy is complete; undefined before a snapshot.
   get cursor(): number | undefined {
     return this.knownRevision
   }
 
-  /// When the store was last asked.
+  /// When the latest read was sent.
   get sentAt(): number {
     return this.lastSentAt
   }
 
-  /// Sets this daemon's place among those that follow the store; 0 is the first.
+  /// Sets this daemon's rank among those that follow the store; 0 is the first.
   setRank(rank: number): void {
     this.rank = rank
   }
 
-  /// Whether this daemon is among those that tell their peers of changes.
+  /// Whether this daemon publishes changes to its peers.
   isPublisher(): boolean {
     return this.rank < PUBLISHING_RANKS
   }
 
-  /// How much is known, for the peers; `changed` is the newest revision among the records.
+  /// The state of the copy, for the peers; `changed` is the newest revision among the records.
   getKnowledge(changed: number, now: number): RecordKnowledge {
     const {cursor, completeAt, storeMs, knowsRemovalsSince} = this
-    // Known from a peer alone that lacked something itself: nothing to vouch for.
+    // The copy comes only from a peer whose own copy was incomplete, so its completeness is not confirmed.
     if (cursor === undefined || completeAt === -Infinity) return {complete: -1, changed, ageMs: 0}
     const knownStoreMs = Number.isFinite(storeMs) ? storeMs : undefined
     const since = knowsRemovalsSince > 0 ? {since: knowsRemovalsSince} : {}
     return {complete: cursor, changed, ageMs: Math.round(now - completeAt), storeMs: knownStoreMs, ...since}
   }
 
-  /// The clock stood still for a time that it has not counted: what is known is older than it seems.
+  /// The machine was suspended for a time that the monotonic clock did not count, so the copy is older than
+  /// this clock shows. Milliseconds.
   onMachineSuspended(forMs: number): void {
     this.completeAt -= forMs
   }
 
-  /// How long ago the store was last known to have nothing newer. Milliseconds.
+  /// Time since the copy was last confirmed as complete. Milliseconds.
   getAgeMs(now: number): number {
     return now - this.completeAt
   }
 
-  /// Whether a peer knows of changes that are missing here.
+  /// Whether a peer has changes that are missing here.
   isBehind(): boolean {
     return this.cursor === undefined || this.cursor < this.peerRevision
   }
 
-  /// How long the store has not answered this daemon and, as far as it knows, no other. Milliseconds; 0 when
-  /// it does.
+  /// How long the store has answered neither this daemon nor, as far as is known here, another one.
+  /// Milliseconds; 0 when there is no outage.
   getOutageMs(now: number): number {
     if (this.failures > 0) return now - Math.max(this.failingSince, this.completeAt)
-    // The first read does not wait for a change, so as long as it lasts the store's answer is outstanding.
+    // The first read does not wait for a change, so the store has owed an answer since it was sent.
     return this.cursor === undefined && this.inFlight ? now - this.sentAt : 0
   }
 
-  /// Until when a back end whose removal the store tells keeps its work; undefined when it is gone.
+  /// Until when a back end whose removal was read from the store keeps its work; undefined when the removal
+  /// takes effect immediately. Monotonic milliseconds.
   getReadHold(now: number): number | undefined {
     return now < this.readHoldUntil ? this.readHoldUntil : undefined
   }
 
-  /// The same of a removal which a peer has read after an outage.
+  /// The same for a removal that a peer has read after an outage.
   getPeerHold(now: number): number | undefined {
     this.updatePeerHold(now)
     return now < this.peerHoldUntil ? this.peerHoldUntil : undefined
   }
 
-  /// When a read that waited for changes was answered, as far as that is certain.
+  /// A lower bound of the time at which a read that waited for changes was answered: `now`, or the time at
+  /// which it was sent when the answer took too long.
   getAnswerTime(now: number): number {
     const isOnTime = now - this.sentAt <= this.lastWaitMs + MAXIMUM_ANSWER_DELAY_MS
     return isOnTime ? now : this.sentAt
   }
 
-  /// Asks the store if it is time.
+  /// Sends a read if one is due.
   tick(now: number): void {
     if (!this.inFlight && now >= this.nextAt && this.isDue(now)) this.read(now)
   }
 
-  /// Notes that the read has ended, with an answer of records or without.
+  /// The read has ended; `answered` when it returned records.
   receiveReadEnd(answered: boolean, now: number): void {
     this.inFlight = false
     if (answered && this.hasHadLongOutage(now)) this.readHoldUntil = this.getHoldAfterOutage(now)
   }
 
-  /// Takes the store's word that the copy was complete at a time; the next read comes after a pause.
+  /// The store has confirmed that the copy was complete at `completeAt`; the next read follows after `pauseMs`.
   receiveConfirmation(storeMs: number | undefined, completeAt: number, pauseMs: number, now: number): void {
     this.storeMs = storeMs ?? -Infinity
     if (this.isReportedLost)
@@ -158,19 +163,19 @@
     this.removeFailures()
     this.updatePeerHold(now)
     this.completeAt = Math.max(this.completeAt, completeAt)
-    // A read that does not wait is answered at once, also by a store that lags behind what peers have told.
+    // A read that does not wait is answered immediately, also by a store that lags behind the peers.
     const pause = this.lastWaitMs > 0 ? pauseMs : Math.max(pauseMs, this.settings.batchDelayMs)
     this.nextAt = now + pause
     if (pause === 0 && this.isDue(now)) this.read(now)
   }
 
-  /// Takes the store's word that its history does not reach back far enough: a snapshot is read next.
+  /// The store's history does not reach back far enough, so a snapshot is read next.
   receiveHistoryGone(now: number): void {
     this.knownRevision = undefined
     this.startBackoff(now)
   }
 
-  /// Takes a refusal or silence.
+  /// The read was rejected or had no answer.
   receiveFailure(reason: string, now: number): void {
     if (!this.isReportedLost) this.emit({kind: "storeLost", collection: this.collection, reason})
     this.isReportedLost = true
@@ -178,40 +183,41 @@
     this.hasStoreFailure = true
   }
 
-  /// Takes the revision of the store's snapshot that was applied.
+  /// A snapshot of the store with this revision was applied.
   receiveSnapshot(revision: number): void {
     this.knownRevision = revision
     if (this.collection === "backends") this.knowsRemovalsSince = revision
   }
 
-  /// Takes how much a peer's copy held that was applied.
+  /// A peer's copy of this state was applied.
   receiveCopy({complete, since = 0}: RecordKnowledge): void {
     if (complete < 0) return
     if (this.cursor === undefined || this.cursor < Math.min(since, complete)) this.knowsRemovalsSince = since
     this.setKnownRevision(complete)
   }
 
-  /// Takes that changes up to a revision are known.
+  /// The copy is complete up to this revision; never lowers it.
   setKnownRevision(revision: number): void {
     this.knownRevision = Math.max(this.cursor ?? 0, revision)
   }
 
-  /// Takes a peer's word that there is a change.
+  /// A peer has reported a change of this revision, which may be missing here.
   receivePeerRevision(changed: number, now: number): void {
     if (changed <= this.peerRevision) return
-    // Word puts off no read that is due without it: put off by each, none went out while words came each 140
-    // ms, and one that was late already came 150 ms later.
+    // A report does not delay a read that is due anyway. When every report did, no read was sent while reports
+    // arrived every 140 ms, and a read that was late already was sent another 150 ms later.
     const wasDue = this.isDue(now)
     this.peerRevision = changed
     if (!wasDue && this.collection === "backends")
       this.nextAt = Math.max(this.nextAt, now + PEER_CHANGE_DELAY_MS)
   }
 
-  /// Takes a peer's word on how much it knows.
+  /// Applies the state of a peer's copy.
   ///
-  /// That a peer knows of no newer change counts only where its copy reaches back to this one: a copy that
-  /// began later lacks removals of the time before. Without this a daemon that started while the first reader
-  /// was turned away moved eight of nine daemons past a removal for good (virtual time).
+  /// The absence of newer changes in a peer's copy confirms this one only if the peer's copy reaches back to
+  /// this one: a copy that began later lacks earlier removals. Without this condition a daemon that started
+  /// while the store rejected the first reader made eight of nine daemons skip a removal permanently (virtual
+  /// time).
   receiveKnowledge(knowledge: RecordKnowledge, now: number): void {
     const {complete, changed, ageMs, storeMs = -Infinity, since = 0} = knowledge
     if (complete < 0 || this.cursor === undefined) return
@@ -227,34 +233,31 @@
     this.completeAt = Math.max(this.completeAt, now - Math.max(0, ageMs))
   }
 
-  /// Whether this daemon should ask the store itself.
+  /// Whether this daemon should read the store itself.
   private isDue(now: number): boolean {
     if (this.rank === 0 || this.isBehind()) return true
-    const {
-      standbyDelayMs: patienceMs,
-      standbyDelayStepMs: patienceStepMs,
-      maximumStandbyDelayMs: maximumPatienceMs
-    } = this.settings
-    const delayMs = Math.min(maximumPatienceMs, patienceMs + (this.rank - 1) * patienceStepMs)
+    const {standbyDelayMs, standbyDelayStepMs, maximumStandbyDelayMs} = this.settings
+    const delayMs = Math.min(maximumStandbyDelayMs, standbyDelayMs + (this.rank - 1) * standbyDelayStepMs)
     return now - this.completeAt > delayMs
   }
 
-  /// The first in rank waits at the store for changes. The others ask when they have not heard for long, and
-  /// want to know at once whether they lack something: a read that waits shows late that it was lost, so late
-  /// that a daemon that its peers cannot reach would know of a leaving after the bound.
+  /// Sends a read. The first in rank waits at the store for changes. The others read when their copy has not
+  /// been confirmed for long, and do not wait: the loss of a waiting read is detected so late that a daemon
+  /// that its peers cannot reach would learn of a leaving back end after the bound.
   private read(now: number): void {
-    // The store has answered somebody since the newest read here failed: what comes now is another matter.
-    // Counted on, failures of long ago make a daemon wait for its first read and hold a removal.
+    // The store has answered another daemon since the latest read here, so earlier failures belong to a
+    // different outage. If they counted on, failures of long ago would delay the first read and hold a removal.
     if (this.rank > 0 && this.completeAt > this.lastSentAt) this.removeFailures()
     this.inFlight = true
     this.lastSentAt = now
     const {collection, cursor, settings} = this
     const follows = this.rank === 0
     this.lastWaitMs = follows ? settings.waitMs : 0
-    const answerMs = follows || this.failures > 0 ? settings.answerTimeoutMs : settings.firstAnswerTimeoutMs
+    const answerTimeoutMs =
+      follows || this.failures > 0 ? settings.answerTimeoutMs : settings.firstAnswerTimeoutMs
     this.emit({
       kind: "readRecords",
-      read: {collection, after: cursor, waitMs: this.lastWaitMs, answerTimeoutMs: answerMs}
+      read: {collection, after: cursor, waitMs: this.lastWaitMs, answerTimeoutMs}
     })
   }
 
@@ -263,39 +266,36 @@
     this.hasStoreFailure = false
   }
 
-  /// Word of the store ends a time without; what is removed then may have lapsed.
+  /// Called before a confirmation is applied: after a time without one, removed records may only have expired.
   private updatePeerHold(now: number): void {
     this.peerHoldUntil = Math.max(this.peerHoldUntil, this.getHoldAfterOutage(now))
   }
 
-  /// Until when removals are held after a time without word of the store, as of now.
+  /// Until when removals are held after a time without a confirmation, as of now; -Infinity for not at all.
   ///
-  /// That this daemon was not answered says nothing of the store, which may have turned away this machine
-  /// only: what counts is that nobody was answered. Before `servedElsewhereMs` that is not certain, so the
-  /// hold ends while removals of that time still count as known in time. Held for the whole grace because of
-  /// its own outage, a back end was known to be gone up to 3,428 ms after it was, of 3,000 (virtual time, 16
-  /// daemons, the first reader turned away for 5 s).
+  /// That the store did not answer this daemon does not show an outage, since the store may have rejected only
+  /// this machine; no daemon must have been answered. Before `peerConfirmationMs` this is uncertain, so the
+  /// hold ends early enough for removals of that time to be applied within the bound. When a daemon held them
+  /// for the whole grace period because of an outage of its own, a back end was known to be removed up to
+  /// 3,428 ms after the removal, with a bound of 3,000 ms (virtual time, 16 daemons, the first reader rejected
+  /// for 5 s).
   private getHoldAfterOutage(now: number): number {
-    const {
-      expiryOutageMs: lapseOutageMs,
-      expiryGraceMs: lapseGraceMs,
-      peerConfirmationMs: servedElsewhereMs,
-      staleMs
-    } = this.settings
+    const {expiryOutageMs, expiryGraceMs, peerConfirmationMs, staleMs} = this.settings
     const unconfirmedMs = this.getAgeMs(now)
-    if (unconfirmedMs < lapseOutageMs || !Number.isFinite(unconfirmedMs)) return -Infinity
-    const until = now + lapseGraceMs
-    return unconfirmedMs >= servedElsewhereMs ? until : Math.min(until, this.completeAt + staleMs)
+    if (unconfirmedMs < expiryOutageMs || !Number.isFinite(unconfirmedMs)) return -Infinity
+    const until = now + expiryGraceMs
+    return unconfirmedMs >= peerConfirmationMs ? until : Math.min(until, this.completeAt + staleMs)
   }
 
+  /// Whether the current series of failures is long enough for records to have expired.
   private hasHadLongOutage(now: number): boolean {
     return this.hasStoreFailure && now - this.failingSince >= this.settings.expiryOutageMs
   }
 
   private startBackoff(now: number): void {
-    const {backoffMs, maximumBackoffMs, emptyBackoffMs: unknowingBackoffMs} = this.settings
+    const {backoffMs, maximumBackoffMs, emptyBackoffMs} = this.settings
     const pause = Math.min(
-      this.hasRecords() ? maximumBackoffMs : unknowingBackoffMs,
+      this.hasRecords() ? maximumBackoffMs : emptyBackoffMs,
       backoffMs * 2 ** Math.min(this.failures, MAXIMUM_BACKOFF_DOUBLINGS)
     )
     if (this.failures === 0) this.failingSince = this.sentAt
--- a/src/membership/member-list.ts
+++ b/src/membership/member-list.ts
@@ -1,22 +1,24 @@
-/** What a daemon believes of every daemon, with the counts and lists that others ask for at every event. */
+/** A daemon's view of all daemons, with cached counts and lists, which are read at every event. */
 import { hashText } from '../shared/rendezvous-hash.js';
 import { getDaemonName, isGone } from './member-rules.js';
 import type { Member } from './membership-messages.js';
 
-/** The belief about one daemon. */
+/** The state of one daemon in this view. */
 interface MemberRecord {
   readonly member: Member;
-  /** When the belief changed. Monotonic milliseconds. */
+  /** When the state changed. Monotonic milliseconds. */
   readonly changedAt: number;
 }
 
-/** Daemons in good contact, and all that count for a majority. */
+/** Counts for the majority rule. */
 export interface ContactCount {
+  /** Daemons that are alive. */
   readonly alive: number;
+  /** All daemons that count for a majority. */
   readonly known: number;
 }
 
-/** The beliefs of one daemon. Lists and counts are kept until a belief changes. */
+/** The view of one daemon. Lists and counts are cached until a state changes. */
 export class MemberList {
   private readonly records = new Map<string, MemberRecord>();
   private cachedActive: Member[] | undefined;
@@ -24,25 +26,25 @@
   private cachedContact: ContactCount | undefined;
   private cachedNames: Set<string> | undefined;
   private cachedAddresses: Set<string> | undefined;
-  /** Members that are not alive: only these have something to wait for. */
+  /** Ids of the members that are not alive: only these have a timeout pending. */
   private readonly notAlive = new Set<string>();
 
-  /** How many daemons are known, dead ones included. */
+  /** Number of known daemons, dead ones included. */
   get size(): number {
     return this.records.size;
   }
 
-  /** The belief about one daemon. */
+  /** The state of one daemon; undefined if it is unknown. */
   get(id: string): Member | undefined {
     return this.records.get(id)?.member;
   }
 
-  /** Every belief, dead daemons included. */
+  /** All members, dead ones included. */
   getAll(): readonly Member[] {
     return [...this.records.values()].map((record) => record.member);
   }
 
-  /** Every member that is not dead or leaving. */
+  /** All members that are neither dead nor leaving. */
   getActive(): readonly Member[] {
     this.cachedActive ??= this.getAll().filter(
       (member) => member.state === 'alive' || member.state === 'suspect',
@@ -63,8 +65,8 @@
   }
 
   /**
-   * Counts for the majority rule: daemons in good contact, and all that count. A dead daemon counts until it
-   * is forgotten or another process of its name has taken its place; a daemon that left does not count.
+   * Counts for the majority rule. A dead daemon counts until its record is dropped or another process of the
+   * same name replaces it; a daemon that left does not count.
    */
   getContact(): ContactCount {
     if (this.cachedContact) return this.cachedContact;
@@ -80,7 +82,7 @@
     return this.cachedContact;
   }
 
-  /** The same for the same beliefs, in whatever order they were learnt. */
+  /** A digest of the view without dead and leaving daemons. It does not depend on the order of updates. */
   getDigest(): number {
     let combined = 0;
     for (const { member } of this.records.values()) {
@@ -91,22 +93,22 @@
   }
 
   /**
-   * Daemons that may be at work, by name and whatever is believed of them: one that is leaving serves for
-   * seconds, one that is taken for dead may only be cut off. One that has gone for good counts until it is
-   * forgotten.
+   * Number of daemon names in any state, which is the number of daemons that may be serving: one that is
+   * leaving serves for some more seconds, and one declared dead may only be cut off. One that is gone
+   * permanently counts until its record is dropped.
    */
   getNameCount(): number {
     this.cachedNames ??= new Set(this.getAll().map((member) => getDaemonName(member.id)));
     return this.cachedNames.size;
   }
 
-  /** Whether a daemon of this address is or was known. */
+  /** Whether a daemon of this address is known, in any state. */
   hasAddress(address: string): boolean {
     this.cachedAddresses ??= new Set(this.getAll().map((member) => member.address));
     return this.cachedAddresses.has(address);
   }
 
-  /** Takes a belief. */
+  /** Sets the state of a daemon. */
   set(member: Member, now: number): void {
     this.records.set(member.id, { member, changedAt: now });
     if (member.state === 'alive') this.notAlive.delete(member.id);
@@ -114,7 +116,7 @@
     this.removeCaches();
   }
 
-  /** Forgets a daemon. */
+  /** Drops the record of a daemon. */
   remove(id: string): void {
     this.records.delete(id);
     this.notAlive.delete(id);
--- a/src/membership/member-rules.ts
+++ b/src/membership/member-rules.ts
@@ -1,4 +1,4 @@
-/** Rules about members that need no state. */
+/** Rules about members, as functions without state. */
 import type { DaemonIdentity, Member, MemberState } from './membership-messages.js';
 
 const STATE_RANK: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, leaving: 2, dead: 3 };
@@ -14,18 +14,18 @@
   return STATE_RANK[update.state] > STATE_RANK[current.state];
 }
 
-/** A daemon's first belief about itself. */
+/** Creates a daemon's first record of itself. */
 export function createInitialMember(identity: DaemonIdentity): Member {
   return { ...identity, incarnation: 1, state: 'alive' };
 }
 
-/** The name of a daemon, which its restarts share. */
+/** The name of a daemon, which stays the same over restarts. */
 export function getDaemonName(id: string): string {
   const end = id.lastIndexOf('.');
   return end < 0 ? id : id.slice(0, end);
 }
 
-/** Whether a state is one from which the same process does not serve again, unless it refutes. */
+/** Whether the process of a member in this state is not expected to serve again, unless it refutes the state. */
 export function isGone(state: MemberState): boolean {
   return state === 'dead' || state === 'leaving';
 }
--- a/src/membership/membership-messages.ts
+++ b/src/membership/membership-messages.ts
@@ -1,9 +1,9 @@
 /** Messages and records of the membership protocol. */
 
-/** What is believed of a daemon. */
+/** The state of a daemon in another daemon's view. */
 export type MemberState = 'alive' | 'suspect' | 'leaving' | 'dead';
 
-/** Identity and place of a daemon process. A restarted daemon has a new id. */
+/** Identity and location of a daemon process. A restarted daemon has a new id. */
 export interface DaemonIdentity {
   /** `name.startId`; unique over restarts. */
   readonly id: string;
@@ -13,13 +13,13 @@
   readonly region: string;
 }
 
-/** A belief about a daemon. A higher incarnation overrides a lower one; see `overrides`. */
+/** A daemon and its state. A higher incarnation overrides a lower one; see `overrides`. */
 export interface Member extends DaemonIdentity {
   readonly incarnation: number;
   readonly state: MemberState;
 }
 
-/** A member in the short form that travels: id, address, zone, region, incarnation, state. */
+/** A member as encoded in messages: id, address, zone, region, incarnation, state. */
 export type MemberUpdate = readonly [string, string, string, string, number, MemberState];
 
 /** Messages of the membership protocol. */
@@ -30,7 +30,7 @@
       readonly sequence: number;
       readonly target: string;
       readonly updates: readonly MemberUpdate[];
-      /** The sender's time of day; not told by older daemons. Milliseconds. */
+      /** The sender's time of day; absent in messages of older daemons. Milliseconds. */
       readonly wallMs?: number | undefined;
     }
   | {
@@ -41,17 +41,20 @@
     }
   /** Asks a third daemon to probe `target` for the sender. */
   | { readonly kind: 'pingRequest'; readonly sequence: number; readonly target: string }
-  /** A summary of the sender's list; one that differs is answered with the whole list. */
+  /** A digest of the sender's list; a receiver whose digest differs answers with its complete list. */
   | { readonly kind: 'syncDigest'; readonly digest: number }
-  /** The whole list, to a daemon that joins or in anti-entropy; `reply` asks for the other's list. */
+  /**
+   * The complete list, from or to a daemon that joins, or for anti-entropy; `reply` asks for the receiver's
+   * list.
+   */
   | { readonly kind: 'sync'; readonly reply: boolean; readonly members: readonly MemberUpdate[] };
 
-/** Turns a member into its short form. */
+/** Encodes a member for a message. */
 export function encodeMember(member: Member): MemberUpdate {
   return [member.id, member.address, member.zone, member.region, member.incarnation, member.state];
 }
 
-/** Turns the short form back into a member. */
+/** Decodes a member from a message. */
 export function decodeMember(update: MemberUpdate): Member {
   const [id, address, zone, region, incarnation, state] = update;
   return { id, address, zone, region, incarnation, state };
--- a/src/membership/membership-settings.ts
+++ b/src/membership/membership-settings.ts
@@ -4,30 +4,30 @@
 export interface MembershipSettings {
   /** Interval between probes. Milliseconds. Default 1000. */
   readonly probeIntervalMs: number;
-  /** A probe without an answer after this long goes through third daemons. Milliseconds. Default 300. */
+  /** A probe without an answer after this time is repeated through third daemons. Milliseconds. Default 300. */
   readonly probeTimeoutMs: number;
   /**
-   * A suspect that does not refute within this long, times log10 of the members, is dead. Milliseconds.
-   * Default 3000.
+   * A suspect that does not refute within this time, multiplied by log10 of the number of members, is
+   * declared dead. Milliseconds. Default 3000.
    */
   readonly suspicionMs: number;
-  /** Third daemons asked to probe. Default 3. */
+  /** Number of third daemons that are asked to probe. Default 3. */
   readonly indirectProbes: number;
-  /** Updates carried on a message; up to four times as many while there is much to tell. Default 8. */
+  /** Updates per message; up to four times as many while there is a backlog. Default 8. */
   readonly updatesPerMessage: number;
-  /** Chance that a probe goes to the own zone. Default 0.8. */
+  /** Probability that a probe goes to the local zone. Default 0.8. */
   readonly ownZoneChance: number;
-  /** Interval between exchanges of the whole list with one daemon. Milliseconds. Default 10000. */
+  /** Interval between exchanges of the complete list with one daemon. Milliseconds. Default 10000. */
   readonly syncIntervalMs: number;
-  /** The same while a seed is not among the active members. Milliseconds. Default 2000. */
+  /** That interval while a seed is not among the active members. Milliseconds. Default 2000. */
   readonly strangerSyncIntervalMs: number;
   /**
-   * Interval between probes of a dead member, so that both sides of a healed partition meet. Milliseconds.
-   * Default 2000.
+   * Interval between probes of a dead member, through which both sides of a healed partition find each other
+   * again. Milliseconds. Default 2000.
    */
   readonly deadProbeIntervalMs: number;
   /**
-   * Dead members are remembered, and count against the majority, this long. Milliseconds. Default 3600000.
+   * How long dead members are kept, and count against the majority. Milliseconds. Default 3600000.
    */
   readonly deadRetentionMs: number;
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,6 +1,6 @@
 /**
- * Membership between daemons: a gossip protocol after SWIM (Das, Gupta and Motivala, 2002) with suspicion
- * and incarnations. Probes prefer the own zone, so that most traffic stays there.
+ * Membership of daemons: a gossip protocol based on SWIM (Das, Gupta and Motivala, 2002) with suspicion and
+ * incarnations. Probes prefer the local zone, so that most traffic stays there.
  */
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { RandomSource } from '../shared/random.js';
@@ -18,7 +18,7 @@
   type MemberUpdate,
 } from './membership-messages.js';
 
-/** What the membership machine asks its runner to do. */
+/** Effects of the membership protocol: messages to send, and changes of a member's state. */
 export type MembershipEffect =
   | { readonly kind: 'sendMembership'; readonly address: string; readonly message: MembershipMessage }
   | { readonly kind: 'memberChanged'; readonly member: Member; readonly previous: MemberState | undefined };
@@ -28,17 +28,18 @@
   readonly target: string;
   readonly sentAt: number;
   indirect: boolean;
-  /** Set when the probe is made for another daemon: whom to answer and with which sequence. */
+  /** For a probe on behalf of another daemon: the address and the sequence number of the answer. */
   readonly onBehalfOf?: { readonly address: string; readonly sequence: number };
 }
 
-/** Daemons of the whole fleet that try a lost seed in one interval, about. */
+/** Approximate number of daemons in the fleet that contact a lost seed in one interval. */
 const LOST_SEED_TRIES = 3;
-/** A daemon that has just started exchanges lists this often at the short interval. */
+/** Number of list exchanges at the short interval after a daemon has started. */
 const STARTUP_SYNCS = 5;
 /**
- * Interval of these, and of those before this daemon has met another. Milliseconds. 72 daemons that start together so agree within
- * about a second; at 2000 views were incomplete for 6 to 10 s, and several daemons took one thing for theirs (virtual time, 12 seeds).
+ * Interval of these, and of those before another daemon has answered. Milliseconds. 72 daemons that start
+ * together agree within about a second; at 2000 their views were incomplete for 6 to 10 s, and several daemons
+ * claimed ownership of the same thing (virtual time, 12 seeds).
  */
 const STARTUP_SYNC_INTERVAL_MS = 500;
 
@@ -47,7 +48,7 @@
   private readonly list = new MemberList();
   private readonly gossip = new GossipQueue();
   private readonly probes = new Map<number, Probe>();
-  /** Rounds over the own zone and over the others; each begins anew when it is through. */
+  /** Rounds of probes over the local zone and over the other zones. */
   private readonly ownZoneOrder: ProbeOrder;
   private readonly otherZonesOrder: ProbeOrder;
   private sequence = 0;
@@ -74,7 +75,7 @@
     this.enqueueGossip(self.id);
   }
 
-  /** Every member that is not dead or leaving, itself included. */
+  /** All members that are neither dead nor leaving, this daemon included. */
   getActive(): readonly Member[] {
     return this.list.getActive();
   }
@@ -84,42 +85,42 @@
     return this.list.getActiveIds();
   }
 
-  /** Every record, dead ones included. */
+  /** All members, dead ones included. */
   getAll(): readonly Member[] {
     return this.list.getAll();
   }
 
-  /** The belief about one daemon. */
+  /** The state of one daemon; undefined if it is unknown. */
   get(id: string): Member | undefined {
     return this.list.get(id);
   }
 
-  /** Counts for the majority rule: daemons in good contact, and all that count. */
+  /** Counts for the majority rule: daemons that are alive, and all that count. */
   getContact(): ContactCount {
     return this.list.getContact();
   }
 
-  /** Daemons that may be at work: among so many is divided what all of them together may do. */
+  /** Number of daemons that may be serving, among which a limit of the whole fleet is divided. */
   getSharingDaemonCount(): number {
     return this.list.getNameCount();
   }
 
-  /** Whether something is known of every seed. A group that started cut off from the others may not know how many there are. */
+  /** Whether every seed is known. A group that started cut off from the others may not know their number. */
   hasAllSeeds(): boolean {
     return this.seeds.every((address) => address === this.self.address || this.list.hasAddress(address));
   }
 
-  /** When a probe of this daemon was last answered. -Infinity before the first. */
+  /** When the last answered probe was sent. Monotonic milliseconds; -Infinity before the first answer. */
   getLastContactAt(): number {
     return this.lastContactAt;
   }
 
-  /** Whether another daemon has answered, or there is none to ask. */
+  /** Whether another daemon has sent its list, or there is no seed. */
   hasJoined(): boolean {
     return this.joinedAt !== undefined || this.seeds.length === 0;
   }
 
-  /** Says to everybody that this daemon is leaving; it then gets no more work from peers. */
+  /** Announces to all active members that this daemon is leaving, so that they send it no more work. */
   leave(now: number): void {
     this.self = { ...this.self, state: 'leaving' };
     this.list.set(this.self, now);
@@ -147,7 +148,7 @@
     if (dead.length > 0) this.probe(dead[this.random.below(dead.length)].id, now);
   }
 
-  /** Takes a message from the daemon at `fromAddress` with id `fromId`. */
+  /** Handles a message from the daemon `fromId` at `fromAddress`. */
   receive(fromId: string, fromAddress: string, message: MembershipMessage, now: number): void {
     switch (message.kind) {
       case 'ping':
@@ -161,14 +162,13 @@
         break;
       case 'syncDigest':
         if (message.digest !== this.list.getDigest()) {
-          this.send(fromAddress, { kind: 'sync', reply: true, members: this.getFullList() });
+          this.send(fromAddress, { kind: 'sync', reply: true, members: this.encodeAll() });
         }
         break;
       case 'sync':
         this.joinedAt ??= now;
         this.applyList(fromId, message.members, now);
-        if (message.reply)
-          this.send(fromAddress, { kind: 'sync', reply: false, members: this.getFullList() });
+        if (message.reply) this.send(fromAddress, { kind: 'sync', reply: false, members: this.encodeAll() });
         break;
     }
   }
@@ -180,13 +180,13 @@
   ): void {
     this.applyAll(message.updates, now);
     if (message.target !== this.self.id) {
-      // Another process had this address before: say so, and who is here now.
+      // The target was an earlier process at this address: report it as dead, and this daemon as its successor.
       const previous = this.list.get(message.target);
       if (previous) this.apply({ ...previous, state: 'dead' }, now);
-      const news = previous
+      const updates = previous
         ? [encodeMember(this.self), encodeMember({ ...previous, state: 'dead' })]
         : [encodeMember(this.self)];
-      this.send(fromAddress, { kind: 'sync', reply: false, members: news });
+      this.send(fromAddress, { kind: 'sync', reply: false, members: updates });
       return;
     }
     this.send(fromAddress, { kind: 'ack', sequence: message.sequence, updates: this.takeGossip() });
@@ -225,9 +225,7 @@
   }
 
   private askOthersToProbe(probe: Probe): void {
-    const others = this.getActive().filter(
-      (member) => member.id !== this.self.id && member.id !== probe.target,
-    );
+    const others = this.getActive().filter((peer) => peer.id !== this.self.id && peer.id !== probe.target);
     for (let count = 0; count < this.settings.indirectProbes && others.length > 0; count += 1) {
       const [helper] = others.splice(this.random.below(others.length), 1);
       this.send(helper.address, { kind: 'pingRequest', sequence: probe.sequence, target: probe.target });
@@ -241,10 +239,10 @@
   }
 
   private checkSuspicion(now: number): void {
-    const doubted = this.list.getNotAlive();
-    if (doubted.length === 0) return;
+    const notAlive = this.list.getNotAlive();
+    if (notAlive.length === 0) return;
     const scale = Math.max(1, Math.log10(this.list.size + 1));
-    for (const { member, changedAt } of doubted) {
+    for (const { member, changedAt } of notAlive) {
       if (member.id === this.self.id) continue;
       const age = now - changedAt;
       if (member.state === 'suspect' && age > this.settings.suspicionMs * scale) {
@@ -302,7 +300,7 @@
       indirect: false,
       onBehalfOf,
     });
-    // A suspect or dead daemon is told what is said of it, so that it can refute.
+    // A suspect or dead daemon receives the claim about itself, so that it can refute it.
     const about = member.state !== 'alive' ? [encodeMember(member)] : [];
     this.send(member.address, {
       kind: 'ping',
@@ -313,39 +311,38 @@
   }
 
   /**
-   * Exchanges the whole list with one daemon. A seed that is not among the active members comes first: two
-   * groups that formed around different seeds would otherwise never hear of each other.
+   * Exchanges the complete list with one daemon. A seed that is not among the active members has priority: two
+   * groups that formed around different seeds would otherwise never find each other.
    */
   private syncWithOne(now: number): void {
     const others = this.getActive().filter((member) => member.id !== this.self.id);
     const known = new Set(others.map((member) => member.address));
     const lostSeeds = this.seeds.filter((address) => address !== this.self.address && !known.has(address));
-    // In a large fleet a few daemons try a lost seed, not all of them at once.
+    // In a large fleet only a few daemons contact a lost seed in one interval, not all of them.
     const tryLostSeed = this.random.next() < LOST_SEED_TRIES / Math.max(1, known.size);
     const candidates = lostSeeds.length > 0 && tryLostSeed ? lostSeeds : [...known];
     const isStarting = this.syncCount < STARTUP_SYNCS || !this.hasJoined();
     this.syncCount += 1;
-    const regularInterval =
-      lostSeeds.length > 0 ? this.settings.strangerSyncIntervalMs : this.settings.syncIntervalMs;
-    const interval = isStarting ? STARTUP_SYNC_INTERVAL_MS : regularInterval;
+    const usual = lostSeeds.length > 0 ? this.settings.strangerSyncIntervalMs : this.settings.syncIntervalMs;
+    const interval = isStarting ? STARTUP_SYNC_INTERVAL_MS : usual;
     this.nextSyncAt = now + interval * (0.75 + this.random.next() / 2);
     if (candidates.length === 0) return;
     const address = candidates[this.random.below(candidates.length)];
     if (candidates === lostSeeds || isStarting || !this.hasJoined()) {
-      const members = this.hasJoined() ? this.getFullList() : [encodeMember(this.self)];
+      const members = this.hasJoined() ? this.encodeAll() : [encodeMember(this.self)];
       this.send(address, { kind: 'sync', reply: true, members });
     } else {
       this.send(address, { kind: 'syncDigest', digest: this.list.getDigest() });
     }
   }
 
-  /** A daemon came back from the dead: a partition may have healed, so lists are compared soon. */
+  /** A dead daemon is alive again: a partition may have healed, so the next list exchange is made early. */
   private syncSoon(now: number): void {
     const soon = now + this.settings.strangerSyncIntervalMs * (0.5 + 2 * this.random.next());
     this.nextSyncAt = Math.min(this.nextSyncAt, soon);
   }
 
-  private getFullList(): MemberUpdate[] {
+  private encodeAll(): MemberUpdate[] {
     return this.getAll().map(encodeMember);
   }
 
@@ -353,7 +350,7 @@
     for (const update of updates) this.apply(decodeMember(update), now);
   }
 
-  /** Of a whole list only what is news to others is passed on: who sent it, and who went. */
+  /** Applies a complete list. Only its sender and members that are not alive are forwarded by gossip. */
   private applyList(fromId: string, updates: readonly MemberUpdate[], now: number): void {
     for (const update of updates) {
       const member = decodeMember(update);
--- a/src/membership/probe-order.ts
+++ b/src/membership/probe-order.ts
@@ -1,22 +1,22 @@
 /**
- * The order in which members are probed: each once in a round, in random order; a new one joins the present
- * round.
+ * The order in which members are probed: each once per round, in random order. A new member is added to the
+ * current round.
  */
 import type { RandomSource } from '../shared/random.js';
 
-/** One round after the other over a set of members. */
+/** Iterates over a set of members in successive rounds. */
 export class ProbeOrder {
   private queue: string[] = [];
 
   constructor(private readonly random: RandomSource) {}
 
-  /** The next member, or undefined when there is none. `members` names them when a new round begins. */
+  /** Picks the next member; undefined when there is none. `members` returns the ids for a new round. */
   pickNext(members: () => string[]): string | undefined {
     if (this.queue.length === 0) this.queue = this.shuffle(members());
     return this.queue.pop();
   }
 
-  /** A member joined: it is probed in the present round, and not only in the next. */
+  /** Adds a member that joined to the current round, so that its probe does not wait for the next one. */
   add(id: string): void {
     this.queue.splice(this.random.below(this.queue.length + 1), 0, id);
   }
--- a/src/places/distance-cost.ts
+++ b/src/places/distance-cost.ts
@@ -1,33 +1,34 @@
-/// What distance costs, in time and in what that time is worth to an operator who pays for the bytes. Every
-/// choice of a back end asks here. In a fleet of one region nothing is learned and bytes cost nothing.
+/// Cost of distance: transfer time, plus the operator's price of the transferred bytes expressed as waiting
+/// time. Every selection of a back end uses it. In a fleet of one region the round trips are the defaults and
+/// bytes cost nothing.
 import type {DistanceSettings} from "./distance-settings.js"
 import type {DistanceClass, Places} from "./places.js"
 import type {RoundTrips} from "./round-trips.js"
 
 const BYTES_PER_MEGABYTE = 1e6
 const BYTES_PER_GIGABYTE = 1e9
-/// One Mbps carries 1,000 bits a millisecond.
+/// 1 Mbps is 1,000 bits per millisecond.
 const MS_PER_BYTE_AT_ONE_MBPS = 8 / 1e3
 
 /// The links over which engines copy KV caches.
 export interface EngineLinks {
-  /// Bytes that a token takes up in a KV cache.
+  /// Size of a token in a KV cache. Bytes.
   readonly tokenBytes: number
-  /// Megabits per second.
+  /// Bandwidth of a link. Megabits per second.
   readonly linkMbps: number
 }
 
-/// What something costs over a distance. Milliseconds.
+/// Time and cost of a call or a copy over a distance. Milliseconds.
 export interface Expense {
-  /// It takes so long.
+  /// Duration.
   readonly timeMs: number
-  /// Time and price together, as waiting.
+  /// Duration plus the price, expressed as waiting time.
   readonly costMs: number
 }
 
 const NO_EXPENSE: Expense = {timeMs: 0, costMs: 0}
 
-/// The cost of distance as one daemon sees it.
+/// The cost of distance as seen by one daemon.
 export class DistanceCost {
   constructor(
     readonly settings: DistanceSettings,
@@ -35,7 +36,7 @@
     private readonly roundTrips: RoundTrips
   ) {}
 
-  /// A call with so many bytes from one zone to a back end of another.
+  /// Cost of a call that transfers `bytes` between a zone and a back end in another one.
   getCallExpense(from: string, to: string, bytes: number): Expense {
     const distance = this.places.getDistance(from, to)
     if (!this.places.hasSeveralRegions()) {
@@ -47,7 +48,7 @@
     return {timeMs, costMs: timeMs + price}
   }
 
-  /// So many tokens of a KV cache copied from an engine of one zone to one of another.
+  /// Cost of copying `tokens` of a KV cache from an engine in one zone to one in another.
   getCopyExpense(from: string, to: string, tokens: number, links: EngineLinks | undefined): Expense {
     if (!links || tokens <= 0) return NO_EXPENSE
     const distance = this.places.getDistance(from, to)
@@ -62,8 +63,8 @@
     return {timeMs, costMs: timeMs + (bytes / BYTES_PER_GIGABYTE) * moveMsPerGigabyte[distance]}
   }
 
-  /// Round trips are known from this daemon's place alone; between two other regions it takes the longer of
-  /// the two ways.
+  /// Round trip between the engines. Round trips are only measured from this daemon's region, so between two
+  /// other regions it is the longer one of the two from here.
   private getLinkMs(from: string, to: string, distance: DistanceClass): number {
     const {places, roundTrips} = this
     if (distance !== "otherRegion") return roundTrips.getRoundTripMs(undefined, distance)
--- a/src/places/distance-settings.ts
+++ b/src/places/distance-settings.ts
@@ -1,25 +1,27 @@
-/// Settings of what distance costs.
+/// Settings of the cost of distance.
 import type {DistanceClass} from "./places.js"
 
-/// A figure for each class of distance.
+/// A value for each class of distance.
 type ByDistance = Readonly<Record<DistanceClass, number>>
 
-/// Settings of distance.
+/// Settings of the cost of distance, each with its unit and default.
 export interface DistanceSettings {
-  /// Round trip beyond that within a zone until probes have told it. Milliseconds. Default 0, 2, 16: machines
-  /// of a zone share a building, zones of a region a town; 16 is light in glass over 1,600 km.
+  /// Round trip in addition to that within a zone, until probes have measured it. Milliseconds. Default 0, 2,
+  /// 16: the machines of a zone share a building, the zones of a region a city; 16 is the round trip of light
+  /// in fiber over 1,600 km.
   readonly roundTripMs: ByDistance
-  /// Waiting that a megabyte of requests and answers is worth. Milliseconds. Default 0, 500, 2000: carriers
-  /// charge about four times as much between regions as between zones; 17 KB of a long prompt then weigh 8 ms
-  /// and 34 ms.
+  /// Price of a megabyte of requests and answers, as waiting time. Milliseconds. Default 0, 500, 2000: carriers
+  /// charge about four times as much between regions as between zones; the 17 KB of a long prompt then cost
+  /// 8 ms and 34 ms.
   readonly callMsPerMegabyte: ByDistance
-  /// How much longer a copy of a KV cache takes than within a zone. Default 1, 2, 10.
+  /// Factor by which a copy of a KV cache takes longer than within a zone. Default 1, 2, 10.
   readonly moveTimeFactor: ByDistance
-  /// Waiting that a gigabyte of KV cache moved is worth. Milliseconds. Default 60, 120, 180.
+  /// Price of copying a gigabyte of KV cache, as waiting time. Milliseconds. Default 60, 120, 180.
   readonly moveMsPerGigabyte: ByDistance
-  /// Prompt tokens that an engine computes in a millisecond until its pace is known. Default 90.
+  /// Prompt tokens that an engine is assumed to compute per millisecond until its speed is known. Default 90.
   readonly initialTokensPerMs: number
-  /// Time that a back end takes over a request until some have been answered. Milliseconds. Default 20.
+  /// Time that a back end is assumed to need for a request until some have been answered. Milliseconds.
+  /// Default 20.
   readonly initialWorkMs: number
 }
 
--- a/src/places/places.ts
+++ b/src/places/places.ts
@@ -1,15 +1,15 @@
-/// Where daemons and back ends stand: which region each zone belongs to, and how far two zones are apart.
+/// Locations of daemons and back ends: the region of each zone, and the distance between two zones.
 
-/// How far two places are apart.
+/// The distance between two zones.
 export type DistanceClass = "sameZone" | "sameRegion" | "otherRegion"
 
-/// Every class, the nearest first.
+/// All classes, nearest first.
 export const DISTANCE_CLASSES: readonly DistanceClass[] = ["sameZone", "sameRegion", "otherRegion"]
 
 /// The region of each zone, by the zone's name.
 export type RegionByZone = Readonly<Record<string, string>>
 
-/// The places of a fleet.
+/// The zones and regions of a fleet.
 export class Places {
   private readonly isMultiRegion: boolean
   private readonly regions: ReadonlyMap<string, string>
@@ -29,14 +29,14 @@
     return this.regions.get(zone)
   }
 
-  /// Every region but that of the zone.
+  /// Every region except that of the zone.
   getOtherRegions(zone: string): readonly string[] {
     const own = this.getRegion(zone)
     return [...new Set(Object.values(this.regionByZone))].filter(region => region !== own)
   }
 
-  /// How far two zones are apart. A zone that the settings do not name is taken to lie in the region: to keep
-  /// away from it for what it may cost would waste its back ends.
+  /// The distance between two zones. A zone that the settings do not name is assumed to be in the same region,
+  /// since avoiding it for a cost that may not exist would waste its back ends.
   getDistance(one: string, other: string): DistanceClass {
     if (one === other) return "sameZone"
     if (!this.isMultiRegion) return "sameRegion"
--- a/src/places/round-trips.ts
+++ b/src/places/round-trips.ts
@@ -1,18 +1,19 @@
-/// Round trips to other regions and zones, learned from probes between daemons.
+/// Round trips to other zones and regions, measured by probes between daemons.
 import type {DistanceClass} from "./places.js"
 
-/// Samples of which the middle one counts: a sample also holds the time that the peer took, and one peer that
-/// is slow or stood still says nothing of the link to the others there.
+/// Number of samples of which the median is taken. A sample includes the time that the peer took to answer, and
+/// one slow or paused peer says nothing about the link to the other daemons at its location.
 const MEDIAN_WINDOW = 5
 
-/// The learned times of one daemon. Milliseconds.
+/// The round trips measured by one daemon. Milliseconds.
 export class RoundTrips {
   private readonly medians = new Map<string, number>()
   private readonly recent = new Map<string, number[]>()
 
   constructor(private readonly defaults: Readonly<Record<DistanceClass, number>>) {}
 
-  /// A probe of a daemon in `region`, which lies so far away, was answered after `ms`.
+  /// Adds a probe of a daemon in `region`, at this distance, that was answered after `ms`. Values that are
+  /// negative or not finite are ignored.
   addSample(region: string | undefined, distance: DistanceClass, ms: number): void {
     if (!(ms >= 0) || !Number.isFinite(ms)) return
     const key = getKey(region, distance)
@@ -25,13 +26,13 @@
     this.medians.set(key, sorted[MEDIAN_WINDOW >> 1])
   }
 
-  /// The round trip to `region`, which lies so far away.
+  /// The round trip to `region`, at this distance; the default before the first sample.
   getRoundTripMs(region: string | undefined, distance: DistanceClass): number {
     return this.medians.get(getKey(region, distance)) ?? this.defaults[distance]
   }
 }
 
-/// Regions differ in how far they are; zones of one region are taken to be alike.
+/// Other regions have a value each; the zones of one region share one, since they are assumed to be alike.
 function getKey(region: string | undefined, distance: DistanceClass): string {
   return distance === "otherRegion" ? `${distance}/${region ?? ""}` : distance
 }
