--- a/src/places/distance-cost.ts
+++ b/src/places/distance-cost.ts
@@ -52,15 +52,20 @@
   getCopyExpense(from: string, to: string, tokens: number, links: EngineLinks | undefined): Expense {
     if (!links || tokens <= 0) return NO_EXPENSE
     const distance = this.places.getDistance(from, to)
-    return this.getCopy(distance, tokens, links, this.getLinkMs(from, to, distance))
+    return this.getLinkExpense(distance, tokens, links, this.getLinkMs(from, to, distance))
   }
 
-  private getCopy(distance: DistanceClass, tokens: number, links: EngineLinks, linkMs: number): Expense {
-    const {moveTimeFactor, moveMsPerGigabyte} = this.settings
+  private getLinkExpense(
+    distance: DistanceClass,
+    tokens: number,
+    links: EngineLinks,
+    linkMs: number
+  ): Expense {
+    const {copyTimeFactor, copyMsPerGigabyte} = this.settings
     const bytes = tokens * links.tokenBytes
-    const copyMs = (bytes * MS_PER_BYTE_AT_ONE_MBPS * moveTimeFactor[distance]) / links.linkMbps
+    const copyMs = (bytes * MS_PER_BYTE_AT_ONE_MBPS * copyTimeFactor[distance]) / links.linkMbps
     const timeMs = copyMs + linkMs
-    return {timeMs, costMs: timeMs + (bytes / BYTES_PER_GIGABYTE) * moveMsPerGigabyte[distance]}
+    return {timeMs, costMs: timeMs + (bytes / BYTES_PER_GIGABYTE) * copyMsPerGigabyte[distance]}
   }
 
   /// Round trip between the engines. Round trips are only measured from this daemon's region, so between two
--- a/src/places/distance-settings.ts
+++ b/src/places/distance-settings.ts
@@ -15,9 +15,9 @@
   /// 8 ms and 34 ms.
   readonly callMsPerMegabyte: ByDistance
   /// Factor by which a copy of a KV cache takes longer than within a zone. Default 1, 2, 10.
-  readonly moveTimeFactor: ByDistance
+  readonly copyTimeFactor: ByDistance
   /// Price of copying a gigabyte of KV cache, as waiting time. Milliseconds. Default 60, 120, 180.
-  readonly moveMsPerGigabyte: ByDistance
+  readonly copyMsPerGigabyte: ByDistance
   /// Prompt tokens that an engine is assumed to compute per millisecond until its speed is known. Default 90.
   readonly initialTokensPerMs: number
   /// Time that a back end is assumed to need for a request until some have been answered. Milliseconds.
@@ -29,8 +29,8 @@
 export const DEFAULT_DISTANCE_SETTINGS: DistanceSettings = {
   roundTripMs: {sameZone: 0, sameRegion: 2, otherRegion: 16},
   callMsPerMegabyte: {sameZone: 0, sameRegion: 500, otherRegion: 2000},
-  moveTimeFactor: {sameZone: 1, sameRegion: 2, otherRegion: 10},
-  moveMsPerGigabyte: {sameZone: 60, sameRegion: 120, otherRegion: 180},
+  copyTimeFactor: {sameZone: 1, sameRegion: 2, otherRegion: 10},
+  copyMsPerGigabyte: {sameZone: 60, sameRegion: 120, otherRegion: 180},
   initialTokensPerMs: 90,
   initialWorkMs: 20
 }
