--- a/lab/demo.ts
+++ b/lab/demo.ts
@@ -1,5 +1,5 @@
 /** `npm run demo`: a small Trust site of separate processes under a shifting mix, and a report. */
-import { statusCommand } from '../src/cli/status-command.js';
+import { runStatusCommand } from '../src/cli/status-command.js';
 import { SeededRandom } from '../src/shared/random.js';
 import { LocalSite } from './launcher.js';
 import { LoadGenerator, type LoadClass, type LoadPhase } from './load-generator.js';
@@ -53,7 +53,7 @@
     say(formatLoadReport(load));
     say('');
     say(
-      await statusCommand(
+      await runStatusCommand(
         site.daemons.map((daemon) => daemon.addresses.operator),
         false,
       ),
--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -6,7 +6,7 @@
 } from '../src/daemon/forwarding-daemon-settings.js';
 import type { ForwardingEffect, ForwardingEvent } from '../src/daemon/forwarding-messages.js';
 import type { PeerMessage } from '../src/daemon/peer-messages.js';
-import type { WatchedBackend } from '../src/quarantine/break-watch.js';
+import type { BackendIncarnation } from '../src/quarantine/break-watch.js';
 import type { RecordRead, RecordReadResult, StoredRecord } from '../src/fleet/record-store.js';
 import { SeededRandom } from '../src/shared/random.js';
 import type { AttemptStart, ForwardAttemptEvent } from '../src/forwarding/forward-messages.js';
@@ -296,7 +296,7 @@
     });
   }
 
-  private checkBackend(node: FleetNode, backend: WatchedBackend): void {
+  private checkBackend(node: FleetNode, backend: BackendIncarnation): void {
     const check = this.isListening(backend.address) ? 'answered' : 'ended';
     this.time.after(2 * this.networkMs, () => this.handle(node, { kind: 'backendChecked', backend, check }));
   }
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -86,7 +86,7 @@
 
   /** Revision of the configuration in force; -1 before the first. */
   configurationRevision(): number {
-    return this.machines.configuration.revision();
+    return this.machines.configuration.getRevision();
   }
 
   /** Number of daemons in contact and of known daemons, as counted by the majority rule. */
@@ -96,7 +96,7 @@
 
   /** Number of unconfirmed writes to the table; a stopping process waits for them for a limited time. */
   countUnconfirmedWrites(): number {
-    return this.machines.ledger.waiting();
+    return this.machines.ledger.countPending();
   }
 
   /** The status document that `pulleyledge status` shows. */
@@ -110,7 +110,7 @@
       ready,
       draining: this.draining,
       reason,
-      configurationRevision: configuration.revision(),
+      configurationRevision: configuration.getRevision(),
       configurationAgeMs: freshness.kind === 'never' ? -1 : Math.round(freshness.ageMs),
       members: membership.getAll().map(({ id, address, zone, state }) => ({ id, address, zone, state })),
       engines: directory.summary(),
@@ -122,7 +122,7 @@
         applicationCalls: applications.active(),
       },
       roleChanges: cells.countRoleChanges(),
-      services: configuration.services(),
+      services: configuration.getServices(),
     };
   }
 
@@ -133,7 +133,7 @@
         break;
       case 'clockStoodStill':
         this.machines.cells.onMachineSuspended(now);
-        this.machines.configuration.resumeAfterSuspension(event.forMs);
+        this.machines.configuration.onMachineSuspended(event.forMs);
         break;
       case 'peerMessage':
         this.receivePeer(event.fromId, event.fromAddress, event.message, now);
@@ -279,6 +279,6 @@
 
   private freshness(now: number): Freshness {
     const { configuration, membership } = this.machines;
-    return configuration.freshness(now, getPeerContact(membership, now));
+    return configuration.getFreshness(now, getPeerContact(membership, now));
   }
 }
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -11,7 +11,7 @@
 import type { DaemonIdentity, MembershipMessage } from '../membership/membership-messages.js';
 import type { PartFigures } from '../parts/daemon-part.js';
 import type { RandomSource } from '../shared/random.js';
-import { getRendezvousPlace } from '../shared/rendezvous-hash.js';
+import { getRendezvousRank } from '../shared/rendezvous-hash.js';
 import { makeFleetChange, type ChangeEvent } from './change-log.js';
 import type { ForwardingDaemonSettings } from './forwarding-daemon-settings.js';
 import { createForwardingMachines, type ForwardingMachines } from './forwarding-machines.js';
@@ -245,8 +245,8 @@
   private setReaderRank(): void {
     if (!this.membersChanged) return;
     this.membersChanged = false;
-    this.machines.directory.peers.setDaemons(this.machines.membership.getActive().length);
-    this.readerRank = getRendezvousPlace(
+    this.machines.directory.peers.setDaemonCount(this.machines.membership.getActive().length);
+    this.readerRank = getRendezvousRank(
       STORE_READER_KEY,
       this.machines.membership.getActiveIds(),
       this.identity.id,
--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -117,7 +117,7 @@
 /** The fleet as this daemon sees it. */
 function getFleetView(membership: Membership): FleetView {
   const members = membership.getActive();
-  return { members, known: membership.getContact().known, joined: membership.hasJoined() };
+  return { members, knownCount: membership.getContact().known, joined: membership.hasJoined() };
 }
 
 /** What back ends report about themselves, and the permits for sending to those that name a limit. */
@@ -141,7 +141,7 @@
     selfId: identity.id,
     random,
     getFleet: () => getFleetView(membership),
-    onSettled: resumeWaiting,
+    onDecision: resumeWaiting,
     emit,
   });
   const limits = new BackendLimits(directory, ({ record }, requestsPerSecond, at) => {
--- a/src/duties/duty-manager.ts
+++ b/src/duties/duty-manager.ts
@@ -122,7 +122,7 @@
     this.updateCollectors(this.context.getMembers(), now)
     this.sendCounts(leaving, fleetMs, now)
     this.tickLease(leaving, now)
-    const held = this.lease.current(now)
+    const held = this.lease.getHeldLease(now)
     this.reporter ??= this.createReporter(fleetMs)
     if (this.collectsSince === undefined) return
     this.updateDemand(now)
@@ -134,7 +134,7 @@
 
   /// The machine was suspended for an unknown time that the monotonic clock did not count.
   onMachineSuspended(): void {
-    this.lease.resumeAfterSuspension()
+    this.lease.onMachineSuspended()
   }
 
   /// Applies the answer to a `leaseTable` effect.
@@ -149,7 +149,7 @@
 
   /// Applies the result of a `callDuty` effect.
   receiveDutyResult(call: DutyCall, result: DutyResult, now: number): void {
-    if (result.kind === "superseded") this.lease.giveUp()
+    if (result.kind === "superseded") this.lease.onSuperseded()
     if (call.kind === "orderServers") this.capacity.receiveResult(call, result, now)
     else this.reporter?.receiveResult(call.window, result, this.clock.getTime(now) ?? 0, now)
   }
--- a/src/fleet/peer-exchange.ts
+++ b/src/fleet/peer-exchange.ts
@@ -207,8 +207,8 @@
     if (addresses.length === 0) return
     const knowledge = this.replica.getKnowledge(now)
     const ofRegion = scope === "region" ? {region: this.members.region, passOn: true} : {}
-    const limits = this.extras.limits.getTold(now)
-    const leaving = this.extras.leaving.getTold()
+    const limits = this.extras.limits.getForPeers(now)
+    const leaving = this.extras.leaving.getForPeers()
     const message: FleetMessage = {
       kind: "loadDigest",
       scope,
@@ -304,8 +304,8 @@
 
   private applyLoads(fromId: string, fromAddress: string, message: LoadDigest, now: number): void {
     for (const placement of message.placements) this.extras.placements.addPlacement(placement)
-    this.extras.limits.applyTold(message.limits ?? [], now)
-    this.extras.leaving.applyTold(message.leaving ?? [], now)
+    this.extras.limits.applyFromPeer(message.limits ?? [], now)
+    this.extras.leaving.applyFromPeer(message.leaving ?? [], now)
     switch (message.scope ?? "own") {
       case "own":
         // A daemon that sends its loads to a relay receives those of the fleet from it; in a small fleet every
--- a/test/restarted-back-ends.test.ts
+++ b/test/restarted-back-ends.test.ts
@@ -64,7 +64,7 @@
     site.directory.put({ ...record, bornMs: BORN_MS });
     const after = site.directory.get(record.id);
     expect(after?.isEjected(20)).to.equal(false);
-    expect(after?.ownInFlight()).to.equal(0);
+    expect(after?.localInFlight()).to.equal(0);
     expect(before?.takesWork()).to.equal(false);
   });
 
