--- a/src/fleet/peer-exchange.ts
+++ b/src/fleet/peer-exchange.ts
@@ -1,5 +1,6 @@
-/// What daemons tell each other beside membership: the load that each puts on the back ends, and records to a
-/// daemon that lags behind because the store does not answer it.
+/// Messages between daemons other than membership: the load that each daemon puts on the back ends, changes
+/// read from the store, and records for a daemon that lags behind because the store does not answer it. Relies
+/// on the list of members, the fleet replica and, in a large fleet, the load relays.
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {RandomSource} from "../shared/random.js"
 import type {BackendDirectory} from "../forwarding/backends/backend-directory.js"
@@ -15,29 +16,30 @@
 
 /// Settings of the exchange.
 export interface PeerExchangeSettings {
-  /// The longest interval between digests. Milliseconds. Default 400.
+  /// The longest interval between digests, and the range of the random first delay. Milliseconds. Default 400.
   readonly digestIntervalMs: number
-  /// Interval for each peer that gets one: a small fleet can afford fresher digests. Milliseconds. Default
-  /// 20.
+  /// Share of the interval for each peer that receives a digest: a small fleet can afford fresher digests.
+  /// Milliseconds. Default 20.
   readonly digestIntervalPerPeerMs: number
   /// The shortest interval. Milliseconds. Default 100.
   readonly minimumDigestIntervalMs: number
-  /// In a fleet with more peers than this loads go through relays. Default 12.
+  /// In a fleet with more peers than this, loads are sent through relays. Default 12.
   readonly digestPeers: number
-  /// The longest interval between digests through relays. Milliseconds. Default 250: three of them are about
+  /// The longest interval between digests through relays. Milliseconds. Default 250: three intervals are about
   /// the time in which an engine computes a long prompt.
   readonly relayIntervalMs: number
-  /// Interval for each daemon of the fleet: what a relay sends grows with its members, and a middle fleet can
-  /// afford fresher loads. Milliseconds. Default 2.
+  /// Share of that interval for each daemon of the fleet: the traffic of a relay grows with its members, and a
+  /// medium-sized fleet can afford fresher loads. Milliseconds. Default 2.
   readonly relayIntervalPerDaemonMs: number
-  /// The shortest such interval. Milliseconds. Default 120.
+  /// The shortest interval between digests through relays. Milliseconds. Default 120.
   readonly minimumRelayIntervalMs: number
-  /// Interval between digests from region to region, whose links are dear and whose engines are seldom used.
-  /// Milliseconds. Default 350.
+  /// Interval between digests from region to region: these links are expensive, and engines of another region
+  /// are seldom used. Milliseconds. Default 350.
   readonly regionIntervalMs: number
-  /// A relay that has told nothing for so long is passed over. Milliseconds. Default 1000.
+  /// A relay that has sent nothing for this duration is replaced by the next one. Milliseconds. Default 1000.
   readonly relayTimeoutMs: number
-  /// A daemon that has been behind a peer for so long asks it for its records. Milliseconds. Default 300.
+  /// A daemon that has lagged behind a peer for this duration asks it for its records. Milliseconds. Default
+  /// 300.
   readonly pullDelayMs: number
 }
 
@@ -55,14 +57,16 @@
   pullDelayMs: 300
 }
 
-/// Where prompts were computed: what this daemon tells, and what it learns.
+/// Where prompt parts were computed.
 interface PlacementExchange {
+  /// Returns and clears the placements that this daemon has not published yet.
   take(): readonly PartPlacement[]
+  /// Applies a placement that a peer published.
   addPlacement(placement: PartPlacement): void
 }
 
-/// What goes along with the loads.
-interface ExchangedNews {
+/// Further contents of a digest.
+interface DigestExtras {
   readonly placements: PlacementExchange
   readonly limits: Pick<BackendLimits, "getForPeers" | "applyFromPeer">
   readonly leaving: Pick<LeavingBackends, "getForPeers" | "applyFromPeer">
@@ -74,20 +78,21 @@
   readonly message: FleetMessage
 }
 
-/// Loads of the whole fleet as a relay tells them stand under this name, in place of those of single peers.
-const FLEET = "fleet"
+/// The name under which the directory keeps the whole fleet's loads from a relay, in place of those of
+/// individual peers.
+const FLEET_LOADS_KEY = "fleet"
 
 /// The daemons of the fleet.
 interface PeerMembers extends RelayPlace {
   readonly selfAddress: string
-  /// Active members, this daemon included; the same array as long as they are the same.
+  /// Active members, this daemon included; the same array until the members change.
   getActive(): readonly Member[]
 }
 
-/// A daemon that passed over a silent relay tries the first one again after so long. Milliseconds. Without it
-/// both relays of a zone went on for good: 150 in place of 100 digests a second between zones at 72 daemons
-/// (virtual time).
-const RETURN_MS = 10_000
+/// A daemon that replaced a silent relay tries the first relay again after this delay. Without the retry, both
+/// relays of a zone stayed in use permanently: 150 instead of 100 digests per second between zones at 72
+/// daemons (virtual time). Milliseconds.
+const PREFERRED_RELAY_RETRY_MS = 10_000
 
 const NO_RELAYS: RelayRanking = {
   ownZone: [],
@@ -109,16 +114,16 @@
   private ranking: RelayRanking = NO_RELAYS
   private nextRegionDigestAt = -Infinity
   private peers: readonly string[] = []
-  /// The relay in use, and when it was taken or last heard.
+  /// The relay in use, and when it was selected or last sent something.
   private relayAddress: string | undefined
-  private relayHeardAt = -Infinity
-  private returnAt = -Infinity
+  private lastRelayContactAt = -Infinity
+  private preferredRelayRetryAt = -Infinity
 
   constructor(
     private readonly settings: PeerExchangeSettings,
     private readonly replica: FleetReplica,
     private readonly directory: BackendDirectory,
-    private readonly news: ExchangedNews,
+    private readonly extras: DigestExtras,
     private readonly members: PeerMembers,
     random: RandomSource,
     private readonly emit: EffectSink<PeerSend>,
@@ -132,50 +137,55 @@
     if (now < this.nextDigestAt) return
     this.rankMembers()
     this.directory.peers.removeOld(now)
-    const own = {loads: this.directory.takeLoads(now), placements: [...this.news.placements.take()]}
-    if (this.isRelayed()) this.tickRelayed(own, now)
+    const local = {loads: this.directory.takeLoads(now), placements: [...this.extras.placements.take()]}
+    if (this.isRelayed()) this.tickRelayed(local, now)
     else {
-      this.nextDigestAt = now + this.digestIntervalMs(this.peers.length)
-      this.sendDigest(this.peers, "own", own, now)
+      this.nextDigestAt = now + this.getDigestIntervalMs(this.peers.length)
+      this.sendDigest(this.peers, "own", local, now)
     }
   }
 
-  /// There is news that should not wait for the next digest.
+  /// Makes the next digest due now, because something should not wait for its interval.
   sendDigestSoon(now: number): void {
     this.nextDigestAt = Math.min(this.nextDigestAt, now)
   }
 
-  private tickRelayed(own: RelayedLoads, now: number): void {
+  private tickRelayed(local: RelayedLoads, now: number): void {
     this.nextDigestAt = now + this.getRelayIntervalMs()
-    this.relay.removeOld(now)
+    this.relay.removeExpired(now)
     const {selfAddress} = this.members
     const relayAddress = this.pickRelay(now)
-    const dependants = this.relay.getMemberAddresses()
-    if (relayAddress === selfAddress || dependants.length > 0) this.relayLoads(own, dependants, now)
+    const memberAddresses = this.relay.getMemberAddresses()
+    if (relayAddress === selfAddress || memberAddresses.length > 0)
+      this.sendRelayedLoads(local, memberAddresses, now)
     else {
-      // Others tell for the region: kept here, it would be told when it is long past.
-      this.relay.forgetRegion()
-      if (relayAddress !== undefined) this.sendDigest([relayAddress], "own", own, now)
+      // Other relays send for the region: outcomes kept here would be out of date when they are sent.
+      this.relay.removeRegionBacklog()
+      if (relayAddress !== undefined) this.sendDigest([relayAddress], "own", local, now)
     }
   }
 
-  /// Where daemons disagree for a while on who relays, a zone has two relays, and each tells the other what
-  /// its part puts on.
-  private relayLoads({loads, placements}: RelayedLoads, dependants: readonly string[], now: number): void {
+  /// Sends the loads of the zone, the region and the fleet. While daemons disagree about the relay, a zone has
+  /// two of them, and each sends the other the loads of its part of the zone.
+  private sendRelayedLoads(
+    {loads, placements}: RelayedLoads,
+    memberAddresses: readonly string[],
+    now: number
+  ): void {
     this.relay.addOutcomes(loads)
     this.relay.addPlacements(placements)
     this.sendDigest(this.getOtherRelaysOfRegion(), "zone", this.relay.takeZone(loads), now)
-    this.relayRegion(loads, now)
+    this.sendRegionLoads(loads, now)
     const fleet = this.relay.takeFleet(loads)
-    this.sendDigest(dependants, "fleet", fleet, now)
-    this.directory.applyFleetLoads(FLEET, fleet.loads, now)
+    this.sendDigest(memberAddresses, "fleet", fleet, now)
+    this.directory.applyFleetLoads(FLEET_LOADS_KEY, fleet.loads, now)
   }
 
-  /// One daemon of a region tells each other region what its own puts on.
-  private relayRegion(loads: RelayedLoads["loads"], now: number): void {
+  /// Sends the region's loads to each other region, if this daemon is the region's relay and it is time.
+  private sendRegionLoads(loads: RelayedLoads["loads"], now: number): void {
     const {regionRelay, otherRegionRelays} = this.ranking
     if (regionRelay !== this.members.selfAddress || otherRegionRelays.length === 0) {
-      this.relay.forgetRegion()
+      this.relay.removeRegionBacklog()
       return
     }
     if (now < this.nextRegionDigestAt) return
@@ -197,8 +207,8 @@
     if (addresses.length === 0) return
     const knowledge = this.replica.getKnowledge(now)
     const ofRegion = scope === "region" ? {region: this.members.region, passOn: true} : {}
-    const limits = this.news.limits.getForPeers(now)
-    const leaving = this.news.leaving.getForPeers()
+    const limits = this.extras.limits.getForPeers(now)
+    const leaving = this.extras.leaving.getForPeers()
     const message: FleetMessage = {
       kind: "loadDigest",
       scope,
@@ -212,14 +222,14 @@
     this.sendToAll(addresses, message)
   }
 
-  /// Takes a peer's message.
+  /// Handles a message from a peer.
   receive(fromId: string, fromAddress: string, message: FleetMessage, now: number): void {
     switch (message.kind) {
       case "loadDigest":
         this.applyLoads(fromId, fromAddress, message, now)
         this.replica.receiveKnowledge(message.knowledge, now)
-        if (message.passOn === true) this.passOnLoads(message, now)
-        this.pullWhenBehind(fromAddress, message.knowledge, now)
+        if (message.passOn === true) this.sendLoadsToRelays(message, now)
+        this.sendPullWhenBehind(fromAddress, message.knowledge, now)
         break
       case "recordsPull": {
         const {sequence} = message
@@ -239,8 +249,8 @@
     }
   }
 
-  /// Sends changes to every peer; in a large fleet to the relays, which pass them on. A zone without a relay
-  /// hears of them by digests, or reads them itself.
+  /// Sends changes to every peer; in a large fleet to the relays, which forward them. A zone without a relay
+  /// learns of them from digests, or reads the store itself.
   sendChanges(message: RecordsChanged): void {
     this.rankMembers()
     if (this.isRelayed()) {
@@ -250,9 +260,9 @@
     } else this.sendToAll(this.peers, message)
   }
 
-  /// Loads of another region go to the other relays of this one, with what this daemon knows of the store by
-  /// now.
-  private passOnLoads(message: LoadDigest, now: number): void {
+  /// Forwards the loads of another region to the other relays of this one, with the current state of this
+  /// daemon's copies in place of the sender's.
+  private sendLoadsToRelays(message: LoadDigest, now: number): void {
     const knowledge = this.replica.getKnowledge(now)
     this.sendToAll(this.getOtherRelaysOfRegion(), {...message, knowledge, passOn: false})
   }
@@ -265,16 +275,17 @@
     return this.peers.length > this.settings.digestPeers
   }
 
-  /// The store is asked first; a peer is asked when the store has not helped for a while.
-  private pullWhenBehind(fromAddress: string, knowledge: FleetKnowledge, now: number): void {
-    const own = this.replica.getKnowledge(now)
-    const lacks = (collection: RecordCollection) => knowledge[collection].changed > own[collection].complete
+  /// Asks a peer for its records when this daemon has lagged behind for a while. The store is read first, so
+  /// the pull waits for `pullDelayMs` unless nothing is known yet.
+  private sendPullWhenBehind(fromAddress: string, knowledge: FleetKnowledge, now: number): void {
+    const local = this.replica.getKnowledge(now)
+    const lacks = (collection: RecordCollection) => knowledge[collection].changed > local[collection].complete
     const behind = this.replica.isBehind("configuration") || this.replica.isBehind("backends")
     if (!behind) this.behindSince = undefined
     if (!lacks("configuration") && !lacks("backends")) return
     this.behindSince ??= now
-    const knowsNothing = own.configuration.changed === 0 || own.backends.changed === 0
-    if (!knowsNothing && now - this.behindSince < this.settings.pullDelayMs) return
+    const isEmpty = local.configuration.changed === 0 || local.backends.changed === 0
+    if (!isEmpty && now - this.behindSince < this.settings.pullDelayMs) return
     this.behindSince = now
     this.sequence += 1
     this.emit({address: fromAddress, message: {kind: "recordsPull", sequence: this.sequence}})
@@ -286,19 +297,19 @@
     return Math.min(relayIntervalMs, Math.max(minimumRelayIntervalMs, ms))
   }
 
-  private digestIntervalMs(peers: number): number {
+  private getDigestIntervalMs(peers: number): number {
     const {digestIntervalMs, digestIntervalPerPeerMs, minimumDigestIntervalMs} = this.settings
     return Math.min(digestIntervalMs, Math.max(minimumDigestIntervalMs, peers * digestIntervalPerPeerMs))
   }
 
   private applyLoads(fromId: string, fromAddress: string, message: LoadDigest, now: number): void {
-    for (const placement of message.placements) this.news.placements.addPlacement(placement)
-    this.news.limits.applyFromPeer(message.limits ?? [], now)
-    this.news.leaving.applyFromPeer(message.leaving ?? [], now)
+    for (const placement of message.placements) this.extras.placements.addPlacement(placement)
+    this.extras.limits.applyFromPeer(message.limits ?? [], now)
+    this.extras.leaving.applyFromPeer(message.leaving ?? [], now)
     switch (message.scope ?? "own") {
       case "own":
-        // Whoever tells a relay its loads hears those of the fleet from it; in a small fleet everybody tells
-        // everybody.
+        // A daemon that sends its loads to a relay receives those of the fleet from it; in a small fleet every
+        // daemon sends to every other one.
         if (this.isRelayed()) this.relay.applyMember(fromId, fromAddress, message, now)
         else this.directory.peers.applyDigest(fromId, message.loads, now)
         break
@@ -309,26 +320,26 @@
         if (message.region !== undefined) this.relay.applyRegion(message.region, fromAddress, message, now)
         break
       case "fleet":
-        if (fromAddress === this.relayAddress) this.relayHeardAt = now
-        this.directory.applyFleetLoads(FLEET, message.loads, now)
+        if (fromAddress === this.relayAddress) this.lastRelayContactAt = now
+        this.directory.applyFleetLoads(FLEET_LOADS_KEY, message.loads, now)
         break
     }
   }
 
-  /// The first relay of the zone, or the second when the first has told nothing for a while; then the first
-  /// again.
+  /// Picks the first relay of the zone; the next one when it has sent nothing for a while; and after a delay
+  /// the first one again.
   private pickRelay(now: number): string | undefined {
     const {ownZone} = this.ranking
     const known = this.relayAddress !== undefined && ownZone.includes(this.relayAddress)
     const isSelf = this.relayAddress === this.members.selfAddress
-    const isHeard = isSelf || now - this.relayHeardAt <= this.settings.relayTimeoutMs
-    if (known && isHeard && (this.relayAddress === ownZone[0] || now < this.returnAt))
+    const isResponding = isSelf || now - this.lastRelayContactAt <= this.settings.relayTimeoutMs
+    if (known && isResponding && (this.relayAddress === ownZone[0] || now < this.preferredRelayRetryAt))
       return this.relayAddress
-    const isSilent = known && !isHeard
-    this.returnAt = isSilent ? now + RETURN_MS : -Infinity
+    const isSilent = known && !isResponding
+    this.preferredRelayRetryAt = isSilent ? now + PREFERRED_RELAY_RETRY_MS : -Infinity
     const place = isSilent ? ownZone.indexOf(this.relayAddress ?? "") + 1 : 0
     this.relayAddress = ownZone[place % Math.max(1, ownZone.length)]
-    this.relayHeardAt = now
+    this.lastRelayContactAt = now
     return this.relayAddress
   }
 
--- a/test/platform-connection.test.ts
+++ b/test/platform-connection.test.ts
@@ -113,7 +113,7 @@
   it('costs the record store and the table store a single answer', async () => {
     const store = new StoreClient(address, () => undefined);
     const table = new TableClient(address);
-    const read = { collection: 'configuration' as const, after: undefined, waitMs: 0, answerMs: 800 };
+    const read = { collection: 'configuration' as const, after: undefined, waitMs: 0, answerTimeoutMs: 800 };
     for (const ask of [
       () => store.read(read),
       () => table.perform({ kind: 'read', table: 'leases', key: 'k' }),
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -96,7 +96,7 @@
     expect(duties('["metering", "autoscale"]', windows)).to.deep.equal([true, true]);
   });
 
-  it('the fallback delay, a lost read, a back-off and a second read fit into the bound', () => {
+  it('the standby delay, a lost read, a back-off and a second read fit into the bound', () => {
     for (const boundMs of [2000, 3000, 4000, 6000]) {
       const text = SETTINGS.replace(/config_ms = \d+/, `config_ms = ${boundMs}`);
       const { replica } = createProcessSettings(checkPlatformSettings(text)).daemon;
@@ -259,7 +259,7 @@
 
   it('rejections, discarded histories and missing answers are distinguished', async () => {
     const store = new StoreClient(address, () => undefined);
-    const read = { collection: 'configuration' as const, after: 5, waitMs: 10, answerMs: 800 };
+    const read = { collection: 'configuration' as const, after: 5, waitMs: 10, answerTimeoutMs: 800 };
     answer = () => ({ status: 429 });
     expect(await store.read(read)).to.deep.equal({ kind: 'rejected', status: 429 });
     answer = () => ({ status: 410 });
