--- a/test/real-process.test.ts
+++ b/test/real-process.test.ts
@@ -7,11 +7,11 @@
 import { request } from 'undici';
 import { LocalSite } from '../lab/launcher.js';
 import { LoadGenerator, type LoadPhase } from '../lab/load-generator.js';
-import { siteProfile } from '../lab/site-profiles.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import { OperatorClient } from '../src/cli/operator-client.js';
 import { SeededRandom } from '../src/shared/random.js';
 
-const PROFILE = siteProfile('trust-tt-north');
+const PROFILE = getSiteProfile('trust-tt-north');
 const PRODUCT = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
 const execute = promisify(execFile);
 /** How long a stopping daemon accepts new connections. Milliseconds; the default of the settings. */
@@ -44,7 +44,7 @@
   const sum: Totals = { sent: 0, whole: 0, broken: 0, wrong: 0, unanswered: 0, refused: [] };
   for (const [service, result] of load.results) {
     sum.sent += result.sent;
-    sum.whole += result.whole;
+    sum.whole += result.complete;
     sum.broken += result.broken;
     sum.wrong += result.wrong;
     sum.unanswered += result.unanswered;
@@ -95,7 +95,7 @@
    * within some milliseconds of the listener's closing. `stopListening` now accepts these connections first.
    */
   it('a rolling restart by SIGTERM under load fails no request', async () => {
-    const load = new LoadGenerator(site.callers(), new SeededRandom(1));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(1));
     const running = load.run([createPhase(24, 8)]);
     for (let index = 0; index < site.daemons.length; index += 1) {
       const { child } = site.daemons[index];
@@ -110,7 +110,7 @@
   });
 
   it('a rolling restart of daemons that are paused as their drain notice ends fails no request', async () => {
-    const load = new LoadGenerator(site.callers(), new SeededRandom(1));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(1));
     const running = load.run([createPhase(24, 8)]);
     for (let index = 0; index < site.daemons.length; index += 1) {
       const { child } = site.daemons[index];
@@ -147,7 +147,7 @@
   });
 
   it('SIGKILL of a daemon and SIGSTOP of another beyond its lease: no wrong answer, nothing executed twice', async () => {
-    const load = new LoadGenerator(site.callers(), new SeededRandom(2));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(2));
     const running = load.run([createPhase(20, 6)]);
     await delay(2000);
     site.daemons[0].child.kill('SIGKILL');
@@ -172,18 +172,18 @@
   it('a platform outage: completions continue, calls that may be executed only once are refused and not executed', async () => {
     await site.setFaults(site.platform, { down: true });
     await delay(13_000);
-    const load = new LoadGenerator(site.callers(), new SeededRandom(3));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(3));
     await load.run([createPhase(5, 8)]);
-    expect(load.result('eligibility').whole).to.equal(load.result('eligibility').sent);
-    const calls = load.result('confirmation');
-    expect(calls.whole).to.equal(0);
+    expect(load.getResult('eligibility').complete).to.equal(load.getResult('eligibility').sent);
+    const calls = load.getResult('confirmation');
+    expect(calls.complete).to.equal(0);
     expect(calls.refused.get('ledger-unavailable')).to.equal(calls.sent);
     expect(await readExecutionCounts(site)).to.deep.equal([]);
     await site.setFaults(site.platform, { down: false });
     await delay(3000);
-    const after = new LoadGenerator(site.callers(), new SeededRandom(4));
+    const after = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(4));
     await after.run([createPhase(3, 8)]);
-    expect(after.result('confirmation').whole).to.equal(after.result('confirmation').sent);
+    expect(after.getResult('confirmation').complete).to.equal(after.getResult('confirmation').sent);
   });
 
   it('an engine that refuses connections and one that is silent: requests go to another engine', async () => {
@@ -191,7 +191,7 @@
     await new Promise<void>((resolve) => silent.listen(0, '127.0.0.1', resolve));
     const { port } = silent.address() as { port: number };
     site.engines[0].child.kill('SIGKILL');
-    await site.announce({
+    await site.addMachine({
       id: 'silent',
       kind: 'engine',
       address: `127.0.0.1:${port}`,
@@ -200,7 +200,7 @@
       state: 'live',
     });
     await delay(2500);
-    const load = new LoadGenerator(site.callers(), new SeededRandom(5));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(5));
     await load.run([createPhase(5, 8)]);
     silent.close();
     const sum = getTotals(load);
@@ -251,7 +251,7 @@
       max_tokens: 5000,
       stream: true,
     });
-    const answer = await request(`http://${site.callers()[0]}/v1/completions`, {
+    const answer = await request(`http://${site.getCallerAddresses()[0]}/v1/completions`, {
       method: 'POST',
       body,
       signal: abort.signal,
@@ -269,7 +269,10 @@
 
   it('refusals are problem documents with notRun and Retry-After', async () => {
     const send = (body: unknown): ReturnType<typeof request> =>
-      request(`http://${site.callers()[0]}/v1/completions`, { method: 'POST', body: JSON.stringify(body) });
+      request(`http://${site.getCallerAddresses()[0]}/v1/completions`, {
+        method: 'POST',
+        body: JSON.stringify(body),
+      });
     const unknown = await send({ model: 'nothing', prompt: 'x' });
     expect(unknown.statusCode).to.equal(404);
     expect(unknown.headers['content-type']).to.equal('application/problem+json');
--- a/test/regions-cut.test.ts
+++ b/test/regions-cut.test.ts
@@ -3,7 +3,7 @@
  * waits beyond its deadline.
  */
 import { expect } from 'chai';
-import { labBackend, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabRoute } from '../lab/forwarding-site.js';
 import { findCutOffRegions } from '../src/forwarding/backends/region-contact.js';
 import type { BackendRecord, EngineStage, RequestKind } from '../src/forwarding/routes/route.js';
 import { engine, Forwarding, prompt } from './forwarding-harness.js';
@@ -14,12 +14,12 @@
 const DEADLINE_MS = 5000;
 
 function createBackend(zone: string, id: string, stage?: EngineStage): BackendRecord {
-  const record = stage ? engine(id, stage) : labBackend(id, '');
+  const record = stage ? engine(id, stage) : makeLabBackend(id, '');
   return { ...record, zone, address: `10.0.0.1:${id}` };
 }
 
 function createSite(kind: RequestKind, ...backends: BackendRecord[]): Forwarding {
-  const route = labRoute({ kind, timeoutMs: DEADLINE_MS, targetLatencyMs: 500 });
+  const route = makeLabRoute({ kind, timeoutMs: DEADLINE_MS, targetLatencyMs: 500 });
   return new Forwarding([route], backends, SLACK_MS, REGIONS);
 }
 
