--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -315,7 +315,7 @@
     const give = (result: TableResult, delayMs: number): void =>
       this.time.after(delayMs, () => this.handle(node, toEvent(result)));
     const perform = (): TableResult =>
-      this.table.table(request, this.time.now()) ?? { kind: 'noAnswer', reason: 'down' };
+      this.table.applyTableRequest(request, this.time.now()) ?? { kind: 'noAnswer', reason: 'down' };
     if (node.access === 'refuses') give({ kind: 'rateLimited', retryAfterMs: REJECTED_PAUSE_MS }, STORE_MS);
     else if (node.access === 'serves') this.time.after(STORE_MS / 2, () => give(perform(), STORE_MS / 2));
     else {
@@ -326,7 +326,7 @@
 
   private callDuty(node: FleetNode, call: DutyCall, authority: DutyAuthority): void {
     this.time.after(DUTY_MS / 2, () => {
-      const result = this.duties?.take(node.address, call, authority, this.time.now());
+      const result = this.duties?.apply(node.address, call, authority, this.time.now());
       if (result) this.time.after(DUTY_MS / 2, () => this.handle(node, { kind: 'dutyResult', call, result }));
     });
   }
--- a/simulation/simulated-site.ts
+++ b/simulation/simulated-site.ts
@@ -165,7 +165,7 @@
 
   /** Announces that an engine leaves: it refuses new work, and the machine list says so after its lag. */
   leaveEngine(engine: SimulatedEngine): void {
-    engine.model.leave();
+    engine.model.setLeaving();
     this.monitor.leaving(engine.name);
     this.platform.setMachine({ ...this.machineOf(engine), state: 'leaving' }, this.time.now());
   }
@@ -177,7 +177,7 @@
       expectedRevision: 0,
       value: row,
     }));
-    if (writes.length > 0) this.platform.table({ kind: 'commit', writeId: 'initial', writes }, 0);
+    if (writes.length > 0) this.platform.applyTableRequest({ kind: 'commit', writeId: 'initial', writes }, 0);
   }
 
   private addEngine(place: EnginePlace, index: number): void {
--- a/test/crash-site.ts
+++ b/test/crash-site.ts
@@ -1,5 +1,5 @@
 /** A fleet in virtual time before back ends that end: under requests that end whoever runs them, and by themselves. */
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { FLEET_SETTINGS, ForwardingFleet, type FleetNode } from '../simulation/forwarding-fleet.js';
 import type { StartedAttempt } from '../simulation/forwarding-fleet.js';
 import { SeededRandom } from '../src/shared/random.js';
@@ -80,7 +80,7 @@
     });
     this.fleet.isListening = (address) =>
       this.places.some(({ running }, place) => running && address === getAddress(place));
-    const value = labConfiguration(1, [labRoute({ timeoutMs: 8000, maximumAttempts: attempts })]);
+    const value = makeLabConfiguration(1, [makeLabRoute({ timeoutMs: 8000, maximumAttempts: attempts })]);
     this.fleet.write({ collection: 'configuration', revision: 0, value });
     for (let place = 0; place < backends; place += 1) this.start(place, 0);
     this.fleet.time.runUntil(SETTLED_MS);
@@ -167,7 +167,7 @@
   private start(place: number, count: number): void {
     const id = this.keepsIds ? `b${place}` : `b${place}.${count}`;
     this.places[place] = { id, running: true, open: new Set() };
-    const value = { ...labBackend(id, getAddress(place)), bornMs: Math.round(this.fleet.time.now()) };
+    const value = { ...makeLabBackend(id, getAddress(place)), bornMs: Math.round(this.fleet.time.now()) };
     this.fleet.write({ collection: 'backends', id, revision: 0, value });
   }
 
--- a/test/end-record.test.ts
+++ b/test/end-record.test.ts
@@ -118,7 +118,7 @@
       for (const until = this.now + ms; this.now < until; this.now += 50) {
         this.archive.tick(false, this.now);
         for (const { request } of this.calls.splice(0)) {
-          const result = treat(this.platform.table(request, this.now)) ?? {
+          const result = treat(this.platform.applyTableRequest(request, this.now)) ?? {
             kind: 'noAnswer',
             reason: 'lost',
           };
@@ -145,7 +145,7 @@
   it('are removed with the answer that strikes them out, and rows of other writers are passed over', () => {
     const platform = new PlatformModel({ perSecond: 10_000, burst: 10_000 });
     const writes = [{ table: 'quarantine' as const, key: 'foreign', expectedRevision: 0, value: { key: 7 } }];
-    platform.table({ kind: 'commit', writeId: 'other', writes }, 0);
+    platform.applyTableRequest({ kind: 'commit', writeId: 'other', writes }, 0);
     const first = new Keeper('first', platform, 1000);
     first.archive.add(end, WALL_MS + 1000, 1000);
     first.run(500);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,7 +1,7 @@
 /** The replica of configuration and back ends: never back, whatever the store and peers answer. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import {
   FleetReplica,
   DEFAULT_FLEET_REPLICA_SETTINGS,
@@ -24,11 +24,11 @@
 }
 
 function configuration(revision: number, version: number): StoredRecord {
-  return { collection: 'configuration', revision, value: labConfiguration(version, [labRoute({})]) };
+  return { collection: 'configuration', revision, value: makeLabConfiguration(version, [makeLabRoute({})]) };
 }
 
 function backend(id: string, revision: number, present = true): StoredRecord {
-  const value = present ? labBackend(id, '10.0.0.1:80') : undefined;
+  const value = present ? makeLabBackend(id, '10.0.0.1:80') : undefined;
   return { collection: 'backends', id, revision, value };
 }
 
--- a/test/kv-index.test.ts
+++ b/test/kv-index.test.ts
@@ -1,7 +1,7 @@
 /** What a daemon knows of engines' KV caches: parts, changes that engines report, and which engines it follows. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend } from '../lab/forwarding-site.js';
+import { makeLabBackend } from '../lab/forwarding-site.js';
 import { HttpDialect } from '../platform/http-dialect.js';
 import { BackendDirectory } from '../src/forwarding/backends/backend-directory.js';
 import { DEFAULT_BACKEND_HEALTH_SETTINGS } from '../src/forwarding/backends/backend-health.js';
@@ -93,8 +93,8 @@
   readonly follower: KvFollower;
 
   constructor(engines = ['e1'], daemons = 1) {
-    for (const id of engines) this.directory.put({ ...labBackend(id, '10.0.0.1:1'), stage: 'prefill' });
-    this.directory.put(labBackend('plain', '10.0.0.2:1'));
+    for (const id of engines) this.directory.put({ ...makeLabBackend(id, '10.0.0.1:1'), stage: 'prefill' });
+    this.directory.put(makeLabBackend('plain', '10.0.0.2:1'));
     this.follower = new KvFollower(
       DEFAULT_KV_FOLLOWER_SETTINGS,
       { countMembers: () => daemons, capacityTokens: () => CAPACITY },
--- a/test/lapsed-records.test.ts
+++ b/test/lapsed-records.test.ts
@@ -1,6 +1,6 @@
 /** Back ends whose records were gone when the store came back: back within moments, or gone. */
 import { expect } from 'chai';
-import { labBackend } from '../lab/forwarding-site.js';
+import { makeLabBackend } from '../lab/forwarding-site.js';
 import {
   DEFAULT_FLEET_REPLICA_SETTINGS,
   FleetReplica,
@@ -15,7 +15,7 @@
 const GRACE_MS = DEFAULT_FLEET_REPLICA_SETTINGS.lapseGraceMs;
 
 function record(id: string, revision: number, state: 'ready' | 'draining' | 'gone' = 'ready'): StoredRecord {
-  const value = state === 'gone' ? undefined : { ...labBackend(id, '10.0.0.1:80'), state };
+  const value = state === 'gone' ? undefined : { ...makeLabBackend(id, '10.0.0.1:80'), state };
   return { collection: 'backends', id, revision, value };
 }
 
--- a/test/promises.test.ts
+++ b/test/promises.test.ts
@@ -7,7 +7,7 @@
 import { drawnFaults } from '../simulation/drawn-faults.js';
 import { SimulatedSite } from '../simulation/simulated-site.js';
 import { optionsForSite } from '../simulation/site-options.js';
-import { siteProfile } from '../lab/site-profiles.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import {
   DEFAULT_COMPLETION_DAEMON_SETTINGS,
   type CompletionDaemonSettings,
@@ -45,7 +45,7 @@
 }
 
 function bareSite(): SimulatedSite {
-  return new SimulatedSite(optionsForSite(siteProfile('cundinamarca'), 1));
+  return new SimulatedSite(optionsForSite(getSiteProfile('cundinamarca'), 1));
 }
 
 function brokenPromises(result: FaultRunResult): PromiseName[] {
@@ -102,7 +102,7 @@
       for (const engine of site.engines.values()) {
         const control = engine.control.bind(engine);
         engine.control = (request, holder, tableEpoch) => {
-          const { epoch, sequence } = engine.model.state();
+          const { epoch, sequence } = engine.model.getState();
           const unfenced =
             request.kind === 'order'
               ? { ...request, epoch, sequence: sequence + 1, expiresAtClockMs: Infinity }
@@ -132,7 +132,7 @@
         const control = engine.control.bind(engine);
         engine.control = (request, holder, tableEpoch) => {
           const change = request.kind === 'order' && request.action.kind === 'drain';
-          const streams = engine.model.streamCount();
+          const streams = engine.model.getStreamCount();
           const result = control(request, holder, tableEpoch);
           if (change && result.kind === 'report') site.monitor.changeWithStreams(engine.name, streams);
           return result;
--- a/test/ready-connections.test.ts
+++ b/test/ready-connections.test.ts
@@ -1,8 +1,13 @@
 /** A daemon that says it is ready takes new connections and serves what comes on them. */
 import { connect, type Socket } from 'node:net';
 import { expect } from 'chai';
-import { labBackend, labRoute, startForwardingSite, type ForwardingSite } from '../lab/forwarding-site.js';
-import { headerOf, ScriptedBackend } from '../lab/scripted-backend.js';
+import {
+  makeLabBackend,
+  makeLabRoute,
+  startForwardingSite,
+  type ForwardingSite,
+} from '../lab/forwarding-site.js';
+import { findHeader, ScriptedBackend } from '../lab/scripted-backend.js';
 import { checkPlatformSettings, processSettings } from '../platform/settings.js';
 
 const LIMIT = 60;
@@ -20,12 +25,12 @@
     sockets = [];
     held = [];
     backend = new ScriptedBackend(({ head }, socket) => {
-      const id = headerOf(head, 'x-attempt-id') ?? '';
+      const id = findHeader(head, 'x-attempt-id') ?? '';
       if (id.startsWith('held')) held.push({ socket, id });
       else answer(socket, id);
     });
-    const record = { ...labBackend('b1', await backend.listen()), slots: 1000 };
-    const route = labRoute({ host: '127.0.0.1', timeoutMs: 20_000, targetLatencyMs: 20_000 });
+    const record = { ...makeLabBackend('b1', await backend.listen()), slots: 1000 };
+    const route = makeLabRoute({ host: '127.0.0.1', timeoutMs: 20_000, targetLatencyMs: 20_000 });
     site = await startForwardingSite([route], [record], null, LIMIT);
   });
 
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -1,6 +1,6 @@
 /** A fleet over several regions: how far places are apart, what distance costs, and how much it weighs in each choice. */
 import { expect } from 'chai';
-import { labBackend, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabRoute } from '../lab/forwarding-site.js';
 import { DistanceCost, type EngineLinks } from '../src/places/distance-cost.js';
 import { DEFAULT_DISTANCE_SETTINGS } from '../src/places/distance-settings.js';
 import { Places } from '../src/places/places.js';
@@ -22,13 +22,13 @@
 }
 
 function at(zone: string, id: string, stage?: EngineStage): BackendRecord {
-  const record = stage ? engine(id, stage) : labBackend(id, '');
+  const record = stage ? engine(id, stage) : makeLabBackend(id, '');
   return { ...record, zone, address: `10.0.0.1:${id}` };
 }
 
 function makeSite(...backends: BackendRecord[]): Forwarding {
   return new Forwarding(
-    [labRoute({ kind: 'stream', timeoutMs: 5000, targetLatencyMs: 500 })],
+    [makeLabRoute({ kind: 'stream', timeoutMs: 5000, targetLatencyMs: 500 })],
     backends,
     SLACK,
     REGIONS,
@@ -265,7 +265,7 @@
   it('every attempt tells the distance in its log line; in one region none does', () => {
     const several = makeSite(at('zone-c', 'far'));
     several.begin();
-    const one = new Forwarding([labRoute({})], [at('zone-c', 'far')]);
+    const one = new Forwarding([makeLabRoute({})], [at('zone-c', 'far')]);
     one.begin();
     const distances = [several, one].map((site) =>
       site.effects.flatMap((effect) =>
--- a/test/restarted-back-ends.test.ts
+++ b/test/restarted-back-ends.test.ts
@@ -1,6 +1,6 @@
 /** A back end that starts again under its old id: everything known of the incarnation before is forgotten. */
 import { expect } from 'chai';
-import { labBackend } from '../lab/forwarding-site.js';
+import { makeLabBackend } from '../lab/forwarding-site.js';
 import {
   DEFAULT_FLEET_REPLICA_SETTINGS,
   FleetReplica,
@@ -14,7 +14,7 @@
 const BORN_MS = 1_800_000_000_000;
 
 function bornAt(bornMs: number | undefined): BackendRecord {
-  return { ...labBackend('b1', '10.0.0.1:80'), bornMs };
+  return { ...makeLabBackend('b1', '10.0.0.1:80'), bornMs };
 }
 
 /** What a replica tells while records of one back end come in. */
--- a/test/signal-hunt.test.ts
+++ b/test/signal-hunt.test.ts
@@ -8,7 +8,7 @@
 import { once } from 'node:events';
 import { LocalSite } from '../lab/launcher.js';
 import { LoadGenerator, type LoadPhase } from '../lab/load-generator.js';
-import { siteProfile } from '../lab/site-profiles.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import { delay } from '../src/shared/delay.js';
 import { exponential, SeededRandom } from '../src/shared/random.js';
 
@@ -40,7 +40,7 @@
 
 /** A site whose daemons receive random signals. */
 class SignalledSite {
-  readonly site = new LocalSite(siteProfile('trust-tt-north'), {
+  readonly site = new LocalSite(getSiteProfile('trust-tt-north'), {
     engines: 4,
     daemons: DAEMONS,
     applications: 2,
@@ -102,14 +102,14 @@
       const random = new SeededRandom(seed);
       signalled = new SignalledSite(random);
       await signalled.site.start();
-      const load = new LoadGenerator(signalled.site.callers(), new SeededRandom(seed + 1));
+      const load = new LoadGenerator(signalled.site.getCallerAddresses(), new SeededRandom(seed + 1));
       const running = load.run(makePhases(new SeededRandom(seed + 2)));
       const signalling = signalled.site.daemons.map((_daemon, index) => signalled.sendSignals(index));
       await running;
       signalled.finish();
       await Promise.all(signalling);
       const results = [...load.results.values()];
-      const count = (key: 'unanswered' | 'broken' | 'wrong' | 'sent' | 'whole'): number =>
+      const count = (key: 'unanswered' | 'broken' | 'wrong' | 'sent' | 'complete'): number =>
         results.reduce((sum, result) => sum + result[key], 0);
       const failures = {
         unanswered: count('unanswered'),
@@ -120,6 +120,6 @@
       expect(new Set(signalled.exits)).to.deep.equal(new Set([0]));
       const unexpectedExits = signalled.site.daemons.map(({ child }) => child.signalCode ?? child.exitCode);
       expect(new Set(unexpectedExits)).to.deep.equal(new Set([null]));
-      expect(count('whole')).to.be.greaterThan(count('sent') / 2);
+      expect(count('complete')).to.be.greaterThan(count('sent') / 2);
     });
 });
