--- a/lab/application-server.ts
+++ b/lab/application-server.ts
@@ -3,7 +3,7 @@
 import { readLabJson, sendLabJson } from './lab-http.js';
 import { LabServer } from './lab-server.js';
 
-const ANSWER_DELAY_MS = 5;
+const RESPONSE_DELAY_MS = 5;
 
 /** One application server process. */
 export class ApplicationServer extends LabServer {
@@ -18,6 +18,6 @@
     }
     const key = String(message.headers['idempotency-key'] ?? '');
     this.executions.set(key, (this.executions.get(key) ?? 0) + 1);
-    setTimeout(() => sendLabJson(response, 200, { done: message.url, key }), ANSWER_DELAY_MS);
+    setTimeout(() => sendLabJson(response, 200, { done: message.url, key }), RESPONSE_DELAY_MS);
   }
 }
--- a/lab/demo.ts
+++ b/lab/demo.ts
@@ -10,7 +10,7 @@
 const PHASE_SECONDS = 9;
 const DEMO_SEED = 7;
 
-function loadClass(profile: SiteProfile, work: WorkloadClass, perSecond: number): LoadClass {
+function makeLoadClass(profile: SiteProfile, work: WorkloadClass, perSecond: number): LoadClass {
   const row = profile.services.find((service) => service.name === work.service);
   return {
     ...work,
@@ -21,7 +21,7 @@
 }
 
 /** Two phases: mostly long work, then mostly short work. */
-function shiftingPhases(profile: SiteProfile, engines: number, seconds: number): LoadPhase[] {
+function makeShiftingPhases(profile: SiteProfile, engines: number, seconds: number): LoadPhase[] {
   const calls = profile.services
     .filter((row) => row.kind === 'application')
     .map((row) => ({ service: row.name, perSecond: 4 }));
@@ -29,8 +29,8 @@
     seconds,
     calls,
     classes: [
-      loadClass(profile, profile.longWork, longPerEngine * engines),
-      loadClass(profile, profile.shortWork, shortPerEngine * engines),
+      makeLoadClass(profile, profile.longWork, longPerEngine * engines),
+      makeLoadClass(profile, profile.shortWork, shortPerEngine * engines),
     ],
   });
   return [phase(0.7, 0.5), phase(0.1, 4)];
@@ -48,7 +48,7 @@
     await site.start();
     const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(DEMO_SEED));
     say(`sending ${PHASE_SECONDS} s of mostly long reviews, then ${PHASE_SECONDS} s of mostly short checks`);
-    await load.run(shiftingPhases(profile, ENGINES, PHASE_SECONDS));
+    await load.run(makeShiftingPhases(profile, ENGINES, PHASE_SECONDS));
     say('');
     say(formatLoadReport(load));
     say('');
@@ -58,13 +58,13 @@
         false,
       ),
     );
-    return verdict(load, say);
+    return checkResults(load, say);
   } finally {
     await site.stop();
   }
 }
 
-function verdict(load: LoadGenerator, say: (text: string) => void): number {
+function checkResults(load: LoadGenerator, say: (text: string) => void): number {
   let failures = 0;
   for (const [service, result] of load.results) {
     const lost = result.broken + result.wrong + result.unanswered;
--- a/lab/duty-model.ts
+++ b/lab/duty-model.ts
@@ -36,16 +36,16 @@
     }
     this.highestFence = Math.max(this.highestFence, fence);
     this.checkTurns(machine, now);
-    if (call.kind === 'reportUsage') this.report(call);
+    if (call.kind === 'reportUsage') this.addReport(call);
     return { kind: 'accepted' };
   }
 
-  private report({ window, counts }: Extract<DutyCall, { kind: 'reportUsage' }>): void {
+  private addReport({ window, counts }: Extract<DutyCall, { kind: 'reportUsage' }>): void {
     const text = JSON.stringify(counts);
-    const known = this.reports.get(window);
-    if (known === undefined) this.reports.set(window, text);
-    else if (known !== text)
-      this.violations.push(`two reports of window ${window}: ${known} and then ${text}`);
+    const previous = this.reports.get(window);
+    if (previous === undefined) this.reports.set(window, text);
+    else if (previous !== text)
+      this.violations.push(`two reports of window ${window}: ${previous} and then ${text}`);
   }
 
   private checkHolder(machine: string, fence: number): void {
--- a/lab/engine-model.ts
+++ b/lab/engine-model.ts
@@ -101,13 +101,13 @@
 
   /** Takes work, or says why not; refused work was not begun. */
   start(work: EngineWork, now: number): EngineRefusal | undefined {
-    const refusal = this.refusalFor(work);
+    const refusal = this.findRefusal(work);
     if (refusal) return refusal;
     const cached = this.prefixes.has(work.prefixKey)
       ? Math.floor(work.promptTokens * this.settings.cachedShare)
       : 0;
     if (!work.imported) this.cachedShare += CACHE_SMOOTHING * (cached / work.promptTokens - this.cachedShare);
-    this.rememberPrefix(work.prefixKey);
+    this.addPrefix(work.prefixKey);
     const prefillLeft = work.imported ? 0 : Math.max(1, work.promptTokens + work.offset - cached);
     const readyAt = work.imported ? now + work.promptTokens * this.settings.kvTransferMsPerToken : now;
     this.orderCount += 1;
@@ -118,15 +118,15 @@
       readyAt,
       nextOffset: work.offset,
     });
-    this.snapshot(now);
-    this.beginStep(now);
+    this.addSnapshot(now);
+    this.startStep(now);
     return undefined;
   }
 
   /** Drops work. */
   cancel(attemptId: string, now: number): void {
     this.streams.delete(attemptId);
-    this.snapshot(now);
+    this.addSnapshot(now);
   }
 
   /** Whether a cache exported under this handle is still here. */
@@ -158,47 +158,50 @@
       const step = this.step;
       this.step = undefined;
       this.finishStep(step, outputs);
-      this.beginStep(step.endsAt);
+      this.startStep(step.endsAt);
     }
-    if (!this.step) this.beginStep(now);
-    this.snapshot(now);
+    if (!this.step) this.startStep(now);
+    this.addSnapshot(now);
     return outputs;
   }
 
   /** Answers a control request. The fence is here: what it refuses has no effect. */
   applyControlRequest(request: EngineControlRequest, now: number): EngineControlResult {
-    if (request.kind === 'report') return { kind: 'report', report: this.report(now) };
-    if (request.epoch < this.epoch) return this.fenced();
+    if (request.kind === 'report') return { kind: 'report', report: this.makeReport(now) };
+    if (request.epoch < this.epoch) return this.makeFencedResult();
     if (request.kind === 'seal') {
       if (request.epoch > this.epoch) this.sequence = 0;
       this.epoch = request.epoch;
-      return { kind: 'report', report: this.report(now) };
+      return { kind: 'report', report: this.makeReport(now) };
     }
-    if (request.epoch !== this.epoch || now > request.expiresAtClockMs) return this.fenced();
-    if (request.sequence === this.sequence) return { kind: 'report', report: this.report(now) };
-    if (request.sequence !== this.sequence + 1) return this.fenced();
-    return this.obey(request, now);
+    if (request.epoch !== this.epoch || now > request.expiresAtClockMs) return this.makeFencedResult();
+    if (request.sequence === this.sequence) return { kind: 'report', report: this.makeReport(now) };
+    if (request.sequence !== this.sequence + 1) return this.makeFencedResult();
+    return this.applyOrder(request, now);
   }
 
-  private obey(request: Extract<EngineControlRequest, { kind: 'order' }>, now: number): EngineControlResult {
+  private applyOrder(
+    request: Extract<EngineControlRequest, { kind: 'order' }>,
+    now: number,
+  ): EngineControlResult {
     const { action } = request;
-    const hot = action.kind === 'change' && this.isHot(action.assignment);
+    const adapterOnly = action.kind === 'change' && this.isAdapterChange(action.assignment);
     const applicable =
       (action.kind === 'drain' && this.phase === 'active') ||
       (action.kind === 'resume' && this.phase === 'draining') ||
       (action.kind === 'change' &&
-        ((this.phase === 'draining' && this.streams.size === 0) || (hot && this.phase === 'active')));
-    if (!applicable) return { kind: 'notApplicable', report: this.report(now) };
+        ((this.phase === 'draining' && this.streams.size === 0) || (adapterOnly && this.phase === 'active')));
+    if (!applicable) return { kind: 'notApplicable', report: this.makeReport(now) };
     this.sequence = request.sequence;
     if (action.kind === 'drain') this.phase = 'draining';
     if (action.kind === 'resume') this.phase = 'active';
-    if (action.kind === 'change' && hot) {
+    if (action.kind === 'change' && adapterOnly) {
       this.adapterLoad = { assignment: action.assignment, endsAt: now + this.settings.adapterLoadMs };
-    } else if (action.kind === 'change') this.beginChange(action.assignment, now);
-    return { kind: 'report', report: this.report(now) };
+    } else if (action.kind === 'change') this.startChange(action.assignment, now);
+    return { kind: 'report', report: this.makeReport(now) };
   }
 
-  private beginChange(assignment: EngineAssignment, now: number): void {
+  private startChange(assignment: EngineAssignment, now: number): void {
     const sameModel =
       assignment.model === this.assignment.model && assignment.version === this.assignment.version;
     const duration = sameModel ? this.settings.roleChangeMs : this.settings.modelLoadMs;
@@ -209,17 +212,17 @@
     if (!sameModel) this.prefixes.clear();
   }
 
-  private isHot(target: EngineAssignment): boolean {
+  private isAdapterChange(target: EngineAssignment): boolean {
     const { role, model, version, adapters } = this.assignment;
     const same = role === target.role && model === target.model && version === target.version;
     return same && adapters.every((adapter) => target.adapters.includes(adapter));
   }
 
-  private fenced(): EngineControlResult {
+  private makeFencedResult(): EngineControlResult {
     return { kind: 'fenced', epoch: this.epoch, sequence: this.sequence };
   }
 
-  private refusalFor(work: EngineWork): EngineRefusal | undefined {
+  private findRefusal(work: EngineWork): EngineRefusal | undefined {
     if (this.phase !== 'active') return this.phase;
     const { assignment } = this;
     const adapterMissing = work.adapter !== '' && !assignment.adapters.includes(work.adapter);
@@ -230,7 +233,7 @@
     return undefined;
   }
 
-  private rememberPrefix(prefixKey: string): void {
+  private addPrefix(prefixKey: string): void {
     this.prefixes.delete(prefixKey);
     this.prefixes.set(prefixKey, true);
     if (this.prefixes.size <= this.settings.cachedPrefixes) return;
@@ -238,7 +241,7 @@
     if (!oldest.done) this.prefixes.delete(oldest.value);
   }
 
-  private beginStep(now: number): void {
+  private startStep(now: number): void {
     if (this.step || this.streams.size === 0) return;
     const { role } = this.assignment;
     const ready = [...this.streams.values()].filter((stream) => stream.readyAt <= now);
@@ -266,9 +269,9 @@
       stream.prefillLeft -= tokens;
       if (stream.prefillLeft > 0) continue;
       if (stream.work.stage === 'prefill') this.exportKv(stream, step.endsAt, outputs);
-      else this.makeToken(stream, outputs);
+      else this.addToken(stream, outputs);
     }
-    for (const stream of step.decode) if (this.isLive(stream)) this.makeToken(stream, outputs);
+    for (const stream of step.decode) if (this.isLive(stream)) this.addToken(stream, outputs);
   }
 
   private isLive(stream: Stream): boolean {
@@ -283,7 +286,7 @@
     outputs.push({ kind: 'prefilled', attemptId, handle: attemptId });
   }
 
-  private makeToken(stream: Stream, outputs: EngineOutput[]): void {
+  private addToken(stream: Stream, outputs: EngineOutput[]): void {
     const { attemptId, maximumTokens } = stream.work;
     outputs.push({ kind: 'tokens', attemptId, offset: stream.nextOffset, count: 1 });
     stream.nextOffset += 1;
@@ -292,15 +295,15 @@
     outputs.push({ kind: 'end', attemptId, tokens: stream.nextOffset });
   }
 
-  private report(now: number): EngineReport {
-    this.snapshot(now);
-    const lagged = this.laggedLoad(now);
+  private makeReport(now: number): EngineReport {
+    this.addSnapshot(now);
+    const load = this.findLaggedLoad(now);
     return {
       assignment: this.assignment,
       phase: this.phase,
-      streams: lagged.streams,
+      streams: load.streams,
       maximumStreams: this.settings.maximumStreams[this.assignment.role],
-      waitingPrefillTokens: lagged.waitingPrefillTokens,
+      waitingPrefillTokens: load.waitingPrefillTokens,
       cachedShare: this.cachedShare,
       capability: getCapability(this.settings),
       clockMs: now,
@@ -309,7 +312,7 @@
     };
   }
 
-  private laggedLoad(now: number): LoadSnapshot {
+  private findLaggedLoad(now: number): LoadSnapshot {
     const due = now - this.settings.reportLagMs;
     for (let index = this.snapshots.length - 1; index >= 0; index -= 1) {
       if (this.snapshots[index].at <= due) return this.snapshots[index];
@@ -317,7 +320,7 @@
     return this.snapshots[0];
   }
 
-  private snapshot(now: number): void {
+  private addSnapshot(now: number): void {
     const last = this.snapshots[this.snapshots.length - 1];
     if (now - last.at < this.settings.reportLagMs / 4) return;
     let waitingPrefillTokens = 0;
--- a/lab/engine-server.ts
+++ b/lab/engine-server.ts
@@ -29,7 +29,7 @@
 /** One engine process. */
 export class EngineServer extends LabServer {
   readonly model: EngineModel;
-  private readonly open = new Map<string, OpenStream>();
+  private readonly openStreams = new Map<string, OpenStream>();
   private timer: NodeJS.Timeout | undefined;
 
   constructor(host: string, port: number, assignment: EngineAssignment, settings: EngineModelSettings) {
@@ -58,13 +58,17 @@
         200,
         this.model.applyControlRequest(body as EngineControlRequest, performance.now()),
       );
-    else if (path === '/v1/generate') await this.work('generate', body as WorkBody, response);
-    else if (path === '/v1/prefill') await this.work('prefill', body as WorkBody, response);
+    else if (path === '/v1/generate') await this.startWork('generate', body as WorkBody, response);
+    else if (path === '/v1/prefill') await this.startWork('prefill', body as WorkBody, response);
     else sendLabJson(response, 404, {});
-    this.schedule();
+    this.setTimer();
   }
 
-  private async work(stage: 'prefill' | 'generate', body: WorkBody, response: ServerResponse): Promise<void> {
+  private async startWork(
+    stage: 'prefill' | 'generate',
+    body: WorkBody,
+    response: ServerResponse,
+  ): Promise<void> {
     const imported = stage === 'generate' && body.kv !== undefined;
     if (imported && body.kv && !(await fetchKv(body.kv))) {
       sendLabJson(response, 409, { refused: 'unknown-kv' });
@@ -92,27 +96,27 @@
       sendLabJson(response, 409, { refused: refusal });
       return;
     }
-    this.open.set(attemptId, { response, promptHash: hashText(body.prompt) });
+    this.openStreams.set(attemptId, { response, promptHash: hashText(body.prompt) });
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
     response.flushHeaders();
     response.on('close', () => {
-      if (this.open.delete(attemptId)) this.model.cancel(attemptId, performance.now());
+      if (this.openStreams.delete(attemptId)) this.model.cancel(attemptId, performance.now());
     });
   }
 
-  private schedule(): void {
+  private setTimer(): void {
     const at = this.model.getNextEventAt();
     clearTimeout(this.timer);
     if (at !== undefined) this.timer = setTimeout(() => this.run(), Math.max(0, at - performance.now()));
   }
 
   private run(): void {
-    for (const output of this.model.advance(performance.now())) this.write(output);
-    this.schedule();
+    for (const output of this.model.advance(performance.now())) this.sendOutput(output);
+    this.setTimer();
   }
 
-  private write(output: EngineOutput): void {
-    const stream = this.open.get(output.attemptId);
+  private sendOutput(output: EngineOutput): void {
+    const stream = this.openStreams.get(output.attemptId);
     if (!stream) return;
     if (output.kind === 'tokens') {
       const texts = Array.from({ length: output.count }, (_, index) =>
@@ -121,7 +125,7 @@
       stream.response.write(`${JSON.stringify({ offset: output.offset, texts })}\n`);
       return;
     }
-    this.open.delete(output.attemptId);
+    this.openStreams.delete(output.attemptId);
     const last =
       output.kind === 'end'
         ? { end: true, tokens: output.tokens, finishReason: 'stop' }
--- a/lab/forwarding-site.ts
+++ b/lab/forwarding-site.ts
@@ -23,20 +23,20 @@
 /** A store that answers from memory: a snapshot first, then one change each time `put` is called. */
 class MemoryRecordStore extends RecordStore {
   private readonly records: StoredRecord[] = [];
-  private readonly waiting = new Set<() => void>();
+  private readonly waitingReads = new Set<() => void>();
 
   /** Adds records and wakes readers. */
   put(...records: StoredRecord[]): void {
     this.records.push(...records);
-    for (const wake of this.waiting) wake();
-    this.waiting.clear();
+    for (const wake of this.waitingReads) wake();
+    this.waitingReads.clear();
   }
 
   async read(request: RecordRead): Promise<RecordReadResult> {
     const after = request.after ?? 0;
-    if (request.after !== undefined && !this.changed(request, after)) {
+    if (request.after !== undefined && !this.hasChanged(request, after)) {
       await new Promise<void>((resolve) => {
-        this.waiting.add(resolve);
+        this.waitingReads.add(resolve);
         setTimeout(resolve, request.waitMs).unref();
       });
     }
@@ -48,7 +48,7 @@
     return { kind, revision, records, storeMs: performance.now() };
   }
 
-  private changed(request: RecordRead, after: number): boolean {
+  private hasChanged(request: RecordRead, after: number): boolean {
     return this.records.some((record) => record.collection === request.collection && record.revision > after);
   }
 }
@@ -106,7 +106,9 @@
 }
 
 /** A table that never answers. */
-const DOWN_TABLE: TableStore = { perform: () => Promise.resolve({ kind: 'noAnswer', reason: 'down' }) };
+const UNAVAILABLE_TABLE: TableStore = {
+  perform: () => Promise.resolve({ kind: 'noAnswer', reason: 'down' }),
+};
 
 /** The running daemon. */
 export interface ForwardingSite {
@@ -150,14 +152,14 @@
         duties: undefined,
       },
     },
-    { dialect: new HttpDialect(), store, table: DOWN_TABLE, duties: undefined },
+    { dialect: new HttpDialect(), store, table: UNAVAILABLE_TABLE, duties: undefined },
   );
   await daemon.start();
-  await untilReady(ready);
+  await waitUntilReady(ready);
   return { callers, ready, store, daemon };
 }
 
-async function untilReady(address: string): Promise<void> {
+async function waitUntilReady(address: string): Promise<void> {
   for (let tries = 0; tries < 200; tries += 1) {
     const answer = await fetch(`http://${address}/ready`);
     if (answer.status === 200) return;
--- a/lab/free-ports.ts
+++ b/lab/free-ports.ts
@@ -16,14 +16,14 @@
  * that no other one hands out the same: a port that is free just now may belong to a daemon that starts again.
  */
 export const PORTS_PER_BLOCK = 64;
-const BLOCKS = Math.floor((LAST_PORT - FIRST_PORT) / PORTS_PER_BLOCK);
+const BLOCK_COUNT = Math.floor((LAST_PORT - FIRST_PORT) / PORTS_PER_BLOCK);
 /** Processes whose ids follow each other begin so many blocks apart. */
-const BLOCKS_APART = 5;
+const BLOCK_STRIDE = 5;
 
 /** The next port of the present block, and the end of that block. */
 let nextPort = 0;
 let endPort = 0;
-let nextBlock = (process.pid * BLOCKS_APART) % BLOCKS;
+let nextBlock = (process.pid * BLOCK_STRIDE) % BLOCK_COUNT;
 
 /**
  * Finds so many ports that nobody listens on. A port is handed out once.
@@ -32,7 +32,7 @@
 export async function findFreePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
   while (ports.length < count) {
-    if (nextPort >= endPort) await claimBlock();
+    if (nextPort >= endPort) await addBlock();
     const port = nextPort;
     nextPort += 1;
     if (await isFree(port)) ports.push(port);
@@ -40,11 +40,11 @@
   return ports;
 }
 
-async function claimBlock(): Promise<void> {
-  for (let tries = 0; tries < BLOCKS; tries += 1) {
+async function addBlock(): Promise<void> {
+  for (let tries = 0; tries < BLOCK_COUNT; tries += 1) {
     const first = FIRST_PORT + nextBlock * PORTS_PER_BLOCK;
-    nextBlock = (nextBlock + 1) % BLOCKS;
-    if (!(await hold(first))) continue;
+    nextBlock = (nextBlock + 1) % BLOCK_COUNT;
+    if (!(await startHolding(first))) continue;
     nextPort = first + 1;
     endPort = first + PORTS_PER_BLOCK;
     return;
@@ -58,7 +58,7 @@
 }
 
 /** Listens for as long as this process lives, without keeping it alive. */
-function hold(port: number): Promise<boolean> {
+function startHolding(port: number): Promise<boolean> {
   const server = createServer();
   return new Promise((resolve) => {
     server.once('error', () => resolve(false));
--- a/lab/launcher.ts
+++ b/lab/launcher.ts
@@ -10,8 +10,8 @@
 import { findFreeAddresses } from './free-ports.js';
 import type { SiteProfile } from './site-profiles.js';
 
-const PRODUCT = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
-const LAB = fileURLToPath(new URL('./main.js', import.meta.url));
+const DAEMON_PROGRAM = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
+const LAB_PROGRAM = fileURLToPath(new URL('./main.js', import.meta.url));
 const START_TIMEOUT_MS = 30_000;
 const POLL_MS = 100;
 
@@ -52,7 +52,7 @@
     const applicationCount = this.options.applications ?? this.profile.applications;
     const addresses = await findFreeAddresses(1 + engineCount + applicationCount + daemonCount * 3);
     const next = (): string => addresses.pop() as string;
-    this.platform = this.launchLab('platform', ['platform'], next());
+    this.platform = this.startLabProcess('platform', ['platform'], next());
     await this.waitFor(async () => this.post(this.platform.addresses.main, '/faults', {}));
     for (let index = 0; index < engineCount; index += 1) await this.startEngine(index, next());
     for (let index = 0; index < applicationCount; index += 1) await this.startApplication(index, next());
@@ -82,7 +82,7 @@
   /** Starts a daemon again under its old name and addresses. */
   restartDaemon(index: number): RunningProcess {
     const old = this.daemons[index];
-    const child = this.launchDaemon(old.name);
+    const child = this.startDaemonProcess(old.name);
     const daemon = { ...old, child };
     this.daemons[index] = daemon;
     return daemon;
@@ -90,14 +90,14 @@
 
   /** Replaces a daemon's settings, in one step, by such as cannot be used. */
   writeInvalidSettings(index: number): void {
-    const path = this.settingsPath(this.daemons[index].name);
+    const path = this.getSettingsPath(this.daemons[index].name);
     writeFileSync(`${path}.new`, 'name:');
     renameSync(`${path}.new`, path);
   }
 
   /** What a daemon has logged so far. */
   readLog(index: number): Record<string, unknown>[] {
-    const lines = readFileSync(this.logPath(this.daemons[index].name), 'utf8').split('\n');
+    const lines = readFileSync(this.getLogPath(this.daemons[index].name), 'utf8').split('\n');
     return lines
       .filter((line) => line.startsWith('{'))
       .map((line) => JSON.parse(line) as Record<string, unknown>);
@@ -151,7 +151,7 @@
       ...new Set(this.profile.services.map((row) => row.adapter).filter((adapter) => adapter !== '')),
     ];
     this.engines.push(
-      this.launchLab(
+      this.startLabProcess(
         name,
         ['engine', '--model', this.profile.model, '--adapters', adapters.join(',')],
         address,
@@ -170,7 +170,7 @@
   private async startApplication(index: number, address: string): Promise<void> {
     const zone = this.profile.zones[index % this.profile.zones.length];
     const name = `application-${index + 1}`;
-    this.applications.push(this.launchLab(name, ['application'], address));
+    this.applications.push(this.startLabProcess(name, ['application'], address));
     await this.addMachine({ id: name, kind: 'application', address, zone, cell: zone, state: 'live' });
   }
 
@@ -211,33 +211,33 @@
       allocation: { roleChangeCostSeconds: this.profile.roleChangeCostSeconds },
       ...this.options.settings,
     };
-    writeFileSync(this.settingsPath(name), stringify(settings));
-    this.daemons.push({ name, child: this.launchDaemon(name), addresses });
+    writeFileSync(this.getSettingsPath(name), stringify(settings));
+    this.daemons.push({ name, child: this.startDaemonProcess(name), addresses });
   }
 
-  private settingsPath(name: string): string {
+  private getSettingsPath(name: string): string {
     return join(this.folder, `${name}.yaml`);
   }
 
-  private launchDaemon(name: string): ChildProcess {
-    return this.launch(name, [PRODUCT, 'serve', '--settings', this.settingsPath(name)]);
+  private startDaemonProcess(name: string): ChildProcess {
+    return this.startProcess(name, [DAEMON_PROGRAM, 'serve', '--settings', this.getSettingsPath(name)]);
   }
 
-  private launchLab(name: string, args: readonly string[], address: string): RunningProcess {
+  private startLabProcess(name: string, args: readonly string[], address: string): RunningProcess {
     return {
       name,
-      child: this.launch(name, [LAB, ...args, '--address', address]),
+      child: this.startProcess(name, [LAB_PROGRAM, ...args, '--address', address]),
       addresses: { main: address },
     };
   }
 
   /** The log file of a process. */
-  private logPath(name: string): string {
+  private getLogPath(name: string): string {
     return join(this.folder, `${name}.log`);
   }
 
-  private launch(name: string, args: readonly string[]): ChildProcess {
-    const log = openSync(this.logPath(name), 'a');
+  private startProcess(name: string, args: readonly string[]): ChildProcess {
+    const log = openSync(this.getLogPath(name), 'a');
     const child = spawn(process.execPath, [...args], { stdio: ['ignore', log, log] });
     this.children.add(child);
     child.once('exit', () => this.children.delete(child));
--- a/lab/load-generator.ts
+++ b/lab/load-generator.ts
@@ -61,7 +61,7 @@
 }
 
 const CHARACTERS_PER_TOKEN = 4;
-const ATTEMPTS_TO_CONNECT = 6;
+const MAXIMUM_RECONNECTS = 6;
 
 /** Makes a prompt of the given length; its start is the same for all prompts of a service. */
 function makePrompt(service: string, tokens: number, serial: number): string {
@@ -81,7 +81,7 @@
     headersTimeout: 0,
     bodyTimeout: 0,
   });
-  private readonly running = new Set<Promise<void>>();
+  private readonly inFlight = new Set<Promise<void>>();
   private serial = 0;
 
   /** @param callers caller addresses of daemons; one that refuses connections is passed over */
@@ -93,7 +93,7 @@
   /** Runs the phases, then waits for the last answers. */
   async run(phases: readonly LoadPhase[]): Promise<void> {
     for (const phase of phases) await this.runPhase(phase);
-    while (this.running.size > 0) await Promise.all([...this.running]);
+    while (this.inFlight.size > 0) await Promise.all([...this.inFlight]);
     await this.agent.close();
   }
 
@@ -112,14 +112,16 @@
     const endsAt = startedAt + phase.seconds * 1000;
     const arrivals = [
       ...phase.classes.map((load) =>
-        this.arrivals(load.perSecond, startedAt, endsAt, (dueAt) => this.complete(load, dueAt)),
+        this.sendArrivals(load.perSecond, startedAt, endsAt, (dueAt) => this.sendCompletion(load, dueAt)),
+      ),
+      ...phase.calls.map((call) =>
+        this.sendArrivals(call.perSecond, startedAt, endsAt, () => this.sendCall(call)),
       ),
-      ...phase.calls.map((call) => this.arrivals(call.perSecond, startedAt, endsAt, () => this.call(call))),
     ];
     await Promise.all(arrivals);
   }
 
-  private async arrivals(
+  private async sendArrivals(
     perSecond: number,
     startedAt: number,
     endsAt: number,
@@ -133,14 +135,14 @@
       const wait = dueAt - performance.now();
       if (wait > 0) await new Promise((resolve) => setTimeout(resolve, wait));
       const running = send(dueAt);
-      this.running.add(running);
-      void running.finally(() => this.running.delete(running));
+      this.inFlight.add(running);
+      void running.finally(() => this.inFlight.delete(running));
     }
-    const rest = endsAt - performance.now();
-    if (rest > 0) await new Promise((resolve) => setTimeout(resolve, rest));
+    const remainingMs = endsAt - performance.now();
+    if (remainingMs > 0) await new Promise((resolve) => setTimeout(resolve, remainingMs));
   }
 
-  private async complete(load: LoadClass, dueAt: number): Promise<void> {
+  private async sendCompletion(load: LoadClass, dueAt: number): Promise<void> {
     const result = this.getResult(load.service);
     result.sent += 1;
     this.serial += 1;
@@ -149,7 +151,7 @@
     try {
       const response = await this.send('/v1/completions', body, {});
       if (response.statusCode !== 200) {
-        result.addRefusal(problemCode(await response.body.text()));
+        result.addRefusal(parseProblemCode(await response.body.text()));
         return;
       }
       await this.readAnswer(response.body, prompt, load, dueAt, result);
@@ -181,7 +183,7 @@
     const expected = Array.from({ length: load.outputTokens }, (_, index) =>
       formatToken(promptHash, index),
     ).join('');
-    if (streamText(received) !== expected) {
+    if (parseStreamText(received) !== expected) {
       result.wrong += 1;
       return;
     }
@@ -194,7 +196,7 @@
       result.withinTargets += 1;
   }
 
-  private async call(call: CallClass): Promise<void> {
+  private async sendCall(call: CallClass): Promise<void> {
     const result = this.getResult(call.service);
     result.sent += 1;
     this.serial += 1;
@@ -207,7 +209,7 @@
       if (response.statusCode === 200) {
         result.complete += 1;
         result.withinTargets += 1;
-      } else result.addRefusal(problemCode(text));
+      } else result.addRefusal(parseProblemCode(text));
     } catch (error) {
       result.addUnanswered(error);
     }
@@ -233,14 +235,14 @@
         });
       } catch (error) {
         const { code } = error as { code?: string };
-        const unsent = code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT';
-        if (!unsent || attempt >= ATTEMPTS_TO_CONNECT) throw error;
+        const notSent = code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT';
+        if (!notSent || attempt >= MAXIMUM_RECONNECTS) throw error;
       }
     }
   }
 }
 
-function streamText(received: string): string {
+function parseStreamText(received: string): string {
   let text = '';
   for (const block of received.split('\n\n')) {
     if (!block.startsWith('data: {')) continue;
@@ -250,7 +252,7 @@
   return text;
 }
 
-function problemCode(text: string): string {
+function parseProblemCode(text: string): string {
   try {
     const { type } = JSON.parse(text) as { type: string };
     return type.slice(type.lastIndexOf(':') + 1);
--- a/lab/load-report.ts
+++ b/lab/load-report.ts
@@ -21,7 +21,7 @@
     result.sent,
     result.complete,
     result.withinTargets,
-    refusals(result),
+    formatRefusals(result),
     result.broken,
     result.wrong,
     result.unanswered,
@@ -33,7 +33,7 @@
   return formatTable(header, rows);
 }
 
-function refusals(result: ServiceResult): string {
+function formatRefusals(result: ServiceResult): string {
   if (result.refused.size === 0) return '0';
   return [...result.refused].map(([code, count]) => `${count} ${code}`).join(', ');
 }
--- a/lab/platform-model.ts
+++ b/lab/platform-model.ts
@@ -14,7 +14,7 @@
 
 type Commit = Extract<TableRequest, { kind: 'commit' }>;
 
-const REMEMBERED_WRITES = 100_000;
+const MAXIMUM_STORED_OUTCOMES = 100_000;
 
 interface RateLimit {
   readonly perSecond: number;
@@ -47,7 +47,7 @@
   /** Carries out a table request, or undefined when the platform is down. */
   applyTableRequest(request: TableRequest, now: number): TableResult | undefined {
     if (this.faults.down) return undefined;
-    if (!this.takeToken(now))
+    if (!this.removeToken(now))
       return { kind: 'rateLimited', retryAfterMs: Math.ceil(1000 / this.rate.perSecond) * 10 };
     switch (request.kind) {
       case 'read':
@@ -71,14 +71,14 @@
     const known = this.machines.get(machine.id);
     const visibleAt = known ? now + this.machineLagMs : now;
     if (known && now < known.visibleAt) this.machines.set(machine.id, { machine, visibleAt });
-    else if (known) this.pending.push({ machine, visibleAt });
+    else if (known) this.pendingMachines.push({ machine, visibleAt });
     else this.machines.set(machine.id, { machine, visibleAt });
   }
 
   /** The list: all cells, the engines of the cells asked for, and every application server. */
   listMachines(cells: readonly string[], now: number): MachineListing | undefined {
     if (this.faults.down) return undefined;
-    this.applyPending(now);
+    this.applyPendingMachines(now);
     const all = [...this.machines.values()].map((entry) => entry.machine);
     const zones = new Map(
       all.filter((machine) => machine.kind === 'engine').map((machine) => [machine.cell, machine.zone]),
@@ -90,14 +90,14 @@
     };
   }
 
-  private pending: { machine: Machine; visibleAt: number }[] = [];
+  private pendingMachines: { machine: Machine; visibleAt: number }[] = [];
 
-  private applyPending(now: number): void {
-    for (const { machine, visibleAt } of this.pending) {
+  private applyPendingMachines(now: number): void {
+    for (const { machine, visibleAt } of this.pendingMachines) {
       if (visibleAt <= now && this.machines.has(machine.id))
         this.machines.set(machine.id, { machine, visibleAt });
     }
-    this.pending = this.pending.filter((entry) => entry.visibleAt > now);
+    this.pendingMachines = this.pendingMachines.filter((entry) => entry.visibleAt > now);
   }
 
   private commit(writeId: string, request: Commit, now: number): TableResult {
@@ -105,7 +105,7 @@
     if (earlier) return earlier;
     const result = this.apply(request, now);
     this.outcomes.set(writeId, result);
-    if (this.outcomes.size > REMEMBERED_WRITES) {
+    if (this.outcomes.size > MAXIMUM_STORED_OUTCOMES) {
       const oldest = this.outcomes.keys().next();
       if (!oldest.done) this.outcomes.delete(oldest.value);
     }
@@ -141,7 +141,7 @@
     return { kind: 'changes', revision: this.lastChange.get(table) ?? 0, rows };
   }
 
-  private takeToken(now: number): boolean {
+  private removeToken(now: number): boolean {
     const refill = ((now - this.refilledAt) / 1000) * this.rate.perSecond;
     this.tokens = Math.min(this.rate.burst, this.tokens + Math.max(0, refill));
     this.refilledAt = now;
--- a/lab/platform-server.ts
+++ b/lab/platform-server.ts
@@ -20,7 +20,7 @@
       this.model.setMachine(body as Machine, performance.now());
       sendLabJson(response, 200, {});
     } else if (message.url === '/v1/table') {
-      this.table(body as TableRequest, response);
+      this.onTableRequest(body as TableRequest, response);
     } else if (message.url === '/v1/machines') {
       const listing = this.model.listMachines((body as { cells: string[] }).cells, performance.now());
       if (listing) sendLabJson(response, 200, listing);
@@ -30,11 +30,11 @@
     }
   }
 
-  private table(request: TableRequest, response: ServerResponse): void {
+  private onTableRequest(request: TableRequest, response: ServerResponse): void {
     const { faults } = this.model;
     const result = this.model.applyTableRequest(request, performance.now());
-    const lost = Math.random() < faults.loseAnswers;
-    if (!result || lost) {
+    const isAnswerLost = Math.random() < faults.loseAnswers;
+    if (!result || isAnswerLost) {
       response.destroy();
       return;
     }
--- a/lab/sent-requests.ts
+++ b/lab/sent-requests.ts
@@ -10,7 +10,7 @@
   readonly localPort: number | undefined;
   readonly remotePort: number | undefined;
   /** Whether an answer had come on the connection before. */
-  readonly kept: boolean;
+  readonly reused: boolean;
   /** Monotonic milliseconds. */
   readonly sentAt: number;
 }
@@ -21,7 +21,7 @@
 subscribe('undici:client:sendHeaders', (message) => {
   const { request, socket } = message as { request: object; socket: Socket };
   const { localPort, remotePort, bytesRead } = socket;
-  sent.set(request, { localPort, remotePort, kept: bytesRead > 0, sentAt: performance.now() });
+  sent.set(request, { localPort, remotePort, reused: bytesRead > 0, sentAt: performance.now() });
 });
 
 subscribe('undici:request:error', (message) => {
@@ -35,7 +35,7 @@
   return failures.get(error);
 }
 
-function formatConnection({ localPort, remotePort, kept, sentAt }: SentRequest): string {
+function formatConnection({ localPort, remotePort, reused: kept, sentAt }: SentRequest): string {
   const connection = `${kept ? 'kept' : 'new'} connection ${localPort} to ${remotePort}`;
   return `${connection}, ${Math.round(performance.now() - sentAt)} ms after it was sent`;
 }
--- a/lab/site-profiles.ts
+++ b/lab/site-profiles.ts
@@ -30,7 +30,7 @@
   readonly roleChangeCostSeconds: number;
 }
 
-function row(value: Partial<ServiceRow> & { name: string }): ServiceRow {
+function makeService(value: Partial<ServiceRow> & { name: string }): ServiceRow {
   return parseServiceRow(value);
 }
 
@@ -42,7 +42,7 @@
   zoneDelayMs: 1.5,
   model: 'underwriting',
   services: [
-    row({
+    makeService({
       name: 'risk-grade',
       model: 'underwriting',
       adapter: 'grading',
@@ -51,7 +51,7 @@
       firstTokenTargetMs: 2500,
       maximumWaitMs: 2000,
     }),
-    row({
+    makeService({
       name: 'crop-eligibility',
       model: 'underwriting',
       weight: 1,
@@ -59,8 +59,8 @@
       firstTokenTargetMs: 1000,
       maximumWaitMs: 800,
     }),
-    row({ name: 'payment-notice', kind: 'application', repeatable: false }),
-    row({ name: 'quote-receipt', kind: 'application', repeatable: false }),
+    makeService({ name: 'payment-notice', kind: 'application', repeatable: false }),
+    makeService({ name: 'quote-receipt', kind: 'application', repeatable: false }),
   ],
   longWork: { service: 'risk-grade', promptTokens: 6000, outputTokens: 40 },
   shortWork: { service: 'crop-eligibility', promptTokens: 250, outputTokens: 180 },
@@ -75,7 +75,7 @@
   zoneDelayMs: 0.5,
   model: 'quoting',
   services: [
-    row({
+    makeService({
       name: 'policy-review',
       model: 'quoting',
       adapter: 'wording',
@@ -84,7 +84,7 @@
       firstTokenTargetMs: 2500,
       maximumWaitMs: 2000,
     }),
-    row({
+    makeService({
       name: 'eligibility',
       model: 'quoting',
       weight: 1,
@@ -92,8 +92,8 @@
       firstTokenTargetMs: 1000,
       maximumWaitMs: 800,
     }),
-    row({ name: 'document-fetch', kind: 'application', repeatable: true }),
-    row({ name: 'confirmation', kind: 'application', repeatable: false }),
+    makeService({ name: 'document-fetch', kind: 'application', repeatable: true }),
+    makeService({ name: 'confirmation', kind: 'application', repeatable: false }),
   ],
   longWork: { service: 'policy-review', promptTokens: 4000, outputTokens: 120 },
   shortWork: { service: 'eligibility', promptTokens: 200, outputTokens: 160 },
--- a/lab/soak/backend-stand-in.ts
+++ b/lab/soak/backend-stand-in.ts
@@ -29,20 +29,20 @@
 const STATUS_MISDIRECTED = 421
 const STATUS_ERROR = 500
 const STATUS_BUSY = 503
-const WORK_MS = 15
-const SLOW_WORK_MS = 250
-const EVENT_MS = 12
-const EVENTS = 6
-const LATE_ORDER_MS = 2500
-const FORGET_MS = 300
+const PROCESSING_MS = 15
+const SLOW_PROCESSING_MS = 250
+const EVENT_INTERVAL_MS = 12
+const EVENT_COUNT = 6
+const ORDER_DELAY_MS = 2500
+const FORGOTTEN_AFTER_IDLE_MS = 300
 const HEARTBEAT_MS = 1200
-const RECORD_LEFT_MS = 1800
+const RECORD_EXPIRY_MS = 1800
 /// A request that ends its back end does so after this time.
-const CRASH_MS = 40
+const CRASH_DELAY_MS = 40
 /// Part of the requests that a faulty back end spoils.
 const FAULT_SHARE = 0.4
 /// The same of one that turns most away.
-const MOST_SHARE = 0.8
+const SHEDS_MOST_SHARE = 0.8
 
 /// Identity of one incarnation.
 interface BackendIdentity {
@@ -60,13 +60,13 @@
   private readonly orders: StageOrders
   private state: "ready" | "draining" = "ready"
   private address = ""
-  private handles = 0
-  private ended = false
+  private handleCount = 0
+  private stopped = false
   private readonly server: Server
   private readonly sockets = new Set<Socket>()
   private readonly lastUses = new WeakMap<Socket, number>()
   private heartbeat: NodeJS.Timeout | undefined
-  private readonly bornMs = Date.now()
+  private readonly startedAtMs = Date.now()
   /// Says in its answers that it leaves, whatever its record says.
   signalsLeaving = false
   /// Turns part of the requests away and asks daemons to back off for so many seconds.
@@ -86,7 +86,7 @@
     this.orders = new StageOrders(identity.id, identity.stage, record, () => this.writeRecord())
     this.server = createServer((request, response) => void this.onRequest(request, response))
     this.server.on("connection", socket => {
-      if (this.ended) return void socket.resetAndDestroy()
+      if (this.stopped) return void socket.resetAndDestroy()
       this.sockets.add(socket)
       socket.on("close", () => this.sockets.delete(socket))
     })
@@ -115,21 +115,21 @@
   /// Ends: at once, with every connection reset, or after it has left the store's list.
   close(): void {
     this.store.remove("servers", this.identity.id)
-    this.end()
+    this.stop()
   }
 
   /// Ends without a word, as one that crashes: its record goes when its heartbeats are missed, unless a later
   /// start has written it anew.
   crash(): void {
-    this.end()
-    setTimeout(() => this.removeOwnRecord(), RECORD_LEFT_MS)
+    this.stop()
+    setTimeout(() => this.removeOwnRecord(), RECORD_EXPIRY_MS)
   }
 
   /// Resets every connection, those that come later too. The port stays taken: who listened on it next would
   /// get what is meant for this back end.
-  private end(): void {
+  private stop(): void {
     clearInterval(this.heartbeat)
-    this.ended = true
+    this.stopped = true
     this.onStopped()
     for (const socket of this.sockets) socket.resetAndDestroy()
   }
@@ -141,7 +141,7 @@
 
   private removeOwnRecord(): void {
     const row = this.store.read("servers", this.identity.id) as {born?: number} | undefined
-    if (row?.born === this.bornMs) this.store.remove("servers", this.identity.id)
+    if (row?.born === this.startedAtMs) this.store.remove("servers", this.identity.id)
   }
 
   /// Whether it has said that it leaves.
@@ -152,9 +152,9 @@
   /// Whether the connection rested so long that a back end that forgets them knows nothing of it.
   private isForgotten(socket: Socket): boolean {
     const now = performance.now()
-    const restedMs = now - (this.lastUses.get(socket) ?? now)
+    const idleMs = now - (this.lastUses.get(socket) ?? now)
     this.lastUses.set(socket, now)
-    return this.behavior === "forgetsConnections" && restedMs > FORGET_MS
+    return this.behavior === "forgetsConnections" && idleMs > FORGOTTEN_AFTER_IDLE_MS
   }
 
   private writeRecord(): void {
@@ -167,7 +167,7 @@
       state: this.state,
       phase: this.orders.stage,
       seq: this.orders.appliedCount,
-      born: this.bornMs
+      born: this.startedAtMs
     }
     this.store.write("servers", id, row)
   }
@@ -187,24 +187,24 @@
       this.registry.remove(path.slice("/v1/kv-handle/".length))
       return this.reply(response, STATUS_OK, "{}")
     }
-    if (header(request, "x-expect-instance") !== this.identity.id) {
+    if (getHeader(request, "x-expect-instance") !== this.identity.id) {
       arrival.rejected = true
       return this.reply(response, STATUS_MISDIRECTED, "", {"X-Instance-Id": this.identity.id})
     }
-    this.onWork(request, response, arrival, body)
+    this.onWorkRequest(request, response, arrival, body)
   }
 
   /// Calls that are not a caller's request have no id and are not counted.
   private addArrival(request: IncomingMessage): ArrivalRecord {
-    const requestId = header(request, "x-attempt-id") ?? ""
-    const promptOnly = header(request, "x-inference-phase") === "prefill"
+    const requestId = getHeader(request, "x-attempt-id") ?? ""
+    const promptOnly = getHeader(request, "x-inference-phase") === "prefill"
     const {id: backend, service} = this.identity
     const arrival = {requestId, service, backend, at: performance.now(), promptOnly, rejected: false}
     if (requestId !== "") this.record.arrivals.push(arrival)
     return arrival
   }
 
-  private onWork(
+  private onWorkRequest(
     request: IncomingMessage,
     response: ServerResponse,
     arrival: ArrivalRecord,
@@ -219,63 +219,67 @@
       this.record.signals.addBackOff(this.identity.id, id, this.backOff.seconds)
       return reject(STATUS_BUSY, {"Retry-After": String(this.backOff.seconds)})
     }
-    const behavior = this.isHarmed() ? this.behavior : "well"
+    const behavior = this.isFaulty() ? this.behavior : "well"
     const {stage, isChanging} = this.orders
     const wrongStage = stage !== undefined && promptOnly !== (stage === "prefill")
     if (wrongStage || isChanging || behavior === "sheds" || behavior === "shedsMost")
       return reject(wrongStage ? STATUS_MISDIRECTED : STATUS_BUSY)
     if (behavior === "hangs") return
-    const run = {
+    const execution = {
       requestId: id,
       backend: this.identity.id,
       service: this.identity.service,
       at: performance.now(),
       promptOnly,
-      tenant: header(request, "x-tenant"),
-      tokens: sumTokens(header(request, "x-token-usage"))
+      tenant: getHeader(request, "x-tenant"),
+      tokens: sumTokens(getHeader(request, "x-token-usage"))
     }
-    if (header(request, "x-api-key") !== undefined)
+    if (getHeader(request, "x-api-key") !== undefined)
       this.record.observedViolations.push({
         promise: "no key goes past the daemon",
         text: `${id} at ${this.identity.id}`
       })
-    if (promptOnly) return this.readPrompt(run, response)
-    const source = header(request, "x-kv-source")
-    if (source && !this.takeHandle(source, id)) return reject(STATUS_BUSY)
-    this.record.executions.push(run)
+    if (promptOnly) return this.runPrefill(execution, response)
+    const source = getHeader(request, "x-kv-source")
+    if (source && !this.checkHandle(source, id)) return reject(STATUS_BUSY)
+    this.record.executions.push(execution)
     if (body.startsWith(CRASHING_BODY)) {
-      setTimeout(() => this.crashUnder(body), CRASH_MS)
+      setTimeout(() => this.crashOn(body), CRASH_DELAY_MS)
       if (!stage) return
     }
-    if (behavior === "losesAnswers") return void setTimeout(() => response.socket?.resetAndDestroy(), WORK_MS)
-    if (stage) this.stream(request, response, id, behavior)
-    else this.answer(request, response, id, behavior)
+    if (behavior === "losesAnswers")
+      return void setTimeout(() => response.socket?.resetAndDestroy(), PROCESSING_MS)
+    if (stage) this.sendStream(request, response, id, behavior)
+    else this.sendAnswer(request, response, id, behavior)
   }
 
   /// The run of a request ends this back end, unless it has ended before.
-  private crashUnder(body: string): void {
-    if (this.ended) return
+  private crashOn(body: string): void {
+    if (this.stopped) return
     this.record.crashes.push({body, at: performance.now()})
     this.onCrash()
   }
 
   /// Whether the next request is spoiled.
-  private isHarmed(): boolean {
+  private isFaulty(): boolean {
     const {behavior} = this
     if (behavior === "well" || behavior === "slow") return behavior === "slow"
-    return this.random() < (behavior === "shedsMost" ? MOST_SHARE : FAULT_SHARE)
+    return this.random() < (behavior === "shedsMost" ? SHEDS_MOST_SHARE : FAULT_SHARE)
   }
 
-  private readPrompt(run: SoakRecord["executions"][number], response: ServerResponse): void {
-    this.record.executions.push(run)
-    this.handles += 1
-    const handle = `${this.identity.id}h${this.handles}`
-    this.registry.add(handle, run.requestId)
+  private runPrefill(execution: SoakRecord["executions"][number], response: ServerResponse): void {
+    this.record.executions.push(execution)
+    this.handleCount += 1
+    const handle = `${this.identity.id}h${this.handleCount}`
+    this.registry.add(handle, execution.requestId)
     const body = JSON.stringify({kv_handle: handle, tokens: 1000, version: 1})
-    setTimeout(() => this.reply(response, STATUS_OK, body, {"X-Attempt-Id": run.requestId}), WORK_MS)
+    setTimeout(
+      () => this.reply(response, STATUS_OK, body, {"X-Attempt-Id": execution.requestId}),
+      PROCESSING_MS
+    )
   }
 
-  private takeHandle(source: string, id: string): boolean {
+  private checkHandle(source: string, id: string): boolean {
     const owner = this.registry.remove(source.slice(source.indexOf("/") + 1))
     if (owner !== undefined && owner !== id)
       this.record.observedViolations.push({
@@ -285,13 +289,13 @@
     return owner === id
   }
 
-  private answer(
+  private sendAnswer(
     request: IncomingMessage,
     response: ServerResponse,
     id: string,
     behavior: BackendBehavior
   ): void {
-    const workMs = behavior === "slow" ? SLOW_WORK_MS : WORK_MS * (0.5 + this.random())
+    const workMs = behavior === "slow" ? SLOW_PROCESSING_MS : PROCESSING_MS * (0.5 + this.random())
     setTimeout(() => {
       const headers = {"X-Attempt-Id": id, "X-Server-Signature": this.identity.id}
       const body = formatBody(id)
@@ -311,34 +315,34 @@
     void request
   }
 
-  private stream(
+  private sendStream(
     request: IncomingMessage,
     response: ServerResponse,
     id: string,
     behavior: BackendBehavior
   ): void {
-    const first = Number(header(request, "last-event-id") ?? 0) + 1
+    const first = Number(getHeader(request, "last-event-id") ?? 0) + 1
     response.writeHead(STATUS_OK, {
       ...this.getSignals(),
       "Content-Type": "text/event-stream",
       "X-Attempt-Id": id,
       "X-Server-Signature": this.identity.id
     })
-    let number = first
+    let eventNumber = first
     const breakAt = behavior === "breaksOff" ? first + 2 : Infinity
     const step = () => {
       if (response.destroyed) return
-      if (number > EVENTS) return void response.end()
-      const event = formatEvent(id, number, EVENTS)
-      if (number >= breakAt) {
+      if (eventNumber > EVENT_COUNT) return void response.end()
+      const event = formatEvent(id, eventNumber, EVENT_COUNT)
+      if (eventNumber >= breakAt) {
         response.write(event.slice(0, 6))
         return void setTimeout(() => response.socket?.resetAndDestroy(), 2)
       }
       response.write(event)
-      number += 1
-      setTimeout(step, behavior === "slow" ? SLOW_WORK_MS : EVENT_MS)
+      eventNumber += 1
+      setTimeout(step, behavior === "slow" ? SLOW_PROCESSING_MS : EVENT_INTERVAL_MS)
     }
-    setTimeout(step, EVENT_MS)
+    setTimeout(step, EVENT_INTERVAL_MS)
   }
 
   /// What it says of itself in every answer.
@@ -351,14 +355,14 @@
   }
 
   private getReport(): object {
-    const {stage, isChanging, appliedCount: taken} = this.orders
-    return {phase: stage, models: [], utilization: isChanging, seq: taken, queued: 0, active: 0}
+    const {stage, isChanging, appliedCount} = this.orders
+    return {phase: stage, models: [], utilization: isChanging, seq: appliedCount, queued: 0, active: 0}
   }
 
   private onOrder(text: string, response: ServerResponse): void {
     const order = parseBody(orderSchema, text)
     if (!order) return this.reply(response, STATUS_MALFORMED, "{}")
-    if (this.behavior === "lateOrders") return void setTimeout(() => this.orders.apply(order), LATE_ORDER_MS)
+    if (this.behavior === "lateOrders") return void setTimeout(() => this.orders.apply(order), ORDER_DELAY_MS)
     this.reply(response, this.orders.apply(order), "{}")
   }
 
@@ -378,7 +382,7 @@
   }
 }
 
-function header(request: IncomingMessage, name: string): string | undefined {
+function getHeader(request: IncomingMessage, name: string): string | undefined {
   const value = request.headers[name]
   return typeof value === "string" ? value : undefined
 }
--- a/lab/soak/caller-load.ts
+++ b/lab/soak/caller-load.ts
@@ -12,8 +12,8 @@
 }
 
 /// Callers hang up so long after the time-out. Milliseconds.
-const GIVE_UP_AFTER_MS = 4000
-const GIVE_UP_SHARE = 0.03
+const CALLER_GRACE_MS = 4000
+const ABANDON_SHARE = 0.03
 /// Part of the requests with a key that nobody knows, and part without any.
 const UNKNOWN_KEY_SHARE = 0.03
 const KEYLESS_SHARE = 0.03
@@ -24,7 +24,7 @@
   private readonly agent = new Agent({keepAlive: true, maxSockets: 64})
   private running = true
   private count = 0
-  private readonly open = new Set<Promise<void>>()
+  private readonly inFlight = new Set<Promise<void>>()
 
   constructor(
     private readonly record: SoakRecord,
@@ -41,10 +41,10 @@
       await wait((1000 / perSecond) * (0.5 + this.random()))
       const target = this.pickTarget()
       const route = this.routes[Math.floor(this.random() * this.routes.length)]
-      const sent = this.send(target, route).finally(() => this.open.delete(sent))
-      this.open.add(sent)
+      const sent = this.send(target, route).finally(() => this.inFlight.delete(sent))
+      this.inFlight.add(sent)
     }
-    await Promise.all(this.open)
+    await Promise.all(this.inFlight)
     this.agent.destroy()
   }
 
@@ -60,8 +60,8 @@
       await wait(pauseMs * (0.5 + random()))
       if (!this.running) return
       const target = this.targets[Math.floor(random() * this.targets.length)]
-      const sent = this.send(target, route, body).finally(() => this.open.delete(sent))
-      this.open.add(sent)
+      const sent = this.send(target, route, body).finally(() => this.inFlight.delete(sent))
+      this.inFlight.add(sent)
     }
   }
 
@@ -109,14 +109,14 @@
         method: "POST",
         headers: this.getHeaders(id, key, route)
       })
-      const patienceMs =
-        crashingBody === undefined ? this.getPatience(call, route) : route.timeoutMs + GIVE_UP_AFTER_MS
-      const timer = setTimeout(() => request.destroy(), patienceMs)
+      const callerTimeoutMs =
+        crashingBody === undefined ? this.getCallerTimeout(call, route) : route.timeoutMs + CALLER_GRACE_MS
+      const timer = setTimeout(() => request.destroy(), callerTimeoutMs)
       request.on("response", response => this.receive(call, response, end))
       request.on("error", end)
       request.on("close", end)
       request.end(crashingBody ?? `body of ${id}`)
-      this.watch(request)
+      this.setNoDelay(request)
     })
   }
 
@@ -147,8 +147,8 @@
   }
 
   /// Most wait for the answer; a few leave early, which is no broken promise of anybody's.
-  private getPatience(call: CallerRecord, route: CallerRoute): number {
-    if (this.random() >= GIVE_UP_SHARE) return route.timeoutMs + GIVE_UP_AFTER_MS
+  private getCallerTimeout(call: CallerRecord, route: CallerRoute): number {
+    if (this.random() >= ABANDON_SHARE) return route.timeoutMs + CALLER_GRACE_MS
     call.endedAt = call.sentAt
     return this.random() * route.timeoutMs * 0.2
   }
@@ -169,7 +169,7 @@
     })
   }
 
-  private watch(request: ClientRequest): void {
+  private setNoDelay(request: ClientRequest): void {
     request.on("socket", socket => socket.setNoDelay(true))
   }
 }
--- a/lab/soak/crash-check.ts
+++ b/lab/soak/crash-check.ts
@@ -21,7 +21,7 @@
 
 /// A request may reach back ends so often once it has ended three and contact was found.
 export const ALLOWED_LATE_RETRIES = 3
-const ENDS_THAT_TELL = 3
+const CRASH_THRESHOLD = 3
 
 /// Judges each request that ended back ends. `findBody` gives the body of a request that would, `isInContact`
 /// says whether the daemon that got a request was in contact at a moment.
@@ -35,7 +35,7 @@
   const bodies = [...new Set(crashes.map(({body}) => body))]
   return bodies.map(body => {
     const ends = crashes.filter(crash => crash.body === body).map(({at}) => at)
-    const third = ends.sort((left, right) => left - right).at(ENDS_THAT_TELL - 1) ?? Infinity
+    const third = ends.sort((left, right) => left - right).at(CRASH_THRESHOLD - 1) ?? Infinity
     const late = arrivals.filter(
       ({requestId, at}) =>
         at > third + contactMs && findBody(requestId) === body && isInContact(requestId, at)
--- a/lab/soak/daemon-process.ts
+++ b/lab/soak/daemon-process.ts
@@ -17,16 +17,16 @@
 }
 
 /// Told when the process ended although nobody ended it.
-type OwnEndListener = (name: string, code: number | null, signal: string | null) => void
+type UnexpectedExitListener = (name: string, code: number | null, signal: string | null) => void
 
-const EXIT_AFTER_STOP_MS = 9000
+const KILL_AFTER_STOP_MS = 9000
 /// Exit code of the program when it cannot read its settings, which can only happen while it starts.
-const EXIT_WRONG_SETTINGS = 78
+const EXIT_INVALID_SETTINGS = 78
 
 /// The daemon.
 export class DaemonProcess {
   private child: ChildProcess | undefined
-  private expected = false
+  private isExitExpected = false
   /// The settings have been wrong since the process was started.
   private hasInvalidSettings = false
   private startedAt = -Infinity
@@ -38,13 +38,13 @@
     readonly ports: DaemonPorts,
     private readonly site: DaemonSite,
     private readonly platform: {readonly store: string; readonly duties: string},
-    private readonly onOwnEnd: OwnEndListener
+    private readonly onUnexpectedExit: UnexpectedExitListener
   ) {}
 
   /// Starts the process.
   start(): void {
     this.writeSettings()
-    this.expected = false
+    this.isExitExpected = false
     this.hasInvalidSettings = false
     this.startedAt = performance.now()
     this.starts += 1
@@ -57,10 +57,10 @@
     this.child = child
     child.on("exit", (code, signal) => {
       if (this.child === child) this.child = undefined
-      if (this.expected) return
+      if (this.isExitExpected) return
       // As the platform does: the next start has the settings of its moment.
-      if (code === EXIT_WRONG_SETTINGS && this.hasInvalidSettings) this.start()
-      else this.onOwnEnd(this.name, code, signal)
+      if (code === EXIT_INVALID_SETTINGS && this.hasInvalidSettings) this.start()
+      else this.onUnexpectedExit(this.name, code, signal)
     })
   }
 
@@ -71,7 +71,7 @@
 
   /// Kills it.
   async kill(): Promise<void> {
-    await this.end("SIGKILL")
+    await this.stopWith("SIGKILL")
   }
 
   /// Asks it to stop, waits for its end within the grace, and tells how it ended if that was not by itself
@@ -80,12 +80,12 @@
   async stop(): Promise<string | undefined> {
     const {child} = this
     if (!child) return undefined
-    const listened = await canConnect(this.ports.ready)
+    const wasListening = await canConnect(this.ports.ready)
     const ageMs = Math.round(performance.now() - this.startedAt)
-    const timer = setTimeout(() => child.kill("SIGKILL"), EXIT_AFTER_STOP_MS)
-    await this.end("SIGTERM")
+    const timer = setTimeout(() => child.kill("SIGKILL"), KILL_AFTER_STOP_MS)
+    await this.stopWith("SIGTERM")
     clearTimeout(timer)
-    if (child.exitCode === 0 || (!listened && child.signalCode === "SIGTERM")) return undefined
+    if (child.exitCode === 0 || (!wasListening && child.signalCode === "SIGTERM")) return undefined
     return `${child.exitCode ?? child.signalCode}, asked ${ageMs} ms after its start`
   }
 
@@ -109,10 +109,10 @@
     this.child?.kill("SIGHUP")
   }
 
-  private async end(signal: NodeJS.Signals): Promise<void> {
+  private async stopWith(signal: NodeJS.Signals): Promise<void> {
     const {child} = this
     if (!child) return
-    this.expected = true
+    this.isExitExpected = true
     const ended = new Promise(resolve => child.once("exit", resolve))
     child.kill("SIGCONT")
     child.kill(signal)
--- a/lab/soak/disturbance.ts
+++ b/lab/soak/disturbance.ts
@@ -13,9 +13,9 @@
 /// Kinds of disturbances that are planned stops begin so.
 export const PLANNED_STOP = "restart"
 /// Kinds of disturbances that end, freeze or cut off a daemon.
-const BREAKS = new RegExp(`^(kill|pause|${PLANNED_STOP}|link)`)
+const INTERRUPTIONS = new RegExp(`^(kill|pause|${PLANNED_STOP}|link)`)
 /// Requests sent until so long after the stop was asked for must have an answer. Milliseconds.
-const STOP_TAKES_MS = 1000
+const STOP_ACCEPTS_MS = 1000
 
 /// One daemon from one moment to another. Monotonic milliseconds.
 interface DaemonSpan {
@@ -31,8 +31,8 @@
   {daemon, from, until}: DaemonSpan
 ): boolean {
   return !disturbances.some(
-    ({target: what, from: began, until: ended}) =>
-      (what === daemon || what === "*") && began <= until && ended + contactMs >= from
+    ({target, from: began, until: ended}) =>
+      (target === daemon || target === "*") && began <= until && ended + contactMs >= from
   )
 }
 
@@ -42,8 +42,8 @@
   {daemon, from, until}: DaemonSpan
 ): boolean {
   return !disturbances.some(
-    ({target: what, kind, from: began, until: ended}) =>
-      what === daemon && BREAKS.test(kind) && began <= until && ended >= from
+    ({target, kind, from: began, until: ended}) =>
+      target === daemon && INTERRUPTIONS.test(kind) && began <= until && ended >= from
   )
 }
 
@@ -55,8 +55,8 @@
 ): boolean {
   if (endedAt === undefined || endedAt === sentAt) return false
   const stop = disturbances.find(
-    ({target: what, kind, from}) =>
-      what === daemon && kind.startsWith(PLANNED_STOP) && sentAt < from + STOP_TAKES_MS && endedAt >= from
+    ({target, kind, from}) =>
+      target === daemon && kind.startsWith(PLANNED_STOP) && sentAt < from + STOP_ACCEPTS_MS && endedAt >= from
   )
   if (!stop) return false
   return !disturbances.some(
--- a/lab/soak/duty-stand-in.ts
+++ b/lab/soak/duty-stand-in.ts
@@ -14,7 +14,7 @@
 const STATUS_OK = 200
 const STATUS_CONFLICT = 409
 const STATUS_BUSY = 503
-const LATE_MS = 1500
+const APPLY_DELAY_MS = 1500
 
 const usageSchema = z.object({window_id: z.number(), counts: z.record(z.string(), z.number())})
 const scaleSchema = z.object({
@@ -64,19 +64,20 @@
     if (url !== USAGE_PATH && url !== SCALE_PATH)
       return this.strayCalls.reject(STATUS_UNKNOWN, daemon, request, response)
     if (treatment === "silent") return
-    if (treatment === "refuses") return answer(response, STATUS_BUSY)
+    if (treatment === "refuses") return sendAnswer(response, STATUS_BUSY)
     const call = parseCall(url, body)
     if (!call) return this.strayCalls.reject(STATUS_MALFORMED, daemon, request, response)
     const holder = String(request.headers["x-lease-holder"])
     const fence = Number(request.headers["x-fencing-token"])
-    if (treatment === "appliesLate") setTimeout(() => this.take(daemon, call, {holder, fence}), LATE_MS)
+    if (treatment === "appliesLate")
+      setTimeout(() => this.apply(daemon, call, {holder, fence}), APPLY_DELAY_MS)
     else {
-      const status = this.take(daemon, call, {holder, fence})
-      if (treatment === "serves") answer(response, status)
+      const status = this.apply(daemon, call, {holder, fence})
+      if (treatment === "serves") sendAnswer(response, status)
     }
   }
 
-  private take(daemon: string, call: DutyCall, authority: DutyAuthority): number {
+  private apply(daemon: string, call: DutyCall, authority: DutyAuthority): number {
     const now = performance.now()
     const result = this.model.apply(daemon, call, authority, now)
     if (result.kind !== "accepted") return STATUS_CONFLICT
@@ -95,7 +96,7 @@
   return scale && {kind: "orderServers", ...scale}
 }
 
-function answer(response: ServerResponse, status: number): void {
+function sendAnswer(response: ServerResponse, status: number): void {
   response.writeHead(status, {"Content-Type": "application/json"})
   response.end("{}")
 }
--- a/lab/soak/fault-plan.ts
+++ b/lab/soak/fault-plan.ts
@@ -19,24 +19,24 @@
 }
 
 const MEAN_GAP_MS = 900
-const SHORTEST_MS = 300
-const LONGEST_MS = 3000
+const SHORTEST_FAULT_MS = 300
+const LONGEST_FAULT_MS = 3000
 /// How long back ends turn requests away beside a series of restarts, and the longest pause between two
 /// series. Milliseconds.
-const SHORTEST_BUSY_MS = 5000
-const LONGEST_BUSY_MS = 12_000
-const SERIES_PAUSE_MS = 3000
+const SHORTEST_OVERLOAD_MS = 5000
+const LONGEST_OVERLOAD_MS = 12_000
+const LONGEST_SERIES_GAP_MS = 3000
 /// How long back ends say something of themselves, and the longest pause between two. Milliseconds.
 const SHORTEST_SIGNAL_MS = 6000
 const LONGEST_SIGNAL_MS = 15_000
-const SIGNALS_PAUSE_MS = 3000
+const LONGEST_SIGNAL_GAP_MS = 3000
 /// Limits that are drawn. Requests a second.
 const LIMITS = [0.4, 1, 2, 3.5, 6.9]
 /// Back-offs that are drawn: parts of the requests that are turned away, and seconds.
 const BACK_OFF_SHARES = [0.05, 0.3]
 const BACK_OFF_SECONDS = [0.8, 3, 6.5]
 
-const BEHAVIORS: readonly BackendBehavior[] = [
+const BACKEND_BEHAVIORS: readonly BackendBehavior[] = [
   "forgetsConnections",
   "errors",
   "sheds",
@@ -47,7 +47,7 @@
   "slow",
   "lateOrders"
 ]
-const TREATMENTS: readonly StoreTreatment[] = [
+const STORE_TREATMENTS: readonly StoreTreatment[] = [
   "refuses",
   "throttles",
   "silent",
@@ -80,19 +80,19 @@
   random: () => number
 ): PlannedFault[] {
   const plan: PlannedFault[] = []
-  let beginMs = SERIES_PAUSE_MS * random()
+  let beginMs = LONGEST_SERIES_GAP_MS * random()
   while (beginMs < durationMs) {
-    const busyMs = SHORTEST_BUSY_MS + random() * (LONGEST_BUSY_MS - SHORTEST_BUSY_MS)
+    const overloadMs = SHORTEST_OVERLOAD_MS + random() * (LONGEST_OVERLOAD_MS - SHORTEST_OVERLOAD_MS)
     for (const places of placesByService) {
       if (random() < 0.3) continue
       for (const place of places)
         plan.push({
           atMs: Math.round(beginMs),
-          fault: new faults.BackendFault(Math.round(busyMs), place, "shedsMost")
+          fault: new faults.BackendFault(Math.round(overloadMs), place, "shedsMost")
         })
     }
-    plan.push(...makeRestarts(daemons, beginMs + busyMs * 0.3 * random(), beginMs + busyMs, random))
-    beginMs += busyMs + SERIES_PAUSE_MS * random()
+    plan.push(...makeRestarts(daemons, beginMs + overloadMs * 0.3 * random(), beginMs + overloadMs, random))
+    beginMs += overloadMs + LONGEST_SERIES_GAP_MS * random()
   }
   return plan.sort((left, right) => left.atMs - right.atMs)
 }
@@ -106,26 +106,27 @@
 ): PlannedFault[] {
   const plan: PlannedFault[] = []
   for (const places of placesByService) {
-    let beginMs = SIGNALS_PAUSE_MS * random()
+    let beginMs = LONGEST_SIGNAL_GAP_MS * random()
     while (beginMs < durationMs) {
-      const lastsMs = Math.round(SHORTEST_SIGNAL_MS + random() * (LONGEST_SIGNAL_MS - SHORTEST_SIGNAL_MS))
+      const signalMs = Math.round(SHORTEST_SIGNAL_MS + random() * (LONGEST_SIGNAL_MS - SHORTEST_SIGNAL_MS))
       const share = random() < 0.25 ? 1 : 0.5
-      const make = pickSignal(lastsMs, random)
+      const make = pickSignal(signalMs, random)
       for (const place of places)
         if (random() < share) plan.push({atMs: Math.round(beginMs), fault: make(place)})
-      beginMs += lastsMs + SIGNALS_PAUSE_MS * random()
+      beginMs += signalMs + LONGEST_SIGNAL_GAP_MS * random()
     }
   }
   return plan.sort((left, right) => left.atMs - right.atMs)
 }
 
-function pickSignal(lastsMs: number, random: () => number): (place: number) => faults.Fault {
+function pickSignal(durationMs: number, random: () => number): (place: number) => faults.Fault {
   const pick = <Item>(items: readonly Item[]): Item => items[Math.floor(random() * items.length)]
   const makers: readonly ((place: number) => faults.Fault)[] = [
-    place => new LimitFault(lastsMs, place, pick(LIMITS)),
-    place => new LimitFault(lastsMs, place, pick(LIMITS)),
-    place => new LeavingSignalFault(lastsMs, place),
-    place => new BackOffFault(lastsMs, place, {share: pick(BACK_OFF_SHARES), seconds: pick(BACK_OFF_SECONDS)})
+    place => new LimitFault(durationMs, place, pick(LIMITS)),
+    place => new LimitFault(durationMs, place, pick(LIMITS)),
+    place => new LeavingSignalFault(durationMs, place),
+    place =>
+      new BackOffFault(durationMs, place, {share: pick(BACK_OFF_SHARES), seconds: pick(BACK_OFF_SECONDS)})
   ]
   return pick(makers)
 }
@@ -138,11 +139,11 @@
   random: () => number
 ): PlannedFault[] {
   const plan: PlannedFault[] = []
-  const gapMs = (SHORTEST_BUSY_MS / daemons.length) * (0.3 + random())
+  const gapMs = (SHORTEST_OVERLOAD_MS / daemons.length) * (0.3 + random())
   const stopShare = random()
   for (let atMs = fromMs, turn = 0; atMs < untilMs; atMs += gapMs * (0.5 + random()), turn += 1) {
     const daemon = daemons[turn % daemons.length]
-    const downMs = Math.round(SHORTEST_MS * (0.5 + random()))
+    const downMs = Math.round(SHORTEST_FAULT_MS * (0.5 + random()))
     const fault =
       random() < stopShare ? new faults.RestartFault(daemon) : new faults.KillFault(downMs, [daemon])
     plan.push({atMs: Math.round(atMs), fault})
@@ -152,31 +153,31 @@
 
 function pickFault(targets: FaultTargets, random: () => number): faults.Fault {
   const pick = <Item>(items: readonly Item[]): Item => items[Math.floor(random() * items.length)]
-  const lastsMs = Math.round(SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS))
+  const durationMs = Math.round(SHORTEST_FAULT_MS + random() * (LONGEST_FAULT_MS - SHORTEST_FAULT_MS))
   const place = Math.floor(random() * targets.places)
   const daemon = pick(targets.daemons)
   const some = targets.daemons.filter(() => random() < 0.4)
   const makers: readonly (() => faults.Fault)[] = [
-    () => new faults.KillFault(lastsMs, [daemon]),
-    () => new faults.KillFault(lastsMs, random() < 0.3 ? targets.daemons : some),
-    () => new faults.PauseFault(lastsMs, daemon),
+    () => new faults.KillFault(durationMs, [daemon]),
+    () => new faults.KillFault(durationMs, random() < 0.3 ? targets.daemons : some),
+    () => new faults.PauseFault(durationMs, daemon),
     () => new faults.RestartFault(daemon),
-    () => new faults.ReloadFault(lastsMs, daemon),
-    () => new faults.LinkFault(lastsMs, `caller ${daemon}`, pick(LINK_STATES)),
-    () => new faults.LinkFault(lastsMs, `store ${daemon}`, pick(LINK_STATES)),
-    () => new faults.LinkFault(lastsMs, `backend ${place}`, pick(LINK_STATES)),
-    () => new faults.StoreFault(lastsMs, [daemon], pick(TREATMENTS)),
-    () => new faults.StoreFault(lastsMs, random() < 0.3 ? targets.daemons : some, pick(TREATMENTS)),
+    () => new faults.ReloadFault(durationMs, daemon),
+    () => new faults.LinkFault(durationMs, `caller ${daemon}`, pick(LINK_STATES)),
+    () => new faults.LinkFault(durationMs, `store ${daemon}`, pick(LINK_STATES)),
+    () => new faults.LinkFault(durationMs, `backend ${place}`, pick(LINK_STATES)),
+    () => new faults.StoreFault(durationMs, [daemon], pick(STORE_TREATMENTS)),
+    () => new faults.StoreFault(durationMs, random() < 0.3 ? targets.daemons : some, pick(STORE_TREATMENTS)),
     () => new faults.HistoryFault(),
-    () => new faults.BackendFault(lastsMs, place, pick(BEHAVIORS)),
-    () => new faults.BackendFault(lastsMs, place, pick(BEHAVIORS)),
-    () => new faults.CrashFault(lastsMs, place),
-    () => new faults.ReplaceFault(lastsMs + 1000, place),
+    () => new faults.BackendFault(durationMs, place, pick(BACKEND_BEHAVIORS)),
+    () => new faults.BackendFault(durationMs, place, pick(BACKEND_BEHAVIORS)),
+    () => new faults.CrashFault(durationMs, place),
+    () => new faults.ReplaceFault(durationMs + 1000, place),
     () => new faults.ConfigurationFault(),
     () => new faults.ConfigurationFault(),
-    () => new faults.KeyFault(lastsMs, pick(KEYS)),
-    () => new faults.KeyFault(lastsMs, pick(KEYS)),
-    () => new faults.DutyFault(lastsMs, pick(DUTY_TREATMENTS))
+    () => new faults.KeyFault(durationMs, pick(KEYS)),
+    () => new faults.KeyFault(durationMs, pick(KEYS)),
+    () => new faults.DutyFault(durationMs, pick(DUTY_TREATMENTS))
   ]
   return pick(makers)()
 }
--- a/lab/soak/fault-proxy.ts
+++ b/lab/soak/fault-proxy.ts
@@ -5,14 +5,14 @@
 /// connection stays open) or of both.
 export type LinkState = "open" | "delayed" | "cutForth" | "cutBack" | "silent"
 
-const FORTH = "forth"
-const BACK = "back"
+const TO_TARGET = "forth"
+const TO_CLIENT = "back"
 
 /// One proxy before one address.
 export class FaultProxy {
   private state: LinkState = "open"
   private delayMs = 0
-  private made = 0
+  private connectionCount = 0
   private readonly sockets = new Set<Socket>()
   /// Connections that pass nothing any more, whatever the state.
   private readonly silenced = new WeakSet<Socket>()
@@ -42,7 +42,7 @@
 
   /// Connections that have come through it so far.
   getConnectionCount(): number {
-    return this.made
+    return this.connectionCount
   }
 
   /// Resets every connection.
@@ -56,51 +56,52 @@
     for (const socket of this.sockets) socket.destroy()
   }
 
-  private accept(near: Socket): void {
-    this.made += 1
+  private accept(client: Socket): void {
+    this.connectionCount += 1
     const target = this.getTarget()
     if (target === undefined) {
       // At once, as the system refuses it: a daemon judges by some 30 ms whether anybody listens.
-      near.on("error", () => undefined)
-      near.resetAndDestroy()
+      client.on("error", () => undefined)
+      client.resetAndDestroy()
       return
     }
     const [host, port] = target.split(":")
-    const far = connect({host, port: Number(port)})
-    for (const socket of [near, far]) {
+    const upstream = connect({host, port: Number(port)})
+    for (const socket of [client, upstream]) {
       this.sockets.add(socket)
       socket.setNoDelay(true)
       socket.on("error", () => undefined)
       socket.on("close", hadError => {
         this.sockets.delete(socket)
         if (this.silenced.has(socket)) return
-        const other = socket === near ? far : near
+        const other = socket === client ? upstream : client
         if (hadError) other.resetAndDestroy()
         else other.end()
       })
     }
-    this.pass(near, far, FORTH)
-    this.pass(far, near, BACK)
+    this.forward(client, upstream, TO_TARGET)
+    this.forward(upstream, client, TO_CLIENT)
   }
 
-  private pass(from: Socket, to: Socket, direction: typeof FORTH | typeof BACK): void {
+  private forward(from: Socket, to: Socket, direction: typeof TO_TARGET | typeof TO_CLIENT): void {
     from.on("data", (bytes: Buffer) => {
-      if (this.isCut(direction, from)) return
+      if (this.isDropped(direction, from)) return
       const write = () => void (to.writable && to.write(bytes))
       if (this.state === "delayed") setTimeout(write, this.delayMs)
       else write()
     })
     from.on("end", () => {
-      if (this.isCut(direction, from)) return
+      if (this.isDropped(direction, from)) return
       if (this.state === "delayed") setTimeout(() => to.end(), this.delayMs)
       else to.end()
     })
   }
 
-  private isCut(direction: typeof FORTH | typeof BACK, from: Socket): boolean {
+  private isDropped(direction: typeof TO_TARGET | typeof TO_CLIENT, from: Socket): boolean {
     if (this.state === "silent" || this.silenced.has(from)) return true
     return (
-      (this.state === "cutForth" && direction === FORTH) || (this.state === "cutBack" && direction === BACK)
+      (this.state === "cutForth" && direction === TO_TARGET) ||
+      (this.state === "cutBack" && direction === TO_CLIENT)
     )
   }
 }
--- a/lab/soak/faults.ts
+++ b/lab/soak/faults.ts
@@ -27,10 +27,10 @@
 /// A daemon's process is killed and started again.
 export class KillFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly daemons: readonly string[]
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `kill ${this.daemons.join(" ")}`
@@ -49,10 +49,10 @@
 /// A daemon's process stands still.
 export class PauseFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly daemon: string
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `pause ${this.daemon}`
@@ -93,10 +93,10 @@
 /// The settings file is written anew, rightly or not, and the process is told.
 export class ReloadFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly daemon: string
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `reload ${this.daemon}`
@@ -115,11 +115,11 @@
 /// A link is harmed.
 export class LinkFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly link: string,
     private readonly state: LinkState | "reset"
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `link ${this.link} ${this.state}`
@@ -148,11 +148,11 @@
 /// The store treats some daemons badly.
 export class StoreFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly daemons: readonly string[],
     private readonly treatment: StoreTreatment
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `store ${this.treatment} ${this.daemons.join(" ")}`
@@ -188,11 +188,11 @@
 /// A back end misbehaves.
 export class BackendFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly place: number,
     private readonly behavior: BackendBehavior
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `back end ${this.place} ${this.behavior}`
@@ -214,10 +214,10 @@
 /// A back end crashes and comes back as another incarnation.
 export class CrashFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly place: number
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `crash of back end ${this.place}`
@@ -239,10 +239,10 @@
 /// A back end says that it leaves, serves on, leaves, and another takes its place.
 export class ReplaceFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly place: number
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `replacement of back end ${this.place}`
@@ -265,10 +265,10 @@
 /// The operator takes a key away, and gives it back when the fault is over.
 export class KeyFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly key: string
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `revoke of ${findTenant(this.key)}'s key ${this.key.slice(-1)}`
@@ -287,10 +287,10 @@
 /// The platform treats calls of the duties in some way.
 export class DutyFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly treatment: DutyTreatment
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `duties: platform ${this.treatment}`
--- a/lab/soak/retry-check.ts
+++ b/lab/soak/retry-check.ts
@@ -41,7 +41,7 @@
 ): RetryWindow[] {
   const services = new Set(arrivals.map(({service}) => service))
   return [...services].flatMap(service => {
-    const repeats = findRepeats(arrivals.filter(arrival => arrival.service === service))
+    const repeats = findRetries(arrivals.filter(arrival => arrival.service === service))
     const asked = requests.filter(request => request.service === service).map(({at}) => at)
     return findWorstWindow(service, repeats, asked, bounds) ?? []
   })
@@ -49,13 +49,13 @@
 
 /// When arrivals past the first of each request came, in order. The first call that only had the prompt
 /// computed is none.
-function findRepeats(arrivals: readonly ArrivalRecord[]): number[] {
+function findRetries(arrivals: readonly ArrivalRecord[]): number[] {
   const arrived = new Set<string>()
-  const takenUp = new Set<string>()
+  const prefilled = new Set<string>()
   const repeats: number[] = []
   for (const {requestId, at, promptOnly, rejected} of arrivals) {
-    const isFirstCall = promptOnly && !rejected && !takenUp.has(requestId)
-    if (isFirstCall) takenUp.add(requestId)
+    const isFirstCall = promptOnly && !rejected && !prefilled.has(requestId)
+    if (isFirstCall) prefilled.add(requestId)
     else if (arrived.has(requestId)) repeats.push(at)
     else arrived.add(requestId)
   }
@@ -71,14 +71,16 @@
   {ratio, slack, windowMs}: RetryBounds
 ): RetryWindow | undefined {
   const windows = repeats.map(from => {
-    const most = Math.max(...[0, windowMs / 2, windowMs].map(back => countFrom(asked, from - back, windowMs)))
+    const most = Math.max(
+      ...[0, windowMs / 2, windowMs].map(back => countInWindow(asked, from - back, windowMs))
+    )
     const allowed = Math.floor(ratio * most + slack)
-    return {service, seen: countFrom(repeats, from, windowMs), allowed, from: Math.round(from)}
+    return {service, seen: countInWindow(repeats, from, windowMs), allowed, from: Math.round(from)}
   })
   windows.sort((left, right) => right.seen - right.allowed - (left.seen - left.allowed))
   return windows.at(0)
 }
 
-function countFrom(moments: readonly number[], from: number, windowMs: number): number {
-  return moments.filter(at => at >= from && at < from + windowMs).length
+function countInWindow(times: readonly number[], from: number, windowMs: number): number {
+  return times.filter(at => at >= from && at < from + windowMs).length
 }
--- a/lab/soak/signal-check.ts
+++ b/lab/soak/signal-check.ts
@@ -4,9 +4,9 @@
 /// In any window a back end gets so many times what its limit allows, and so many requests more.
 const WINDOW_MS = 4000
 const ALLOWED_FACTOR = 1.5
-const ALLOWED_MORE = 5
+const ALLOWED_EXTRA = 5
 /// A daemon counts as told so long after it has passed on an answer that names the limit. Milliseconds.
-const TOLD_AFTER_MS = 500
+const LIMIT_GRACE_MS = 500
 
 /// A time in which a back end names a limit. Monotonic milliseconds.
 export interface LimitSpan {
@@ -42,7 +42,7 @@
 
 /// So many requests may reach a back end meanwhile, and none count that come sooner than this. Milliseconds.
 const ALLOWED_IN_BACK_OFF = 2
-const BACK_OFF_FROM_MS = 500
+const BACK_OFF_GRACE_MS = 500
 
 /// The worst window of one span.
 export interface LimitWindow {
@@ -57,7 +57,7 @@
 export function findLateRequestsToLeaving(
   told: readonly ForwardedSignal[],
   arrivals: readonly DaemonArrival[],
-  hasRunOn: UninterruptedCheck,
+  isUninterrupted: UninterruptedCheck,
   drainMs: number
 ): DaemonArrival[] {
   return arrivals.filter(({backend, daemon, at, sentAt}) =>
@@ -66,7 +66,7 @@
         answer.backend === backend &&
         answer.daemon === daemon &&
         sentAt > answer.at + drainMs &&
-        hasRunOn(daemon, answer.at, at)
+        isUninterrupted(daemon, answer.at, at)
     )
   )
 }
@@ -75,16 +75,16 @@
 export function findBackOffViolations(
   spans: readonly BackOffSpan[],
   arrivals: readonly DaemonArrival[],
-  hasRunOn: UninterruptedCheck
+  isUninterrupted: UninterruptedCheck
 ): {readonly span: BackOffSpan; readonly seen: number}[] {
   return spans.flatMap(span => {
     const seen = arrivals.filter(
       ({backend, daemon, at}) =>
         backend === span.backend &&
         daemon === span.daemon &&
-        at >= span.at + BACK_OFF_FROM_MS &&
+        at >= span.at + BACK_OFF_GRACE_MS &&
         at < span.until &&
-        hasRunOn(daemon, span.at, at)
+        isUninterrupted(daemon, span.at, at)
     ).length
     return seen > ALLOWED_IN_BACK_OFF ? [{span, seen}] : []
   })
@@ -95,7 +95,7 @@
   spans: readonly LimitSpan[],
   arrivals: readonly DaemonArrival[],
   told: readonly ForwardedSignal[],
-  hasRunOn: UninterruptedCheck,
+  isUninterrupted: UninterruptedCheck,
   contactMs: number
 ): LimitWindow[] {
   return spans.map(({backend, perSecond, from, until}) => {
@@ -104,10 +104,12 @@
       if (id !== backend || at < from + contactMs || at > until) return false
       return answers.some(
         answer =>
-          answer.daemon === daemon && answer.at <= at - TOLD_AFTER_MS && hasRunOn(daemon, answer.at, at)
+          answer.daemon === daemon &&
+          answer.at <= at - LIMIT_GRACE_MS &&
+          isUninterrupted(daemon, answer.at, at)
       )
     })
-    const allowed = (ALLOWED_FACTOR * perSecond * WINDOW_MS) / 1000 + ALLOWED_MORE
+    const allowed = (ALLOWED_FACTOR * perSecond * WINDOW_MS) / 1000 + ALLOWED_EXTRA
     return {backend, perSecond, seen: countWorstWindow(counted.map(({at}) => at)), allowed}
   })
 }
--- a/lab/soak/signal-faults.ts
+++ b/lab/soak/signal-faults.ts
@@ -7,11 +7,11 @@
   private end: () => void = () => undefined
 
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly place: number,
     private readonly perSecond: number
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `limit of back end ${this.place}: ${this.perSecond} a second`
@@ -34,10 +34,10 @@
 /// its place.
 export class LeavingSignalFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly place: number
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `said leaving of back end ${this.place}`
@@ -60,11 +60,11 @@
 /// A back end turns part of its requests away and asks daemons to back off.
 export class BackOffFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly place: number,
     private readonly backOff: {readonly share: number; readonly seconds: number}
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `back-off from back end ${this.place}: ${this.backOff.seconds} s, ${this.backOff.share} of the requests`
--- a/lab/soak/signal-record.ts
+++ b/lab/soak/signal-record.ts
@@ -48,16 +48,22 @@
 
   /// The worst window of each limit that a back end named.
   findLimitWindows(): LimitWindow[] {
-    const told = this.findTold(({signalsLimit}) => signalsLimit === true)
-    return findLimitWindows(this.limits, this.findArrivals(), told, this.ranOn, this.bounds.contactMs)
+    const told = this.findForwardedSignals(({signalsLimit}) => signalsLimit === true)
+    return findLimitWindows(
+      this.limits,
+      this.findArrivals(),
+      told,
+      this.isUninterrupted,
+      this.bounds.contactMs
+    )
   }
 
   /// Every broken promise.
   check(): {readonly promise: string; readonly text: string}[] {
     const arrivals = this.findArrivals()
-    const told = this.findTold(({signalsLeaving}) => signalsLeaving === true)
-    const late = findLateRequestsToLeaving(told, arrivals, this.ranOn, this.bounds.drainMs)
-    const backOffs = findBackOffViolations(this.backOffs, arrivals, this.ranOn)
+    const told = this.findForwardedSignals(({signalsLeaving}) => signalsLeaving === true)
+    const late = findLateRequestsToLeaving(told, arrivals, this.isUninterrupted, this.bounds.drainMs)
+    const backOffs = findBackOffViolations(this.backOffs, arrivals, this.isUninterrupted)
     const limits = this.findLimitWindows().filter(({seen, allowed}) => seen > allowed)
     return [
       ...limits.map(({backend, perSecond, seen, allowed}) => ({
@@ -75,7 +81,7 @@
     ]
   }
 
-  private readonly ranOn = (daemon: string, from: number, until: number): boolean =>
+  private readonly isUninterrupted = (daemon: string, from: number, until: number): boolean =>
     isUninterrupted(this.disturbances, {daemon, from, until})
 
   private findArrivals(): DaemonArrival[] {
@@ -86,10 +92,10 @@
   }
 
   /// Answers that daemons passed on.
-  private findTold(isTold: (request: AnsweredRequest) => boolean): ForwardedSignal[] {
+  private findForwardedSignals(hasSignal: (request: AnsweredRequest) => boolean): ForwardedSignal[] {
     return [...this.requests.values()].flatMap(request => {
       const {signature, daemon, endedAt} = request
-      if (signature === undefined || endedAt === undefined || !isTold(request)) return []
+      if (signature === undefined || endedAt === undefined || !hasSignal(request)) return []
       return [{backend: signature, daemon, at: endedAt}]
     })
   }
--- a/lab/soak/soak-record.ts
+++ b/lab/soak/soak-record.ts
@@ -91,8 +91,8 @@
   readonly retries: RetryBounds
 }
 
-const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503])
-const FIRST_FAILURE = 300
+const NOT_EXECUTED: ReadonlySet<number> = new Set([408, 421, 429, 503])
+const FIRST_FAILURE_STATUS = 300
 const STATUS_UNAUTHORIZED = 401
 
 /// The record of one soak.
@@ -133,7 +133,7 @@
       const runs = (runsOf.get(request.id) ?? []).filter(run => !run.promptOnly)
       violations.push(...this.checkRequest(request, runs))
     }
-    for (const run of this.executions) violations.push(...this.checkRun(run))
+    for (const run of this.executions) violations.push(...this.checkExecution(run))
     violations.push(...this.checkOrders())
     for (const tenant of Object.keys(SOAK_QUOTAS)) violations.push(...this.checkQuota(tenant))
     for (const {body, ends, lateRetries} of this.findCrashOutcomes())
@@ -199,7 +199,7 @@
     if (status === undefined && isCutByStop(this.disturbances, this.bounds.contactMs, request))
       say("a planned stop cuts no request", "was cut")
     if (form === "non_idempotent" && runs.length > 1) say("runs at most once", `ran ${runs.length} times`)
-    if (form === "non_idempotent" && status !== undefined && NOT_RUN.has(status) && runs.length > 0)
+    if (form === "non_idempotent" && status !== undefined && NOT_EXECUTED.has(status) && runs.length > 0)
       say("a refusal as not run is true", `got ${status} and ran at ${runs[0].backend}`)
     if (
       status === STATUS_UNAUTHORIZED &&
@@ -211,7 +211,7 @@
       )
     )
       say("a valid key is not denied", "got 401")
-    if (status !== undefined && status < FIRST_FAILURE) this.checkSuccess(request, runs, say)
+    if (status !== undefined && status < FIRST_FAILURE_STATUS) this.checkSuccess(request, runs, say)
     const dueAt = sentAt + timeoutMs + this.bounds.marginMs
     if ((endedAt ?? Infinity) > dueAt && this.isUndisturbed(request.daemon, sentAt, dueAt))
       say("an answer at the time-out", `had none ${Math.round(dueAt - sentAt)} ms after it was sent`)
@@ -247,19 +247,19 @@
       say("a caller receives the whole answer to its own request", `body ${body}`)
   }
 
-  private checkRun(run: ExecutionRecord): Violation[] {
+  private checkExecution(run: ExecutionRecord): Violation[] {
     const request = this.requests.get(run.requestId)
     if (!request)
       return [{promise: "only what callers sent is run", text: `${run.requestId} at ${run.backend}`}]
     const found: Violation[] = []
-    const calm = this.isUndisturbed(request.daemon, request.sentAt, run.at)
+    const undisturbed = this.isUndisturbed(request.daemon, request.sentAt, run.at)
     const tenant = request.needsKey ? findTenant(request.key) : undefined
     if (request.needsKey !== undefined && run.tenant !== tenant)
       found.push({
         promise: "a request runs in its caller's name",
         text: `${request.id} ran for ${run.tenant}, not ${tenant}`
       })
-    const oldest = calm ? request.sentAt - this.bounds.configMs - this.bounds.marginMs : -Infinity
+    const oldest = undisturbed ? request.sentAt - this.bounds.configMs - this.bounds.marginMs : -Infinity
     if (!this.getServices(request.route, oldest, run.at).has(run.service))
       found.push({
         promise: "a configuration is in force in time",
@@ -268,7 +268,7 @@
     if (request.needsKey && !this.wasKeyValid(request, oldest, run.at, "ever"))
       found.push({promise: "no request runs without a valid key", text: `${request.id} at ${run.backend}`})
     const drainedAt = this.drainStarts.get(run.backend) ?? Infinity
-    if (calm && run.at > drainedAt + this.bounds.drainMs + this.bounds.marginMs)
+    if (undisturbed && run.at > drainedAt + this.bounds.drainMs + this.bounds.marginMs)
       found.push({
         promise: "a leaving back end gets no new work",
         text: `${request.id} at ${run.backend} by ${request.daemon}`
@@ -296,7 +296,9 @@
           found.push({promise: "one holder a fence", text: `${backend}: fence ${order.fence} by two`})
         const turned = orders
           .slice(i + 1)
-          .some((later, j) => later.holder !== order.holder && this.isTurn(order, orders.slice(i + 2 + j)))
+          .some(
+            (later, j) => later.holder !== order.holder && this.isLeaseBroken(order, orders.slice(i + 2 + j))
+          )
         if (turned)
           found.push({promise: "holders do not take turns", text: `${backend} at ${Math.round(order.at)}`})
       }
@@ -304,7 +306,7 @@
     return found
   }
 
-  private isTurn(order: OrderRecord, later: readonly OrderRecord[]): boolean {
+  private isLeaseBroken(order: OrderRecord, later: readonly OrderRecord[]): boolean {
     return later.some(next => next.holder === order.holder && next.at - order.at < this.bounds.leaseMs)
   }
 }
@@ -322,7 +324,7 @@
 /// What is wrong with a stream that was taken for a success.
 function findStreamProblem(id: string, body: string, whole: boolean): string | undefined {
   const events = body.split("\n\n")
-  const rest = events.pop()
+  const remainder = events.pop()
   let count = 0
   for (const [i, event] of events.entries()) {
     const match = /^id: (\d+)\ndata: (\S+) (\d+) of (\d+)$/.exec(event)
@@ -330,7 +332,7 @@
       return `event ${i + 1} is ${JSON.stringify(event)}`
     count = Number(match[4])
   }
-  if (whole && (rest !== "" || events.length === 0 || events.length < count))
+  if (whole && (remainder !== "" || events.length === 0 || events.length < count))
     return `ended as complete after ${events.length} of ${count} events`
   return undefined
 }
--- a/lab/soak/soak-routes.ts
+++ b/lab/soak/soak-routes.ts
@@ -17,10 +17,10 @@
 }
 
 const HOST = "site.example"
-const RESUMABLE = "check"
-const MOVING = "moving"
-const MINOR = "review"
-const TARGET_SHARE = 0.2
+const RESUMABLE_ROUTE = "check"
+const MOVING_ROUTE = "moving"
+const LOW_PRIORITY_ROUTE = "review"
+const TARGET_LATENCY_SHARE = 0.2
 
 /// Names of the services.
 export const SOAK_SERVICES = {plain: "application", otherPlain: "application-2", engines: "engines"} as const
@@ -57,9 +57,9 @@
 export const SOAK_ROUTES: readonly CallerRoute[] = [
   {name: "document", host: HOST, path: "/document/x", form: "non_idempotent", timeoutMs: 1500},
   {name: "receipt", host: HOST, path: "/receipt/x", form: "idempotent", timeoutMs: 1500, isPublic: true},
-  {name: MOVING, host: HOST, path: "/moving/x", form: "idempotent", timeoutMs: 1500},
+  {name: MOVING_ROUTE, host: HOST, path: "/moving/x", form: "idempotent", timeoutMs: 1500},
   {
-    name: RESUMABLE,
+    name: RESUMABLE_ROUTE,
     host: HOST,
     path: "/check/x",
     form: "streaming",
@@ -67,7 +67,7 @@
     prompt: {shared: 90, unique: 150, subjects: 20}
   },
   {
-    name: MINOR,
+    name: LOW_PRIORITY_ROUTE,
     host: HOST,
     path: "/review/x",
     form: "streaming",
@@ -79,14 +79,14 @@
 /// The service that a route leads to while the moving route leads to `movingService`.
 export function getService(route: string, toEngines: boolean, movingService: string): string {
   if (toEngines) return SOAK_SERVICES.engines
-  return route === MOVING ? movingService : SOAK_SERVICES.plain
+  return route === MOVING_ROUTE ? movingService : SOAK_SERVICES.plain
 }
 
 /// The operator's configuration, without the keys in `taken`.
 export function formatConfiguration(
   version: number,
   movingService: string,
-  taken: ReadonlySet<string> = new Set()
+  revokedKeys: ReadonlySet<string> = new Set()
 ): object {
   const engine = {slots: 16, kv_capacity: 400_000, kv_ttl_s: 5}
   const makeService = (name: string) => ({name, health_path: "/healthz", max_conns: 200})
@@ -100,7 +100,7 @@
     ],
     tenants: SOAK_TENANTS.map(({name, keys}) => ({
       name,
-      api_keys: keys.filter(key => !taken.has(key)),
+      api_keys: keys.filter(key => !revokedKeys.has(key)),
       ...makeQuota(name)
     })),
     limits: {
@@ -126,12 +126,12 @@
     path_prefix: `/${route.name}/`,
     route_kind: route.form,
     timeout_ms: route.timeoutMs,
-    target_latency_ms: route.timeoutMs * TARGET_SHARE,
+    target_latency_ms: route.timeoutMs * TARGET_LATENCY_SHARE,
     target_itl_ms: 150,
-    priority: route.name === MINOR ? 1 : 0,
+    priority: route.name === LOW_PRIORITY_ROUTE ? 1 : 0,
     service: getService(route.name, route.prompt !== undefined, movingService),
     max_attempts: 2,
-    resumable: route.name === RESUMABLE,
+    resumable: route.name === RESUMABLE_ROUTE,
     public: route.isPublic ?? false
   }
 }
--- a/lab/soak/soak-site.ts
+++ b/lab/soak/soak-site.ts
@@ -61,8 +61,8 @@
   private readonly incarnations: BackendStandIn[] = []
   private readonly registry = new HandleRegistry()
   private version = 0
-  private readonly takenKeys = new Set<string>()
-  private plainService: string = SOAK_SERVICES.plain
+  private readonly revokedKeys = new Set<string>()
+  private movingService: string = SOAK_SERVICES.plain
   private closed = false
   private readonly crashRandom: () => number
 
@@ -85,7 +85,7 @@
     await this.startDaemons(daemonCount)
     this.changeConfiguration()
     for (const place of PLACES.keys()) {
-      await this.openPlace()
+      await this.addPlace()
       await this.startBackend(place)
     }
     for (const daemon of this.daemons) daemon.start()
@@ -166,7 +166,7 @@
   }
 
   /// The address of a place's back end; undefined where none is, since the one before holds its port to the end.
-  private findListener(index: number): string | undefined {
+  private findListenerAddress(index: number): string | undefined {
     const {backend, realAddress} = this.places[index]
     return backend && realAddress
   }
@@ -207,12 +207,12 @@
   changeConfiguration(): void {
     this.version += 1 + Math.floor(this.random() * 3)
     const {plain, otherPlain} = SOAK_SERVICES
-    this.plainService = this.plainService === plain ? otherPlain : plain
+    this.movingService = this.movingService === plain ? otherPlain : plain
     const at = performance.now()
     for (const {name, prompt} of SOAK_ROUTES)
       this.record.routes.push({
         route: name,
-        service: getService(name, prompt !== undefined, this.plainService),
+        service: getService(name, prompt !== undefined, this.movingService),
         at
       })
     this.writeConfiguration()
@@ -220,21 +220,21 @@
 
   /// Takes a key away from its tenant, or gives it back.
   setKey(key: string, valid: boolean): void {
-    if (valid) this.takenKeys.delete(key)
-    else this.takenKeys.add(key)
+    if (valid) this.revokedKeys.delete(key)
+    else this.revokedKeys.add(key)
     this.version += 1
     this.record.keys.push({key, valid, at: performance.now()})
     this.writeConfiguration()
   }
 
   private writeConfiguration(): void {
-    const value = formatConfiguration(this.version, this.plainService, this.takenKeys)
+    const value = formatConfiguration(this.version, this.movingService, this.revokedKeys)
     this.store.write("op", "config", value)
   }
 
-  private async openPlace(): Promise<void> {
+  private async addPlace(): Promise<void> {
     const index = this.places.length
-    const proxy = new FaultProxy(() => this.findListener(index))
+    const proxy = new FaultProxy(() => this.findListenerAddress(index))
     const proxyAddress = await proxy.start()
     this.places.push({backend: undefined, realAddress: "127.0.0.1:1", proxy, proxyAddress, incarnation: 0})
   }
--- a/lab/soak/soak.ts
+++ b/lab/soak/soak.ts
@@ -23,10 +23,10 @@
 const BOUNDS: SoakBounds = {...SOAK_BOUNDS, marginMs: 1500}
 const START_MS = 2500
 /// After the last fault the site must serve again.
-const CALM_MS = 8000
-const JUDGED_CALM_MS = 3000
+const RECOVERY_MS = 8000
+const RECOVERY_CHECK_MS = 3000
 const STATUS_OVER_QUOTA = 429
-const SERVED_WHEN_CALM = 0.95
+const MIN_SERVED_AFTER_RECOVERY = 0.95
 const DAEMONS = 5
 
 /// What a soak came to.
@@ -55,9 +55,9 @@
   readonly signals: boolean
 }
 
-const DEFAULT_FORM: SoakOptions = {daemonCount: DAEMONS, series: false, crashes: false, signals: false}
+const DEFAULT_OPTIONS: SoakOptions = {daemonCount: DAEMONS, series: false, crashes: false, signals: false}
 /// Callers of such requests come back so often, about. Milliseconds.
-const CRASH_PAUSE_MS = 400
+const CRASH_INTERVAL_MS = 400
 /// The routes on which they are sent: a plain one, and two whose answers are streamed.
 const CRASH_ROUTES = SOAK_ROUTES.filter(({name}) => ["receipt", "check", "review"].includes(name))
 
@@ -68,7 +68,7 @@
   perSecond: number,
   program: string,
   folder: string,
-  {daemonCount, series, crashes, signals}: SoakOptions = DEFAULT_FORM
+  {daemonCount, series, crashes, signals}: SoakOptions = DEFAULT_OPTIONS
 ): Promise<SoakOutcome> {
   const generator = new SeededRandom(seed)
   const random = () => generator.next()
@@ -91,25 +91,25 @@
   const signalGenerator = new SeededRandom(seed + 10)
   const signalPlan = makeSignalPlan(PLACES_BY_SERVICE, seconds * 1000, () => signalGenerator.next())
   await runPlan(site, mergePlans(plan, series ? seriesPlan : [], signals ? signalPlan : []))
-  await wait(CALM_MS)
-  const calmFrom = performance.now() - JUDGED_CALM_MS
+  await wait(RECOVERY_MS)
+  const calmFrom = performance.now() - RECOVERY_CHECK_MS
   load.stop()
   await Promise.all([loading, ...crashing])
   await site.close()
   for (const text of site.duties.model.violations)
     record.observedViolations.push({promise: "one holder of the duties", text})
-  noteStrayCalls(site)
+  addStrayCallViolations(site)
   if (site.duties.lastReportAt < calmFrom)
     record.observedViolations.push({
       promise: "usage is reported again after faults",
       text: "no report in the last seconds"
     })
-  return judge(seed, record, calmFrom)
+  return makeOutcome(seed, record, calmFrom)
 }
 
 /// Writes down the calls that weren't meant for the platform. One that it knows and cannot read is a daemon's
 /// fault.
-function noteStrayCalls({record, store, duties}: SoakSite): void {
+function addStrayCallViolations({record, store, duties}: SoakSite): void {
   for (const {status, text} of [...store.strayCalls.calls, ...duties.strayCalls.calls]) {
     process.stdout.write(`${JSON.stringify({strayCall: text, status})}\n`)
     if (status === STATUS_MALFORMED)
@@ -121,7 +121,7 @@
 function sendCrashes(load: CallerLoad, seed: number): Promise<void>[] {
   return CRASH_ROUTES.map((route, i) => {
     const generator = new SeededRandom(seed + 3 + i)
-    return load.sendRepeatedly(`${CRASHING_BODY}, ${route.name}`, route, CRASH_PAUSE_MS, () =>
+    return load.sendRepeatedly(`${CRASHING_BODY}, ${route.name}`, route, CRASH_INTERVAL_MS, () =>
       generator.next()
     )
   })
@@ -142,10 +142,10 @@
     const key = name.replace(/^(kill|pause|restart|crash of|replacement of) /, "")
     if (busy.has(key) || fault.getDisturbedDaemons().some(what => busy.has(what))) continue
     for (const what of [key, ...fault.getDisturbedDaemons()]) busy.add(what)
-    const struck = fault.affectsBackends()
+    const targets = fault.affectsBackends()
       ? [...fault.getDisturbedDaemons(), BACKENDS]
       : fault.getDisturbedDaemons()
-    const disturbances = struck.map(target => ({
+    const disturbances = targets.map(target => ({
       target,
       kind: name,
       from: performance.now(),
@@ -170,20 +170,20 @@
   return status === STATUS_OVER_QUOTA && findTenant(key) === OVER_QUOTA_TENANT
 }
 
-function judge(seed: number, record: SoakRecord, calmFrom: number): SoakOutcome {
+function makeOutcome(seed: number, record: SoakRecord, calmFrom: number): SoakOutcome {
   const violations = record.check()
   const requests = [...record.requests.values()].filter(({crashingBody}) => crashingBody === undefined)
   const isServed = ({status, complete}: {status?: number; complete?: boolean}) =>
     status === 200 && complete === true
-  const calm = requests.filter(
+  const afterRecovery = requests.filter(
     request =>
       request.sentAt >= calmFrom &&
       request.endedAt !== request.sentAt &&
       !isOverQuota(request) &&
       (!request.needsKey || record.wasKeyValid(request, calmFrom, Infinity, "always"))
   )
-  const servedWhenCalm = calm.filter(isServed).length / Math.max(1, calm.length)
-  if (servedWhenCalm < SERVED_WHEN_CALM)
+  const servedWhenCalm = afterRecovery.filter(isServed).length / Math.max(1, afterRecovery.length)
+  if (servedWhenCalm < MIN_SERVED_AFTER_RECOVERY)
     violations.push({
       promise: "the site serves again after faults",
       text: `${(100 * servedWhenCalm).toFixed(1)}%`
@@ -226,21 +226,21 @@
     }
   )
   const {seed, count, seconds, rate, daemons, series, crashes, signals, keep, regressions} = cli.flags
-  const form = {daemons, series, crashes, signals}
-  const fresh = Array.from({length: count}, (_, i) => ({seed: seed + i, seconds, ...form}))
+  const options = {daemons, series, crashes, signals}
+  const fresh = Array.from({length: count}, (_, i) => ({seed: seed + i, seconds, ...options}))
   const runs = regressions ? readRegressions() : fresh
   const program = buildProgram(join(process.cwd(), "bench-results", "program"))
   let failed = 0
   for (const run of runs) {
     const folder = join(process.cwd(), "bench-results", `soak-${run.seed}`)
     mkdirSync(folder, {recursive: true})
-    const soakForm = {
+    const soakOptions = {
       daemonCount: run.daemons ?? DAEMONS,
       series: run.series ?? false,
       crashes: run.crashes ?? false,
       signals: run.signals ?? false
     }
-    const outcome = await runSoak(run.seed, run.seconds, rate, program, folder, soakForm)
+    const outcome = await runSoak(run.seed, run.seconds, rate, program, folder, soakOptions)
     process.stdout.write(`${JSON.stringify(outcome)}\n`)
     if (outcome.violations.length > 0) failed += 1
     else if (!keep) rmSync(folder, {recursive: true})
--- a/lab/soak/stage-orders.ts
+++ b/lab/soak/stage-orders.ts
@@ -33,7 +33,7 @@
     /// Undefined for what is no engine.
     public stage: Stage | undefined,
     private readonly record: SoakRecord,
-    private readonly onChanged: () => void
+    private readonly onStageChanged: () => void
   ) {}
 
   /// Carries out an order, and returns the status with which it is answered.
@@ -48,7 +48,7 @@
     setTimeout(() => {
       this.isChanging = false
       this.stage = phase
-      this.onChanged()
+      this.onStageChanged()
     }, SWITCH_MS)
     return STATUS_ACCEPTED
   }
--- a/lab/soak/store-stand-in.ts
+++ b/lab/soak/store-stand-in.ts
@@ -17,7 +17,7 @@
 const STATUS_BUSY = 503
 const ANSWER_MS = 4
 const SLOW_MS = 250
-const LATE_MS = 1500
+const APPLY_DELAY_MS = 1500
 
 const keySchema = z.object({table: z.string(), part: z.string(), key: z.string()})
 const transactionSchema = z.object({
@@ -50,7 +50,7 @@
   private version = 0
   private readonly treatments = new Map<string, StoreTreatment>()
   private readonly servers: Server[] = []
-  private readonly waiting = new Set<() => void>()
+  private readonly pendingPolls = new Set<() => void>()
 
   /// Opens a port for a caller and returns the address.
   async open(caller: string): Promise<string> {
@@ -111,9 +111,9 @@
     if (url.pathname === GET_PATH) return answer(STATUS_OK, this.getRows(url))
     const transaction = parseBody(transactionSchema, body)
     if (!transaction) return this.strayCalls.reject(STATUS_MALFORMED, caller, request, response)
-    if (treatment === "appliesLate") setTimeout(() => this.transact(transaction), LATE_MS)
+    if (treatment === "appliesLate") setTimeout(() => this.applyTransaction(transaction), APPLY_DELAY_MS)
     else {
-      const result = this.transact(transaction)
+      const result = this.applyTransaction(transaction)
       if (treatment !== "losesAnswers") answer(result.status, result.body)
     }
   }
@@ -135,11 +135,11 @@
       const rows = this.history.filter(row => row.table === table && row.ver > after)
       if (rows.length === 0 && performance.now() < until) return
       clearTimeout(timer)
-      this.waiting.delete(poll)
+      this.pendingPolls.delete(poll)
       answer(STATUS_OK, {rows, ver: this.version, now_ms: Math.round(performance.now())})
     }
     const timer = setTimeout(poll, Number(url.searchParams.get("wait_ms")) + 1)
-    this.waiting.add(poll)
+    this.pendingPolls.add(poll)
     poll()
   }
 
@@ -151,12 +151,12 @@
     return {rows, more: false, ver: this.version, now_ms: Math.round(performance.now())}
   }
 
-  private transact(transaction: Transaction): {status: number; body: object} {
-    const stands = transaction.expected_count.map(
+  private applyTransaction(transaction: Transaction): {status: number; body: object} {
+    const currentRows = transaction.expected_count.map(
       ({table, part, key}) => this.rows.get(`${table}/${key}`) ?? {table, part, key, ver: 0}
     )
-    const held = transaction.expected_count.every(({ver}, i) => stands[i].ver === ver)
-    if (!held) return {status: STATUS_CONFLICT, body: {rows: stands, ver: this.version}}
+    const matches = transaction.expected_count.every(({ver}, i) => currentRows[i].ver === ver)
+    if (!matches) return {status: STATUS_CONFLICT, body: {rows: currentRows, ver: this.version}}
     this.apply(transaction.put, transaction.remove)
     return {status: STATUS_OK, body: {ver: this.version}}
   }
@@ -166,7 +166,7 @@
     const ver = this.version
     for (const row of put) this.applyRow({...row, ver})
     for (const row of remove) this.applyRow({...row, ver, gone: true})
-    for (const poll of [...this.waiting]) poll()
+    for (const poll of [...this.pendingPolls]) poll()
   }
 
   private applyRow(row: Row): void {
--- a/lab/soak/stray-calls.ts
+++ b/lab/soak/stray-calls.ts
@@ -19,11 +19,11 @@
   readonly calls: StrayCall[] = []
 
   /// `owner`: what the stand-in is, for the text.
-  constructor(private readonly owner: string) {}
+  constructor(private readonly service: string) {}
 
   /// Answers the call with this status and notes it, with the program that the port is for.
   reject(status: number, caller: string, request: IncomingMessage, response: ServerResponse): void {
-    const text = `${request.method} ${request.url} to the ${this.owner} for ${caller}`
+    const text = `${request.method} ${request.url} to the ${this.service} for ${caller}`
     this.calls.push({status, text})
     response.writeHead(status, {"Content-Type": "application/json"})
     response.end("{}")
