--- a/lab/application-server.ts
+++ b/lab/application-server.ts
@@ -1,13 +1,13 @@
-/** The HTTP stand-in of an application server: counts each call by its key, so that a repeat shows. */
+/** An HTTP stand-in for an application server. Counts calls by idempotency key, so that tests can find duplicates. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readLabJson, sendLabJson } from './lab-http.js';
 import { LabServer } from './lab-server.js';
 
 const RESPONSE_DELAY_MS = 5;
 
-/** One application server process. */
+/** One application server. `/executions` returns the counts; every other call is executed. */
 export class ApplicationServer extends LabServer {
-  /** How often each idempotency key was executed. */
+  /** Number of executions by idempotency key. */
   readonly executions = new Map<string, number>();
 
   protected async onRequest(message: IncomingMessage, response: ServerResponse): Promise<void> {
--- a/lab/demo.ts
+++ b/lab/demo.ts
@@ -1,4 +1,4 @@
-/** `npm run demo`: a small Trust site of separate processes under a shifting mix, and a report. */
+/** `npm run demo`: runs a small Trust site of separate processes under a changing load and prints a report. */
 import { statusCommand } from '../src/cli/status-command.js';
 import { SeededRandom } from '../src/shared/random.js';
 import { LocalSite } from './launcher.js';
@@ -20,12 +20,12 @@
   };
 }
 
-/** Two phases: mostly long work, then mostly short work. */
+/** Makes two phases of load: mostly long completions, then mostly short ones. */
 function makeShiftingPhases(profile: SiteProfile, engines: number, seconds: number): LoadPhase[] {
   const calls = profile.services
     .filter((row) => row.kind === 'application')
     .map((row) => ({ service: row.name, perSecond: 4 }));
-  const phase = (longPerEngine: number, shortPerEngine: number): LoadPhase => ({
+  const makePhase = (longPerEngine: number, shortPerEngine: number): LoadPhase => ({
     seconds,
     calls,
     classes: [
@@ -33,49 +33,53 @@
       makeLoadClass(profile, profile.shortWork, shortPerEngine * engines),
     ],
   });
-  return [phase(0.7, 0.5), phase(0.1, 4)];
+  return [makePhase(0.7, 0.5), makePhase(0.1, 4)];
 }
 
-/** Runs the demo. Returns the process's exit code. */
+/** Runs the demo. Returns the exit code: 0 if every answer was complete or refused, otherwise 1. */
 export async function runDemo(): Promise<number> {
   const profile = getSiteProfile('trust-tt-north');
   const site = new LocalSite(profile, { engines: ENGINES, settings: { logLevel: 'info' } });
-  const say = (text: string): void => void process.stdout.write(`${text}\n`);
+  const writeLine = (text: string): void => void process.stdout.write(`${text}\n`);
   try {
-    say(
+    writeLine(
       `starting ${profile.zones.length} daemons, ${ENGINES} engines, ${profile.applications} application servers and the platform`,
     );
     await site.start();
     const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(DEMO_SEED));
-    say(`sending ${PHASE_SECONDS} s of mostly long reviews, then ${PHASE_SECONDS} s of mostly short checks`);
+    writeLine(
+      `sending ${PHASE_SECONDS} s of mostly long reviews, then ${PHASE_SECONDS} s of mostly short checks`,
+    );
     await load.run(makeShiftingPhases(profile, ENGINES, PHASE_SECONDS));
-    say('');
-    say(formatLoadReport(load));
-    say('');
-    say(
+    writeLine('');
+    writeLine(formatLoadReport(load));
+    writeLine('');
+    writeLine(
       await statusCommand(
         site.daemons.map((daemon) => daemon.addresses.operator),
         false,
       ),
     );
-    return checkResults(load, say);
+    return checkResults(load, writeLine);
   } finally {
     await site.stop();
   }
 }
 
-function checkResults(load: LoadGenerator, say: (text: string) => void): number {
+function checkResults(load: LoadGenerator, writeLine: (text: string) => void): number {
   let failures = 0;
   for (const [service, result] of load.results) {
-    const lost = result.broken + result.wrong + result.unanswered;
-    if (lost > 0 || result.complete === 0) {
+    const failed = result.broken + result.wrong + result.unanswered;
+    if (failed > 0 || result.complete === 0) {
       failures += 1;
-      say(`FAILED ${service}: ${lost} answers not whole, ${result.complete} whole`);
+      writeLine(
+        `FAILED ${service}: ${failed} answers incomplete, wrong or missing, ${result.complete} complete`,
+      );
     }
   }
-  say(
+  writeLine(
     failures === 0
-      ? '\ndemo passed: every request has a whole answer or a typed refusal'
+      ? '\ndemo passed: every request has a complete answer or a typed refusal'
       : `\ndemo failed for ${failures} services`,
   );
   return failures === 0 ? 0 : 1;
--- a/lab/duty-model.ts
+++ b/lab/duty-model.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's side of the duties as a pure state machine: what it accepts, what it rejects, and which
- * promises the calls that arrive break. It knows nothing of the daemons' inside.
+ * The platform's side of the duties as a pure state machine: accepts or rejects the calls of daemons and records
+ * which promises they break. Relies on nothing inside the daemons.
  */
 import type { DutyAuthority, DutyCall, DutyResult } from '../src/duties/duty-messages.js';
 
@@ -9,24 +9,24 @@
   readonly at: number;
 }
 
-/** The platform. Times are monotonic milliseconds. */
+/** The platform's state: fences, holders and reports. Times are monotonic milliseconds. */
 export class DutyModel {
-  /** The counts that were accepted, as text, by window. */
+  /** The accepted counts, as JSON text, by window. */
   readonly reports = new Map<number, string>();
-  /** Calls that arrived, repeats and refused ones included. */
+  /** Number of calls, retries and rejected ones included. */
   calls = 0;
   readonly violations: string[] = [];
   private highestFence = 0;
   private readonly holders = new Map<number, string>();
   private readonly arrivals: Arrival[] = [];
 
-  /** `fenced`: whether calls with a lower fence than was seen are rejected. */
+  /** `fenced`: whether calls with a fence below the highest so far are rejected, or else recorded as violations. */
   constructor(
     private readonly fenced: boolean,
     private readonly leaseMs: number,
   ) {}
 
-  /** Takes a call that arrives from a machine. */
+  /** Applies a call from a machine. */
   apply(machine: string, call: DutyCall, { fence }: DutyAuthority, now: number): DutyResult {
     this.calls += 1;
     this.checkHolder(machine, fence);
@@ -54,7 +54,7 @@
     else if (holder !== machine) this.violations.push(`fence ${fence} of both ${holder} and ${machine}`);
   }
 
-  /** One machine, then another, then the first again within a lease. */
+  /** Finds calls of one machine, then another, then the first again within the duration of a lease. */
   private checkTurns(machine: string, now: number): void {
     this.arrivals.push({ machine, at: now });
     const recent = this.arrivals.filter(({ at }) => now - at < this.leaseMs);
--- a/lab/engine-model-settings.ts
+++ b/lab/engine-model-settings.ts
@@ -1,5 +1,5 @@
 /**
- * Costs and sizes of emulated engines, and the rates that follow from them.
+ * Step times and capacities of emulated engines, and the rates that follow from them.
  *
  * The shape is that of step times under continuous batching: a step has a fixed cost, a small one per output
  * sequence and one per prompt token. The numbers are round assumptions for a 13-billion-parameter model on
@@ -7,29 +7,29 @@
  */
 import type { EngineCapability, EngineRole } from '../src/contracts/engine-protocol.js';
 
-/** Costs and sizes of an emulated engine. Times in milliseconds. */
+/** Step times and capacities of an emulated engine. Times in milliseconds. */
 export interface EngineModelSettings {
   readonly stepBaseMs: number;
   readonly stepPerStreamMs: number;
   readonly stepPerPromptTokenMs: number;
-  /** Prompt tokens computed in a step at most, by role. */
+  /** Maximum prompt tokens computed in a step, by role. */
   readonly prefillChunk: Readonly<Record<EngineRole, number>>;
-  /** Streams at once, by role. */
+  /** Maximum concurrent streams, by role. */
   readonly maximumStreams: Readonly<Record<EngineRole, number>>;
   readonly kvTransferMsPerToken: number;
   readonly roleChangeMs: number;
   readonly modelLoadMs: number;
   readonly adapterLoadMs: number;
-  /** Load figures of a report are this old. */
+  /** Age of the load figures in a report. */
   readonly reportLagMs: number;
-  /** Prefixes kept. */
+  /** Capacity of the prefix cache, in prefixes. */
   readonly cachedPrefixes: number;
-  /** Share of a prompt that a cached prefix saves. */
+  /** Share of a prompt's tokens that a cached prefix saves. */
   readonly cachedShare: number;
   readonly kvRetentionMs: number;
 }
 
-/** Default costs and sizes. */
+/** Default step times and capacities. */
 export const DEFAULT_ENGINE_MODEL_SETTINGS: EngineModelSettings = {
   stepBaseMs: 18,
   stepPerStreamMs: 0.12,
@@ -46,7 +46,7 @@
   kvRetentionMs: 10_000,
 };
 
-/** The rates that follow from the settings, as the engine reports them. */
+/** Computes the rates that follow from the settings, as the engine reports them. Rates are tokens a second. */
 export function getCapability(settings: EngineModelSettings): EngineCapability {
   const { stepBaseMs, stepPerStreamMs, stepPerPromptTokenMs, prefillChunk, maximumStreams } = settings;
   const prefillStep = stepBaseMs + prefillChunk.prefill * stepPerPromptTokenMs;
--- a/lab/engine-model.ts
+++ b/lab/engine-model.ts
@@ -1,6 +1,6 @@
 /**
  * An emulated model engine as a pure state machine: continuous batching in steps, a prefix cache, roles,
- * fenced orders, lagging load reports. The HTTP stand-in runs it in real time, the simulator in virtual time.
+ * fenced orders, delayed load reports. The HTTP stand-in runs it in real time, the simulator in virtual time.
  */
 import type {
   EngineAssignment,
@@ -12,7 +12,7 @@
 } from '../src/contracts/engine-protocol.js';
 import { getCapability, type EngineModelSettings } from './engine-model-settings.js';
 
-/** Work given to an engine. */
+/** An attempt of a request, or its prefill alone, for an engine to execute. */
 export interface EngineWork {
   readonly attemptId: string;
   readonly stage: 'prefill' | 'generate';
@@ -23,13 +23,13 @@
   readonly prefixKey: string;
   readonly maximumTokens: number;
   readonly priority: number;
-  /** The first token to make. */
+  /** Index of the first token to generate. */
   readonly offset: number;
   /** True when the KV cache comes from another engine. */
   readonly imported: boolean;
 }
 
-/** What a step made. */
+/** An output of a step. */
 export type EngineOutput =
   | { readonly kind: 'tokens'; readonly attemptId: string; readonly offset: number; readonly count: number }
   | { readonly kind: 'prefilled'; readonly attemptId: string; readonly handle: string }
@@ -39,7 +39,7 @@
   readonly work: EngineWork;
   readonly order: number;
   prefillLeft: number;
-  /** The stream joins the batch no earlier than this, while its cache is on its way. */
+  /** The stream joins the batch no earlier than this, while its KV cache is being transferred. */
   readyAt: number;
   nextOffset: number;
 }
@@ -56,7 +56,7 @@
   readonly waitingPrefillTokens: number;
 }
 
-/** Streams that an engine takes beyond those it runs. */
+/** Streams that an engine accepts beyond those in its batch. */
 const QUEUE_ALLOWANCE = 32;
 const CACHE_SMOOTHING = 0.1;
 
@@ -74,9 +74,9 @@
   private orderCount = 0;
   private cachedShare = 0;
   private snapshots: LoadSnapshot[] = [{ at: -Infinity, streams: 0, waitingPrefillTokens: 0 }];
-  /** Steps take this many times longer; a fault to inject. */
+  /** Factor on the duration of steps; a fault to inject. */
   slowFactor = 1;
-  /** Changes of role or model begun. */
+  /** Number of changes of role or model started. */
   changes = 0;
 
   constructor(
@@ -84,22 +84,22 @@
     private assignment: EngineAssignment,
   ) {}
 
-  /** Streams on the engine. */
+  /** Number of streams on the engine, queued ones included. */
   getStreamCount(): number {
     return this.streams.size;
   }
 
-  /** The role, model and phase at present. */
+  /** The current assignment (role, model and adapters), phase, and fence. */
   getState(): { assignment: EngineAssignment; phase: EnginePhase; epoch: number; sequence: number } {
     return { assignment: this.assignment, phase: this.phase, epoch: this.epoch, sequence: this.sequence };
   }
 
-  /** The machine will go away: no new work from now on. */
+  /** Sets the phase to leaving: the engine accepts no new work. */
   setLeaving(): void {
     this.phase = 'leaving';
   }
 
-  /** Takes work, or says why not; refused work was not begun. */
+  /** Accepts work, or returns why it refuses it; refused work has not been executed. */
   start(work: EngineWork, now: number): EngineRefusal | undefined {
     const refusal = this.findRefusal(work);
     if (refusal) return refusal;
@@ -123,18 +123,18 @@
     return undefined;
   }
 
-  /** Drops work. */
+  /** Drops a stream. */
   cancel(attemptId: string, now: number): void {
     this.streams.delete(attemptId);
     this.addSnapshot(now);
   }
 
-  /** Whether a cache exported under this handle is still here. */
+  /** Whether a KV cache exported under this handle is still stored. */
   hasKv(handle: string, now: number): boolean {
     return (this.kv.get(handle) ?? -Infinity) > now;
   }
 
-  /** When something happens next, if nothing new comes. */
+  /** The time of the next event without new input; undefined when there is none. */
   getNextEventAt(): number | undefined {
     const times = [this.step?.endsAt, this.changeEndsAt, this.adapterLoad?.endsAt].filter(
       (time) => time !== undefined,
@@ -143,7 +143,7 @@
     return times.length === 0 ? undefined : Math.min(...times);
   }
 
-  /** Advances to `now` and returns what was made. */
+  /** Advances to `now` and returns the outputs of the steps until then. */
   advance(now: number): EngineOutput[] {
     const outputs: EngineOutput[] = [];
     if (this.changeEndsAt !== undefined && now >= this.changeEndsAt) {
@@ -165,7 +165,7 @@
     return outputs;
   }
 
-  /** Answers a control request. The fence is here: what it refuses has no effect. */
+  /** Applies a control request. Fencing is enforced here: a fenced request has no effect. */
   applyControlRequest(request: EngineControlRequest, now: number): EngineControlResult {
     if (request.kind === 'report') return { kind: 'report', report: this.makeReport(now) };
     if (request.epoch < this.epoch) return this.makeFencedResult();
@@ -346,8 +346,8 @@
 ];
 
 /**
- * The text of a token: it depends on the prompt and the position alone, so that a resumed answer goes on
- * rightly.
+ * The text of a token. It depends only on the prompt and the position, so that a resumed answer continues with the
+ * right text.
  */
 export function formatToken(promptHash: number, offset: number): string {
   const mixed = Math.imul(promptHash ^ (offset + 1), 2654435761) >>> 0;
--- a/lab/engine-server.ts
+++ b/lab/engine-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP stand-in of a model engine: runs the engine model in real time. */
+/** An HTTP stand-in for a model engine: runs the engine model in real time. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { request } from 'undici';
 import type { EngineAssignment, EngineControlRequest, KvHandle } from '../src/contracts/engine-protocol.js';
@@ -26,7 +26,7 @@
   readonly promptHash: number;
 }
 
-/** One engine process. */
+/** One engine: its HTTP server, its model, and the timer for the model's next event. */
 export class EngineServer extends LabServer {
   readonly model: EngineModel;
   private readonly openStreams = new Map<string, OpenStream>();
@@ -38,7 +38,7 @@
     this.server.keepAliveTimeout = 60_000;
   }
 
-  /** Closes at once, as a crash would. */
+  /** Closes every connection immediately, as a crash would. */
   override close(): void {
     clearTimeout(this.timer);
     super.close();
@@ -107,10 +107,10 @@
   private setTimer(): void {
     const at = this.model.getNextEventAt();
     clearTimeout(this.timer);
-    if (at !== undefined) this.timer = setTimeout(() => this.run(), Math.max(0, at - performance.now()));
+    if (at !== undefined) this.timer = setTimeout(() => this.advance(), Math.max(0, at - performance.now()));
   }
 
-  private run(): void {
+  private advance(): void {
     for (const output of this.model.advance(performance.now())) this.sendOutput(output);
     this.setTimer();
   }
--- a/lab/forwarding-site.ts
+++ b/lab/forwarding-site.ts
@@ -1,4 +1,4 @@
-/** A forwarding daemon in this process, with back ends and a store of records that the caller scripts. */
+/** A forwarding daemon in this process, with back ends and an in-memory record store that the test controls. */
 import { HttpDialect } from '../platform/http-dialect.js';
 import { DEFAULT_FORWARDING_SETTINGS } from '../src/daemon/forwarding-daemon-settings.js';
 import type { TableStore } from '../src/contracts/table-service.js';
@@ -20,15 +20,15 @@
 import { findFreeAddresses } from './free-ports.js';
 import { LAB_STAGES } from './stage-settings.js';
 
-/** A store that answers from memory: a snapshot first, then one change each time `put` is called. */
+/** An in-memory store: a reader gets a snapshot first, then the changes after each `put`. */
 class MemoryRecordStore extends RecordStore {
   private readonly records: StoredRecord[] = [];
   private readonly waitingReads = new Set<() => void>();
 
-  /** Adds records and wakes readers. */
+  /** Adds records and completes the waiting reads. */
   put(...records: StoredRecord[]): void {
     this.records.push(...records);
-    for (const wake of this.waitingReads) wake();
+    for (const resolve of this.waitingReads) resolve();
     this.waitingReads.clear();
   }
 
@@ -53,7 +53,7 @@
   }
 }
 
-/** A route for tests; fields may be overridden. */
+/** Makes a route for tests; `fields` override the defaults. */
 export function makeLabRoute(fields: Partial<Route>): Route {
   return {
     name: 'route',
@@ -80,7 +80,7 @@
   linkMbps: 370_000,
 };
 
-/** A configuration for tests with these routes. */
+/** Makes a configuration for tests with these routes. */
 export function makeLabConfiguration(
   version: number,
   routes: readonly Route[],
@@ -100,17 +100,17 @@
   };
 }
 
-/** A record of a plain back end for tests. */
+/** Makes a record of a plain back end for tests. */
 export function makeLabBackend(id: string, address: string): BackendRecord {
   return { id, service: 'service', address, zone: 'zone-a', slots: 8, state: 'ready', stage: undefined };
 }
 
-/** A table that never answers. */
+/** A table store that is never available. */
 const UNAVAILABLE_TABLE: TableStore = {
   perform: () => Promise.resolve({ kind: 'noAnswer', reason: 'down' }),
 };
 
-/** The running daemon. */
+/** A running daemon with its store; `callers` and `ready` are its addresses for callers and for readiness checks. */
 export interface ForwardingSite {
   readonly callers: string;
   readonly ready: string;
@@ -118,7 +118,7 @@
   readonly daemon: ForwardingProcess;
 }
 
-/** Starts a daemon with these routes and back ends. */
+/** Starts a daemon with these routes and back ends, and waits until it is ready. */
 export async function startForwardingSite(
   routes: readonly Route[],
   backends: readonly BackendRecord[],
@@ -160,7 +160,7 @@
 }
 
 async function waitUntilReady(address: string): Promise<void> {
-  for (let tries = 0; tries < 200; tries += 1) {
+  for (let attempt = 0; attempt < 200; attempt += 1) {
     const answer = await fetch(`http://${address}/ready`);
     if (answer.status === 200) return;
     await new Promise((resolve) => setTimeout(resolve, 25));
--- a/lab/free-ports.ts
+++ b/lab/free-ports.ts
@@ -1,33 +1,34 @@
 /**
- * Finds ports on the loopback address for programs that are given their ports; it owns which it has handed
- * out.
+ * Finds free ports on the loopback address for programs that are configured with fixed ports. Owns the list of
+ * ports that were handed out.
  */
 import { createServer } from 'node:net';
 
 const HOST = '127.0.0.1';
 /**
- * The range lies below the ports that Linux gives to outgoing connections and to servers that ask for any
- * (32,768 to 60,999), so that nobody gets a port between its hand-out and its use by chance.
+ * The range lies below the ephemeral ports of Linux (32,768 to 60,999), for outgoing connections and for servers
+ * that listen on port 0, so that the system can't assign a port between its hand-out and its use.
  */
 const FIRST_PORT = 20_000;
 const LAST_PORT = 32_000;
 /**
- * Ports are handed out from blocks of so many. Its process holds the first port of a block as long as it lives, so
- * that no other one hands out the same: a port that is free just now may belong to a daemon that starts again.
+ * Ports are handed out from blocks of this size. A process reserves a block by listening on its first port until it
+ * exits, so that no other process hands out ports of the same block: a port that is free at present may belong to a
+ * daemon that is restarting.
  */
 export const PORTS_PER_BLOCK = 64;
 const BLOCK_COUNT = Math.floor((LAST_PORT - FIRST_PORT) / PORTS_PER_BLOCK);
-/** Processes whose ids follow each other begin so many blocks apart. */
+/** Processes with consecutive ids start their search this number of blocks apart. */
 const BLOCK_STRIDE = 5;
 
-/** The next port of the present block, and the end of that block. */
+/** The next port of the current block, and the end of that block. */
 let nextPort = 0;
 let endPort = 0;
 let nextBlock = (process.pid * BLOCK_STRIDE) % BLOCK_COUNT;
 
 /**
- * Finds so many ports that nobody listens on. A port is handed out once.
- * @throws RangeError when other processes, or this one, have taken all blocks.
+ * Finds this number of ports that nothing listens on. Each port is handed out only once.
+ * @throws RangeError when this process and others have reserved all blocks.
  */
 export async function findFreePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
@@ -41,7 +42,7 @@
 }
 
 async function addBlock(): Promise<void> {
-  for (let tries = 0; tries < BLOCK_COUNT; tries += 1) {
+  for (let attempt = 0; attempt < BLOCK_COUNT; attempt += 1) {
     const first = FIRST_PORT + nextBlock * PORTS_PER_BLOCK;
     nextBlock = (nextBlock + 1) % BLOCK_COUNT;
     if (!(await startHolding(first))) continue;
@@ -49,15 +50,15 @@
     endPort = first + PORTS_PER_BLOCK;
     return;
   }
-  throw new RangeError('all ports for tests are taken');
+  throw new RangeError('all blocks of ports for tests are reserved');
 }
 
-/** The same as addresses, `host:port`. */
+/** Finds free ports and returns them as addresses, `host:port`. */
 export async function findFreeAddresses(count: number): Promise<string[]> {
   return (await findFreePorts(count)).map((port) => `${HOST}:${port}`);
 }
 
-/** Listens for as long as this process lives, without keeping it alive. */
+/** Listens on a port until this process exits, without keeping it alive. Returns false if the port is in use. */
 function startHolding(port: number): Promise<boolean> {
   const server = createServer();
   return new Promise((resolve) => {
--- a/lab/lab-http.ts
+++ b/lab/lab-http.ts
@@ -1,7 +1,7 @@
-/** JSON over HTTP for the stand-ins. */
+/** Reads and sends JSON bodies for the HTTP stand-ins. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** The body as JSON; an empty object when there is none. */
+/** Reads the body as JSON; an empty object when there is no body. */
 export async function readLabJson(message: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
   for await (const chunk of message as AsyncIterable<Buffer>) chunks.push(chunk);
--- a/lab/lab-server.ts
+++ b/lab/lab-server.ts
@@ -1,4 +1,4 @@
-/** What the HTTP stand-ins have in common: one server on a fixed address that can be closed at once. */
+/** The base class of the HTTP stand-ins: a server on a fixed address that can be closed immediately. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 
 /** A stand-in; subclasses answer the requests. */
@@ -17,7 +17,7 @@
     return new Promise((resolve) => this.server.listen(this.port, this.host, resolve));
   }
 
-  /** Closes at once, as a crash would. */
+  /** Closes every connection immediately, as a crash would. */
   close(): void {
     this.server.closeAllConnections();
     this.server.close();
--- a/lab/launcher.ts
+++ b/lab/launcher.ts
@@ -1,4 +1,4 @@
-/** Starts the processes of a site on loopback, for the demo and the real-process tests. Rig code. */
+/** Starts the processes of a site on loopback, for the demo and the real-process tests. Owns these processes. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdtempSync, openSync, readFileSync, renameSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -22,12 +22,12 @@
   readonly addresses: Readonly<Record<string, string>>;
 }
 
-/** Sizes that may differ from the profile's. */
+/** Overrides of the profile's numbers of machines, and settings for the daemons. */
 interface SiteOptions {
   readonly engines?: number;
   readonly daemons?: number;
   readonly applications?: number;
-  /** Settings of every daemon beyond the addresses. */
+  /** Settings of every daemon in addition to the addresses. */
   readonly settings?: Record<string, unknown>;
 }
 
@@ -45,22 +45,23 @@
     private readonly options: SiteOptions = {},
   ) {}
 
-  /** Starts everything, writes the services, and waits until every daemon is ready. */
+  /** Starts all processes, writes the services, and waits until every daemon is ready and has found all engines. */
   async start(): Promise<void> {
     const engineCount = this.options.engines ?? this.profile.engines;
     const daemonCount = this.options.daemons ?? this.profile.zones.length;
     const applicationCount = this.options.applications ?? this.profile.applications;
     const addresses = await findFreeAddresses(1 + engineCount + applicationCount + daemonCount * 3);
-    const next = (): string => addresses.pop() as string;
-    this.platform = this.startLabProcess('platform', ['platform'], next());
+    const takeAddress = (): string => addresses.pop() as string;
+    this.platform = this.startLabProcess('platform', ['platform'], takeAddress());
     await this.waitFor(async () => this.post(this.platform.addresses.main, '/faults', {}));
-    for (let index = 0; index < engineCount; index += 1) await this.startEngine(index, next());
-    for (let index = 0; index < applicationCount; index += 1) await this.startApplication(index, next());
+    for (let index = 0; index < engineCount; index += 1) await this.startEngine(index, takeAddress());
+    for (let index = 0; index < applicationCount; index += 1)
+      await this.startApplication(index, takeAddress());
     await this.importServices();
     const daemons = Array.from({ length: daemonCount }, () => ({
-      caller: next(),
-      peer: next(),
-      operator: next(),
+      caller: takeAddress(),
+      peer: takeAddress(),
+      operator: takeAddress(),
     }));
     const peers = daemons.map((daemon) => daemon.peer);
     daemons.forEach((daemon, index) => this.startDaemon(index, daemon, peers));
@@ -69,7 +70,7 @@
       for (const daemon of this.daemons) {
         const { engines } = await new OperatorClient(daemon.addresses.operator).status();
         if (engines.filter((engine) => engine.assignment).length < engineCount)
-          throw new Error('engines not known yet');
+          throw new Error('daemon has not found all engines yet');
       }
     });
   }
@@ -79,23 +80,23 @@
     return this.daemons.map((daemon) => daemon.addresses.caller);
   }
 
-  /** Starts a daemon again under its old name and addresses. */
+  /** Starts a daemon again with the same name, settings and addresses. */
   restartDaemon(index: number): RunningProcess {
-    const old = this.daemons[index];
-    const child = this.startDaemonProcess(old.name);
-    const daemon = { ...old, child };
+    const previous = this.daemons[index];
+    const child = this.startDaemonProcess(previous.name);
+    const daemon = { ...previous, child };
     this.daemons[index] = daemon;
     return daemon;
   }
 
-  /** Replaces a daemon's settings, in one step, by such as cannot be used. */
+  /** Atomically replaces a daemon's settings with invalid ones. */
   writeInvalidSettings(index: number): void {
     const path = this.getSettingsPath(this.daemons[index].name);
     writeFileSync(`${path}.new`, 'name:');
     renameSync(`${path}.new`, path);
   }
 
-  /** What a daemon has logged so far. */
+  /** Reads the JSON lines that a daemon has logged so far. */
   readLog(index: number): Record<string, unknown>[] {
     const lines = readFileSync(this.getLogPath(this.daemons[index].name), 'utf8').split('\n');
     return lines
@@ -114,12 +115,12 @@
       await this.waitFor(async () => {
         const { statusCode, body } = await request(`http://${daemon.addresses.operator}/readyz`);
         await body.dump();
-        if (statusCode !== 200) throw new Error('not ready');
+        if (statusCode !== 200) throw new Error('daemon is not ready');
       });
     }
   }
 
-  /** Ends the processes that this site started, by their ids, and removes its folder. */
+  /** Kills the processes that this site started and removes its folder. */
   async stop(): Promise<void> {
     const ended = [...this.children].map((child) => new Promise((resolve) => child.once('exit', resolve)));
     for (const child of this.children) {
@@ -130,7 +131,7 @@
     rmSync(this.folder, { recursive: true, force: true });
   }
 
-  /** Repeats `action` until it does not reject. */
+  /** Retries `action` until it resolves; after 30 s rejects with its last error. */
   async waitFor(action: () => Promise<unknown>): Promise<void> {
     const deadline = performance.now() + START_TIMEOUT_MS;
     for (;;) {
@@ -174,7 +175,7 @@
     await this.addMachine({ id: name, kind: 'application', address, zone, cell: zone, state: 'live' });
   }
 
-  /** Announces a machine to the platform's list. */
+  /** Adds or updates a machine in the platform's list. */
   addMachine(machine: Record<string, unknown>): Promise<unknown> {
     return this.post(this.platform.addresses.main, '/machine', machine);
   }
@@ -231,7 +232,7 @@
     };
   }
 
-  /** The log file of a process. */
+  /** The path of a process's log file. */
   private getLogPath(name: string): string {
     return join(this.folder, `${name}.log`);
   }
@@ -246,7 +247,7 @@
 
   private async post(address: string, path: string, value: unknown): Promise<unknown> {
     const { body } = await request(`http://${address}${path}`, {
-      // No connection is kept: the stand-in may close it at the moment at which the next call is sent.
+      // Don't reuse connections: the stand-in could close one at the moment at which the next call is sent.
       reset: true,
       method: 'POST',
       body: JSON.stringify(value),
--- a/lab/load-generator.ts
+++ b/lab/load-generator.ts
@@ -9,7 +9,7 @@
 import { formatToken } from './engine-model.js';
 import { findFailedConnection } from './sent-requests.js';
 
-/** What is sent of one service during a phase. */
+/** Load of completions for one service during a phase. Rates a second, targets in milliseconds. */
 export interface LoadClass {
   readonly service: string;
   readonly perSecond: number;
@@ -19,13 +19,13 @@
   readonly betweenTokensTargetMs: number;
 }
 
-/** Application calls of one service during a phase. */
+/** Load of application calls for one service during a phase. */
 interface CallClass {
   readonly service: string;
   readonly perSecond: number;
 }
 
-/** A stretch of constant load. */
+/** A period of constant load. */
 export interface LoadPhase {
   readonly seconds: number;
   readonly classes: readonly LoadClass[];
@@ -38,16 +38,16 @@
   complete = 0;
   withinTargets = 0;
   readonly refused = new Map<string, number>();
-  /** Answers that broke off with a typed error. */
+  /** Streams that ended without the final event, for example with a typed error. */
   broken = 0;
-  /** Answers that looked whole but were not right. Must stay 0. */
+  /** Answers that ended as complete but had the wrong text. Must stay 0. */
   wrong = 0;
   /** Requests without any HTTP answer. */
   unanswered = 0;
   readonly firstToken: Histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 120_000 });
   readonly betweenTokens: Histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 120_000 });
 
-  /** Counts a request without any HTTP answer, and tells its reason on standard error. */
+  /** Counts a request without any HTTP answer, and logs the error on standard error. */
   addUnanswered(error: unknown): void {
     this.unanswered += 1;
     const { code = 'unknown', message } = error as Error & { code?: string };
@@ -63,7 +63,7 @@
 const CHARACTERS_PER_TOKEN = 4;
 const MAXIMUM_RECONNECTS = 6;
 
-/** Makes a prompt of the given length; its start is the same for all prompts of a service. */
+/** Makes a prompt of the given length; all prompts of a service have the same prefix. */
 function makePrompt(service: string, tokens: number, serial: number): string {
   const length = tokens * CHARACTERS_PER_TOKEN;
   const head = `[${service}] ${'shared instructions of the service. '.repeat(8)}`;
@@ -72,7 +72,7 @@
   return (head + body).slice(0, Math.max(1, length - tail.length)) + tail;
 }
 
-/** The load generator. */
+/** Sends the load of each phase and collects the results by service. */
 export class LoadGenerator {
   readonly results = new Map<string, ServiceResult>();
   private readonly agent = new Agent({
@@ -84,20 +84,20 @@
   private readonly inFlight = new Set<Promise<void>>();
   private serial = 0;
 
-  /** @param callers caller addresses of daemons; one that refuses connections is passed over */
+  /** @param callers caller addresses of daemons; one that refuses connections is skipped */
   constructor(
     private readonly callers: readonly string[],
     private readonly random: RandomSource,
   ) {}
 
-  /** Runs the phases, then waits for the last answers. */
+  /** Runs the phases in order, then waits for the last answers. */
   async run(phases: readonly LoadPhase[]): Promise<void> {
     for (const phase of phases) await this.runPhase(phase);
     while (this.inFlight.size > 0) await Promise.all([...this.inFlight]);
     await this.agent.close();
   }
 
-  /** The result of a service. */
+  /** The result of a service; a new one if it has none yet. */
   getResult(service: string): ServiceResult {
     let result = this.results.get(service);
     if (!result) {
@@ -216,7 +216,7 @@
   }
 
   /**
-   * Sends to the daemons in turn; a daemon that cannot be connected to is passed over, as a balancer would.
+   * Sends to a random daemon. If the connection fails, tries the next ones in order, as a load balancer would.
    */
   private async send(
     path: string,
--- a/lab/load-report.ts
+++ b/lab/load-report.ts
@@ -1,4 +1,4 @@
-/** A load's results as a table. */
+/** Formats the results of a load as a table. */
 import { formatTable } from '../src/shared/table.js';
 import type { LoadGenerator, ServiceResult } from './load-generator.js';
 
@@ -7,7 +7,7 @@
   const header = [
     'service',
     'sent',
-    'whole',
+    'complete',
     'in target',
     'refused',
     'broken',
--- a/lab/platform-model.ts
+++ b/lab/platform-model.ts
@@ -1,12 +1,12 @@
-/** The platform's table service and machine list as a pure state machine, with faults to inject. */
+/** The platform's table service and machine list as a pure state machine with injected faults. */
 import type { Machine, MachineListing } from '../src/contracts/machine-list.js';
 import type { TableRequest, TableResult, TableRow } from '../src/contracts/table-service.js';
 
-/** Faults of the platform. */
+/** Faults to inject into the platform; the fields are also the body of `/faults`. */
 export interface PlatformFaults {
-  /** No request takes effect and none is answered. */
+  /** Requests have no effect and get no answer. */
   down: boolean;
-  /** Requests take effect but their answers are lost, with this chance. */
+  /** Probability with which a request has its effect but its answer is lost. */
   loseAnswers: number;
   /** Extra delay of each answer. Milliseconds. */
   slowMs: number;
@@ -21,7 +21,7 @@
   readonly burst: number;
 }
 
-/** Default limit of the table service: transactions a second, and how many may come at once. */
+/** Default rate limit of the table service: transactions a second, and the size of a burst. */
 const DEFAULT_TABLE_RATE: RateLimit = { perSecond: 200, burst: 100 };
 
 /** The emulated platform. */
@@ -44,7 +44,7 @@
     this.tokens = rate.burst;
   }
 
-  /** Carries out a table request, or undefined when the platform is down. */
+  /** Applies a table request and returns its result; undefined when the platform is down. */
   applyTableRequest(request: TableRequest, now: number): TableResult | undefined {
     if (this.faults.down) return undefined;
     if (!this.removeToken(now))
@@ -61,12 +61,12 @@
     }
   }
 
-  /** A row, for tests. */
+  /** Returns a row without counting against the rate limit; for tests. */
   getRow(table: string, key: string): TableRow | undefined {
     return this.rows.get(`${table}/${key}`);
   }
 
-  /** Announces a machine; the list shows it after its lag. */
+  /** Adds a machine to the list at once, or changes a known one after the list's delay. */
   setMachine(machine: Machine, now: number): void {
     const known = this.machines.get(machine.id);
     const visibleAt = known ? now + this.machineLagMs : now;
@@ -75,7 +75,10 @@
     else this.machines.set(machine.id, { machine, visibleAt });
   }
 
-  /** The list: all cells, the engines of the cells asked for, and every application server. */
+  /**
+   * The machine list: all cells, the engines of the requested cells, and every application server. Undefined when the
+   * platform is down.
+   */
   listMachines(cells: readonly string[], now: number): MachineListing | undefined {
     if (this.faults.down) return undefined;
     this.applyPendingMachines(now);
--- a/lab/platform-server.ts
+++ b/lab/platform-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP stand-in of the platform: table service, machine list, and a page to set faults. */
+/** An HTTP stand-in for the platform: table service, machine list, and a path to set faults. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Machine } from '../src/contracts/machine-list.js';
 import type { TableRequest } from '../src/contracts/table-service.js';
@@ -6,7 +6,7 @@
 import { readLabJson, sendLabJson } from './lab-http.js';
 import { LabServer } from './lab-server.js';
 
-/** One platform process. */
+/** One platform: its HTTP server and its model. */
 export class PlatformServer extends LabServer {
   readonly model = new PlatformModel();
 
--- a/lab/scripted-backend.ts
+++ b/lab/scripted-backend.ts
@@ -1,24 +1,24 @@
-/** A back end whose answers are written byte by byte, for faults that lie in the bytes. */
+/** A back end that writes the raw bytes of its answers from a script, for tests of malformed or partial answers. */
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 
-/** One request as it arrived. */
+/** One received request: its head as text and its body. */
 export interface ReceivedRequest {
   readonly head: string;
   readonly body: string;
 }
 
-/** Answers one request by writing to the connection as it likes. */
+/** Answers one request by writing to, or closing, its connection. */
 export type BackendScript = (request: ReceivedRequest, socket: Socket) => void;
 
 const HEAD_END = '\r\n\r\n';
 
-/** The value of a header in a head, or undefined. */
+/** Finds the value of a header in a request's head; undefined when it is missing. */
 export function findHeader(head: string, name: string): string | undefined {
   const line = head.split('\r\n').find((text) => text.toLowerCase().startsWith(`${name.toLowerCase()}:`));
   return line?.slice(name.length + 1).trim();
 }
 
-/** A scripted back end on a port of its own. */
+/** An HTTP/1.1 server on a free loopback port that runs the script for each request. */
 export class ScriptedBackend {
   readonly received: ReceivedRequest[] = [];
   private readonly sockets = new Set<Socket>();
@@ -28,13 +28,13 @@
     this.server = createServer((socket) => this.accept(socket));
   }
 
-  /** Starts to listen and returns the address. */
+  /** Starts to listen and returns the address, `host:port`. */
   async listen(): Promise<string> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Closes everything. */
+  /** Stops listening and closes every connection. */
   close(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
@@ -44,18 +44,18 @@
     this.sockets.add(socket);
     socket.on('error', () => undefined);
     socket.on('close', () => this.sockets.delete(socket));
-    let text = '';
+    let buffered = '';
     socket.on('data', (chunk: Buffer) => {
-      text += chunk.toString('latin1');
+      buffered += chunk.toString('latin1');
       for (;;) {
-        const headEnd = text.indexOf(HEAD_END);
+        const headEnd = buffered.indexOf(HEAD_END);
         if (headEnd < 0) return;
-        const head = text.slice(0, headEnd);
+        const head = buffered.slice(0, headEnd);
         const length = Number(findHeader(head, 'content-length') ?? 0);
         const end = headEnd + HEAD_END.length + length;
-        if (text.length < end) return;
-        const request = { head, body: text.slice(headEnd + HEAD_END.length, end) };
-        text = text.slice(end);
+        if (buffered.length < end) return;
+        const request = { head, body: buffered.slice(headEnd + HEAD_END.length, end) };
+        buffered = buffered.slice(end);
         this.received.push(request);
         this.script(request, socket);
       }
--- a/lab/sent-requests.ts
+++ b/lab/sent-requests.ts
@@ -1,7 +1,7 @@
 /**
- * Which connection a failed request was sent on, for finding out why it has no answer: a new connection or a kept
- * one, its ports, and how long the request was under way. Relies on the diagnostics channels of undici, which tell
- * of all requests of this process.
+ * Records the connection of each failed request, to find out why it has no answer: whether the connection was new or
+ * reused, its ports, and the time since the request was sent. Relies on the diagnostics channels of undici, which
+ * report all requests of this process.
  */
 import { subscribe } from 'node:diagnostics_channel';
 import type { Socket } from 'node:net';
@@ -9,7 +9,7 @@
 interface SentRequest {
   readonly localPort: number | undefined;
   readonly remotePort: number | undefined;
-  /** Whether an answer had come on the connection before. */
+  /** Whether the connection had received an answer before. */
   readonly reused: boolean;
   /** Monotonic milliseconds. */
   readonly sentAt: number;
@@ -30,12 +30,12 @@
   if (entry) failures.set(error, formatConnection(entry));
 });
 
-/** The connection of the request that failed with `error`; undefined when it was sent on none. */
+/** Describes the connection of the request that failed with `error`; undefined when the request was not sent. */
 export function findFailedConnection(error: Error): string | undefined {
   return failures.get(error);
 }
 
-function formatConnection({ localPort, remotePort, reused: kept, sentAt }: SentRequest): string {
-  const connection = `${kept ? 'kept' : 'new'} connection ${localPort} to ${remotePort}`;
+function formatConnection({ localPort, remotePort, reused, sentAt }: SentRequest): string {
+  const connection = `${reused ? 'reused' : 'new'} connection ${localPort} to ${remotePort}`;
   return `${connection}, ${Math.round(performance.now() - sentAt)} ms after it was sent`;
 }
--- a/lab/site-profiles.ts
+++ b/lab/site-profiles.ts
@@ -1,31 +1,32 @@
-/** The users' sites as the brief gives them: zones, machines, delays, services and mixes. */
+/** The users' sites: zones, numbers of machines, delays, services and workloads. */
 import { parseServiceRow, type ServiceRow } from '../src/configuration/service-row.js';
 import { ValidationError } from '../src/errors/index.js';
 
-/** One kind of completion that callers send. */
+/** A service's completions with their mean lengths. */
 export interface WorkloadClass {
   readonly service: string;
-  /** Mean prompt and output lengths. Tokens. */
+  /** Mean lengths of prompt and output. Tokens. */
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
 
-/** A site. */
+/** A site's topology, services and typical completions. */
 export interface SiteProfile {
   readonly name: string;
   readonly zones: readonly string[];
-  /** Model servers and application servers in the site, spread over the zones in turn. */
+  /** Numbers of model engines and application servers, assigned to the zones round-robin. */
   readonly engines: number;
   readonly applications: number;
   /** One-way delay between zones. Milliseconds. */
   readonly zoneDelayMs: number;
   readonly model: string;
   readonly services: readonly ServiceRow[];
-  /** Long work with few output tokens, and short work. */
+  /** Completions with long prompts and few output tokens, and those with short prompts. */
   readonly longWork: WorkloadClass;
   readonly shortWork: WorkloadClass;
   /**
-   * What a role change costs this site, beyond the engine time; the one setting in which the sites differ.
+   * Cost of a role change at this site, in addition to the engine time, as seconds; the only setting in which the
+   * sites differ.
    */
   readonly roleChangeCostSeconds: number;
 }
@@ -107,8 +108,8 @@
 };
 
 /**
- * A site by name.
- * @throws ValidationError naming the known sites.
+ * Returns the profile of a site by its name.
+ * @throws ValidationError with the names of the known sites.
  */
 export function getSiteProfile(name: string): SiteProfile {
   const profile = SITE_PROFILES[name];
--- a/lab/soak/backend-stand-in.ts
+++ b/lab/soak/backend-stand-in.ts
@@ -1,5 +1,6 @@
-/// A back end after the platform's published pages: a plain application server or a model engine with two
-/// stages. It tells the record of every arrival, run and order, and misbehaves as it is told.
+/// A stand-in for a back end, written from the platform's published pages: a plain application server or a
+/// model engine with two stages. It records every arrival, execution and order, and injects the faults that it
+/// is set to.
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from "node:http"
 import type {AddressInfo, Socket} from "node:net"
 import {CRASHING_BODY} from "./crash-check.js"
@@ -10,13 +11,13 @@
 import type {StoreStandIn} from "./store-stand-in.js"
 import {parseBody, readBody, STATUS_MALFORMED} from "./stray-calls.js"
 
-/// How a back end behaves.
+/// What a back end does with requests, connections and orders: "well" is correct, the others are faults.
 export type BackendBehavior =
   | "well"
   | "forgetsConnections"
   | "errors"
   | "sheds"
-  /// Turns away most requests, not only some.
+  /// Rejects most requests, not only some.
   | "shedsMost"
   | "hangs"
   | "losesAnswers"
@@ -37,11 +38,11 @@
 const FORGOTTEN_AFTER_IDLE_MS = 300
 const HEARTBEAT_MS = 1200
 const RECORD_EXPIRY_MS = 1800
-/// A request that ends its back end does so after this time.
+/// Time from the execution of a crashing request to the crash.
 const CRASH_DELAY_MS = 40
-/// Part of the requests that a faulty back end spoils.
+/// Share of the requests that a faulty back end fails.
 const FAULT_SHARE = 0.4
-/// The same of one that turns most away.
+/// Share of the requests that fail under "shedsMost".
 const SHEDS_MOST_SHARE = 0.8
 
 /// Identity of one incarnation.
@@ -55,7 +56,7 @@
 /// One incarnation of a back end.
 export class BackendStandIn {
   behavior: BackendBehavior = "well"
-  /// Names this limit in its answers, in requests a second; undefined for none.
+  /// Limit announced in its answers, in requests a second; undefined for none.
   requestsPerSecond: number | undefined
   private readonly orders: StageOrders
   private state: "ready" | "draining" = "ready"
@@ -67,13 +68,13 @@
   private readonly lastUses = new WeakMap<Socket, number>()
   private heartbeat: NodeJS.Timeout | undefined
   private readonly startedAtMs = Date.now()
-  /// Says in its answers that it leaves, whatever its record says.
+  /// Announces in its answers that it is leaving, whatever its record says.
   signalsLeaving = false
-  /// Turns part of the requests away and asks daemons to back off for so many seconds.
+  /// Rejects this share of the requests and asks daemons to back off for this number of seconds.
   backOff: {readonly share: number; readonly seconds: number} | undefined
-  /// Told when it ends.
+  /// Called when it stops, by a crash or not.
   onStopped: () => void = () => undefined
-  /// Told when a request has ended this back end.
+  /// Called when a request crashes this back end.
   onCrash: () => void = () => undefined
 
   constructor(
@@ -92,41 +93,41 @@
     })
   }
 
-  /// Starts to listen and returns the real address.
+  /// Starts to listen and returns the address of the server itself, without a proxy.
   async start(): Promise<string> {
     await new Promise<void>(resolve => this.server.listen(0, "127.0.0.1", resolve))
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /// Says in the store that this back end is there, at an address that may be a proxy's.
+  /// Writes its record to the store, with an address that may be a proxy's.
   announce(address: string): void {
     this.address = address
     this.writeRecord()
     this.heartbeat = setInterval(() => undefined, HEARTBEAT_MS)
   }
 
-  /// Says that it is leaving; it serves on.
+  /// Sets its record to draining; it continues to serve requests.
   drain(): void {
     this.state = "draining"
     this.writeRecord()
     this.record.drainStarts.set(this.identity.id, performance.now())
   }
 
-  /// Ends: at once, with every connection reset, or after it has left the store's list.
+  /// Removes its record from the store, then resets every connection.
   close(): void {
     this.store.remove("servers", this.identity.id)
     this.stop()
   }
 
-  /// Ends without a word, as one that crashes: its record goes when its heartbeats are missed, unless a later
-  /// start has written it anew.
+  /// Stops without removing its record, as in a crash: the record expires when heartbeats are missed, unless a
+  /// later incarnation has overwritten it.
   crash(): void {
     this.stop()
     setTimeout(() => this.removeOwnRecord(), RECORD_EXPIRY_MS)
   }
 
-  /// Resets every connection, those that come later too. The port stays taken: who listened on it next would
-  /// get what is meant for this back end.
+  /// Resets every connection, and each one accepted later. The server keeps its port, because another process
+  /// that listened on it next would receive the requests for this back end.
   private stop(): void {
     clearInterval(this.heartbeat)
     this.stopped = true
@@ -134,7 +135,7 @@
     for (const socket of this.sockets) socket.resetAndDestroy()
   }
 
-  /// Lets the port go when the run is over; the back end must have ended.
+  /// Releases the port at the end of the soak; the back end must have stopped before.
   releasePort(): void {
     this.server.close()
   }
@@ -144,12 +145,13 @@
     if (row?.born === this.startedAtMs) this.store.remove("servers", this.identity.id)
   }
 
-  /// Whether it has said that it leaves.
+  /// Whether its record says that it is draining.
   isDraining(): boolean {
     return this.state === "draining"
   }
 
-  /// Whether the connection rested so long that a back end that forgets them knows nothing of it.
+  /// Whether the connection was idle for so long that a back end under "forgetsConnections" has dropped its
+  /// state. Also updates the connection's time of last use.
   private isForgotten(socket: Socket): boolean {
     const now = performance.now()
     const idleMs = now - (this.lastUses.get(socket) ?? now)
@@ -194,7 +196,8 @@
     this.onWorkRequest(request, response, arrival, body)
   }
 
-  /// Calls that are not a caller's request have no id and are not counted.
+  /// Records an arrival. Calls other than callers' requests (health checks, orders) have no id and are not
+  /// recorded.
   private addArrival(request: IncomingMessage): ArrivalRecord {
     const requestId = getHeader(request, "x-attempt-id") ?? ""
     const promptOnly = getHeader(request, "x-inference-phase") === "prefill"
@@ -253,14 +256,14 @@
     else this.sendAnswer(request, response, id, behavior)
   }
 
-  /// The run of a request ends this back end, unless it has ended before.
+  /// Crashes this back end because of a request, unless it has stopped before.
   private crashOn(body: string): void {
     if (this.stopped) return
     this.record.crashes.push({body, at: performance.now()})
     this.onCrash()
   }
 
-  /// Whether the next request is spoiled.
+  /// Whether the next request gets the faulty behavior; draws a random number for most behaviors.
   private isFaulty(): boolean {
     const {behavior} = this
     if (behavior === "well" || behavior === "slow") return behavior === "slow"
@@ -345,7 +348,7 @@
     setTimeout(step, EVENT_INTERVAL_MS)
   }
 
-  /// What it says of itself in every answer.
+  /// Headers in which it announces its limit and that it is leaving, sent with every answer.
   private getSignals(): Record<string, string> {
     const {requestsPerSecond, signalsLeaving} = this
     return {
@@ -387,7 +390,7 @@
   return typeof value === "string" ? value : undefined
 }
 
-/// Tokens of a prompt and the most that may be generated, together.
+/// The sum of the prompt's tokens and the maximum number of generated ones.
 function sumTokens(usage: string | undefined): number | undefined {
   return usage?.split(",").reduce((sum, text) => sum + Number(text), 0)
 }
--- a/lab/soak/caller-load.ts
+++ b/lab/soak/caller-load.ts
@@ -1,25 +1,24 @@
-/// Callers of a soak: an open loop of requests to every daemon through its proxy, and what came back, byte
-/// for byte.
+/// Callers of a soak: an open-loop load to every daemon through its proxy, and a record of each answer's bytes.
 import {request as sendRequest, Agent, type ClientRequest, type IncomingMessage} from "node:http"
 import {setTimeout as wait} from "node:timers/promises"
 import type {CallerRecord, SoakRecord} from "./soak-record.js"
 import {SOAK_TENANTS, UNKNOWN_KEY, type CallerRoute} from "./soak-routes.js"
 
-/// A daemon as callers reach it.
+/// A daemon and the address of its proxy, which callers use.
 export interface CallerTarget {
   readonly daemon: string
   readonly address: string
 }
 
-/// Callers hang up so long after the time-out. Milliseconds.
+/// Callers close the connection this long after the route's time-out. Milliseconds.
 const CALLER_GRACE_MS = 4000
 const ABANDON_SHARE = 0.03
-/// Part of the requests with a key that nobody knows, and part without any.
+/// Share of the requests with an unknown key, and share without a key.
 const UNKNOWN_KEY_SHARE = 0.03
 const KEYLESS_SHARE = 0.03
 const KEYS = SOAK_TENANTS.flatMap(({keys}) => keys)
 
-/// The callers.
+/// Sends the requests and writes each one, with its answer, to the record.
 export class CallerLoad {
   private readonly agent = new Agent({keepAlive: true, maxSockets: 64})
   private running = true
@@ -31,11 +30,11 @@
     private readonly targets: readonly CallerTarget[],
     private readonly routes: readonly CallerRoute[],
     private readonly random: () => number,
-    /// Whether callers use a daemon now.
+    /// Whether callers send requests to a daemon at present.
     private readonly isUsed: (target: CallerTarget) => boolean = () => true
   ) {}
 
-  /// Sends so many requests a second until `stop`.
+  /// Sends requests at this mean rate until `stop`, then waits for the open ones.
   async run(perSecond: number): Promise<void> {
     while (this.running) {
       await wait((1000 / perSecond) * (0.5 + this.random()))
@@ -48,8 +47,8 @@
     this.agent.destroy()
   }
 
-  /// Sends one request that ends its back end again and again, with about this pause, to any daemon until
-  /// `stop`. It has a generator of its own.
+  /// Sends a request that crashes its back end to random daemons until `stop`, at about this interval. It draws
+  /// from its own generator of random numbers.
   async sendRepeatedly(
     body: string,
     route: CallerRoute,
@@ -65,19 +64,20 @@
     }
   }
 
-  /// Sends nothing more.
+  /// Stops sending; requests in flight continue.
   stop(): void {
     this.running = false
   }
 
-  /// Any daemon that is used; when none is, one that is not there.
+  /// A random daemon among those in use; among all of them, which do not run then, when none is in use.
   private pickTarget(): CallerTarget {
     const used = this.targets.filter(this.isUsed)
     const targets = used.length > 0 ? used : this.targets
     return targets[Math.floor(this.random() * targets.length)]
   }
 
-  /// A request with a body of its own ends its back end; its caller shows its first key and waits.
+  /// Sends one request. With `crashingBody` the request crashes its back end; its caller always uses the first
+  /// key and never gives up early.
   private send(target: CallerTarget, route: CallerRoute, crashingBody?: string): Promise<void> {
     this.count += 1
     const id = `q${this.count}`
@@ -134,7 +134,7 @@
       "X-Deadline-Ms": String(route.timeoutMs)
     }
     if (key !== undefined) headers["X-Api-Key"] = key
-    // Some claim to be somebody else.
+    // Some callers forge the tenant header; the daemon must not trust it.
     if (this.random() < KEYLESS_SHARE) headers["X-Tenant"] = SOAK_TENANTS[0].name
     if (route.prompt) {
       const {shared, unique, subjects} = route.prompt
@@ -146,7 +146,8 @@
     return headers
   }
 
-  /// Most wait for the answer; a few leave early, which is no broken promise of anybody's.
+  /// How long the caller waits, in milliseconds. Most wait past the time-out; a few give up early, and their
+  /// missing answers count as no broken promise.
   private getCallerTimeout(call: CallerRecord, route: CallerRoute): number {
     if (this.random() >= ABANDON_SHARE) return route.timeoutMs + CALLER_GRACE_MS
     call.endedAt = call.sentAt
--- a/lab/soak/crash-check.ts
+++ b/lab/soak/crash-check.ts
@@ -1,30 +1,32 @@
-/// The bound on requests that end the back ends that run them, counted at the back ends.
+/// Checks the bound on requests that crash the back ends that execute them, counted at the back ends.
 import type {ArrivalRecord} from "./retry-check.js"
 
-/// Requests whose body begins so end the back end that runs them. The rest of the body tells them apart.
+/// Requests whose body has this prefix crash the back end that executes them. The rest of the body identifies
+/// the request.
 export const CRASHING_BODY = "ends its back end"
 
-/// A back end that ended under a request. Monotonic milliseconds.
+/// A crash of a back end while it executed a request. Monotonic milliseconds.
 export interface CrashRecord {
   readonly body: string
   readonly at: number
 }
 
-/// What became of one such request, whoever sent it on.
+/// The crashes and late retries of one such request, over all callers and daemons.
 export interface CrashOutcome {
   readonly body: string
-  /// Back ends that ended under it.
+  /// Number of back ends that it crashed.
   readonly ends: number
-  /// Times that it reached back ends from the contact time after its third end on, by daemons in contact.
+  /// Number of its arrivals at back ends later than the contact time after its third crash, sent by daemons in
+  /// contact with their peers.
   readonly lateRetries: number
 }
 
-/// A request may reach back ends so often once it has ended three and contact was found.
+/// Allowed arrivals at back ends after a request has crashed three and daemons had the time to find contact.
 export const ALLOWED_LATE_RETRIES = 3
 const CRASH_THRESHOLD = 3
 
-/// Judges each request that ended back ends. `findBody` gives the body of a request that would, `isInContact`
-/// says whether the daemon that got a request was in contact at a moment.
+/// Counts the crashes and late retries of each request that crashed back ends. `findBody` returns the body of a
+/// crashing request by its id, `isInContact` whether the daemon that received a request was in contact at a time.
 export function findCrashOutcomes(
   crashes: readonly CrashRecord[],
   arrivals: readonly ArrivalRecord[],
@@ -34,12 +36,12 @@
 ): CrashOutcome[] {
   const bodies = [...new Set(crashes.map(({body}) => body))]
   return bodies.map(body => {
-    const ends = crashes.filter(crash => crash.body === body).map(({at}) => at)
-    const third = ends.sort((left, right) => left - right).at(CRASH_THRESHOLD - 1) ?? Infinity
+    const crashTimes = crashes.filter(crash => crash.body === body).map(({at}) => at)
+    const third = crashTimes.sort((left, right) => left - right).at(CRASH_THRESHOLD - 1) ?? Infinity
     const late = arrivals.filter(
       ({requestId, at}) =>
         at > third + contactMs && findBody(requestId) === body && isInContact(requestId, at)
     )
-    return {body, ends: ends.length, lateRetries: late.length}
+    return {body, ends: crashTimes.length, lateRetries: late.length}
   })
 }
--- a/lab/soak/daemon-process.ts
+++ b/lab/soak/daemon-process.ts
@@ -1,5 +1,5 @@
-/// One daemon of a soak: the deployed program as a process of its own, with its settings file, run and harmed
-/// from outside by signals only.
+/// One daemon of a soak: the deployed program as a separate process with its settings file. It is controlled,
+/// and disturbed, only by signals and by changes of that file.
 import {spawn, type ChildProcess} from "node:child_process"
 import {closeSync, openSync, renameSync, writeFileSync} from "node:fs"
 import {connect} from "node:net"
@@ -7,7 +7,7 @@
 import {formatSettings, type DaemonPorts} from "./settings-file.js"
 import type {SoakBounds} from "./soak-record.js"
 
-/// What all daemons of a soak share.
+/// Options that all daemons of a soak have in common.
 export interface DaemonSite {
   readonly folder: string
   readonly program: string
@@ -16,18 +16,18 @@
   readonly seeds: readonly string[]
 }
 
-/// Told when the process ended although nobody ended it.
+/// Called when the process exits without having been stopped or killed by the soak.
 type UnexpectedExitListener = (name: string, code: number | null, signal: string | null) => void
 
 const KILL_AFTER_STOP_MS = 9000
-/// Exit code of the program when it cannot read its settings, which can only happen while it starts.
+/// Exit code of the program for invalid settings, which it only uses while it starts.
 const EXIT_INVALID_SETTINGS = 78
 
-/// The daemon.
+/// Starts, stops, pauses and reloads the process.
 export class DaemonProcess {
   private child: ChildProcess | undefined
   private isExitExpected = false
-  /// The settings have been wrong since the process was started.
+  /// Whether the settings file was made invalid after the process started.
   private hasInvalidSettings = false
   private startedAt = -Infinity
   starts = 0
@@ -58,25 +58,26 @@
     child.on("exit", (code, signal) => {
       if (this.child === child) this.child = undefined
       if (this.isExitExpected) return
-      // As the platform does: the next start has the settings of its moment.
+      // The soak itself made the settings invalid during the start. Start again with valid ones, as the platform
+      // would.
       if (code === EXIT_INVALID_SETTINGS && this.hasInvalidSettings) this.start()
       else this.onUnexpectedExit(this.name, code, signal)
     })
   }
 
-  /// Whether the process runs.
+  /// Whether the process is running; also true while it is paused.
   isRunning(): boolean {
     return this.child !== undefined
   }
 
-  /// Kills it.
+  /// Kills the process with SIGKILL and waits for its exit.
   async kill(): Promise<void> {
     await this.stopWith("SIGKILL")
   }
 
-  /// Asks it to stop, waits for its end within the grace, and tells how it ended if that was not by itself
-  /// with success. One that does not listen yet has nothing to finish, and may not yet run a line of ours:
-  /// the signal itself may end it.
+  /// Sends SIGTERM and waits for the exit, with SIGKILL after the grace period. Returns how it exited if that was
+  /// not with code 0. A process that does not listen yet has no requests to finish and may not have installed its
+  /// signal handler, so an exit by the SIGTERM itself counts as a success.
   async stop(): Promise<string | undefined> {
     const {child} = this
     if (!child) return undefined
@@ -89,17 +90,17 @@
     return `${child.exitCode ?? child.signalCode}, asked ${ageMs} ms after its start`
   }
 
-  /// Stops it where it stands.
+  /// Suspends the process with SIGSTOP.
   pause(): void {
     this.child?.kill("SIGSTOP")
   }
 
-  /// Lets it go on.
+  /// Resumes the process with SIGCONT.
   resume(): void {
     this.child?.kill("SIGCONT")
   }
 
-  /// Writes the settings anew and says so.
+  /// Rewrites the settings file, with valid settings or not, and sends SIGHUP.
   reload(valid: boolean): void {
     if (valid) this.writeSettings()
     else {
@@ -119,7 +120,8 @@
     await ended
   }
 
-  /// In one step: a process that starts meanwhile reads the old file or the new one, never an empty one.
+  /// Replaces the file atomically: a process that is starting reads the old file or the new one, never an empty
+  /// one.
   private replaceSettings(text: string): void {
     const path = this.getSettingsPath()
     writeFileSync(`${path}.new`, text)
--- a/lab/soak/disturbance.ts
+++ b/lab/soak/disturbance.ts
@@ -1,6 +1,6 @@
-/// What a soak disturbed and when, and which promises that excuses.
+/// What a soak disturbed and when, and whether a promise has to be kept at that time.
 
-/// A time in which something was disturbed, by name; "*" stands for everything.
+/// A period in which a daemon, by name, or another part of the site was disturbed; "*" stands for everything.
 export interface Disturbance {
   readonly target: string
   readonly kind: string
@@ -8,46 +8,46 @@
   until: number
 }
 
-/// Stands for the back ends among the things that are disturbed.
+/// The `target` of disturbances of back ends.
 export const BACKENDS = "backends"
-/// Kinds of disturbances that are planned stops begin so.
+/// Prefix of the kinds of disturbances that are planned stops.
 export const PLANNED_STOP = "restart"
-/// Kinds of disturbances that end, freeze or cut off a daemon.
+/// Kinds of disturbances that stop, pause or disconnect a daemon.
 const INTERRUPTIONS = new RegExp(`^(kill|pause|${PLANNED_STOP}|link)`)
-/// Requests sent until so long after the stop was asked for must have an answer. Milliseconds.
+/// Requests sent up to this long after the SIGTERM must be answered. Milliseconds.
 const STOP_ACCEPTS_MS = 1000
 
-/// One daemon from one moment to another. Monotonic milliseconds.
+/// A daemon and a period. Monotonic milliseconds.
 interface DaemonSpan {
   readonly daemon: string
   readonly from: number
   readonly until: number
 }
 
-/// Whether a daemon was left alone in a time, contact included.
+/// Whether no disturbance of a daemon overlapped a period, the contact time after each disturbance included.
 export function isUndisturbed(
   disturbances: readonly Disturbance[],
   contactMs: number,
   {daemon, from, until}: DaemonSpan
 ): boolean {
   return !disturbances.some(
-    ({target, from: began, until: ended}) =>
-      (target === daemon || target === "*") && began <= until && ended + contactMs >= from
+    ({target, from: disturbedFrom, until: ended}) =>
+      (target === daemon || target === "*") && disturbedFrom <= until && ended + contactMs >= from
   )
 }
 
-/// Whether a daemon was neither ended, frozen nor cut off in a time.
+/// Whether a daemon was neither stopped, paused nor disconnected in a period.
 export function isUninterrupted(
   disturbances: readonly Disturbance[],
   {daemon, from, until}: DaemonSpan
 ): boolean {
   return !disturbances.some(
-    ({target, kind, from: began, until: ended}) =>
-      target === daemon && INTERRUPTIONS.test(kind) && began <= until && ended >= from
+    ({target, kind, from: disturbedFrom, until: ended}) =>
+      target === daemon && INTERRUPTIONS.test(kind) && disturbedFrom <= until && ended >= from
   )
 }
 
-/// Whether a request lost its connection to a daemon that was stopping, while nothing else was wrong.
+/// Whether a request lost its connection because of a planned stop of its daemon, with no other disturbance.
 export function isCutByStop(
   disturbances: readonly Disturbance[],
   contactMs: number,
--- a/lab/soak/duty-stand-in.ts
+++ b/lab/soak/duty-stand-in.ts
@@ -1,6 +1,6 @@
-/// A stand-in for the platform's side of the duties, after its published pages: usage reports and orders of
-/// servers, with fences and what can go wrong with calls. Each daemon has a port of its own, which tells
-/// whose call it is whatever name it bears.
+/// A stand-in for the platform's side of the duties, written from its published pages: usage reports and orders
+/// of servers, with fencing tokens and injected faults. Each daemon calls a port of its own, which identifies
+/// the caller whatever name is in the call.
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from "node:http"
 import type {AddressInfo} from "node:net"
 import * as z from "zod"
@@ -8,7 +8,7 @@
 import {DutyModel} from "../duty-model.js"
 import {parseBody, readBody, STATUS_MALFORMED, STATUS_UNKNOWN, StrayCalls} from "./stray-calls.js"
 
-/// How the platform treats the calls of all daemons.
+/// What the platform does with the calls of all daemons: "serves" is correct, the others are faults.
 export type DutyTreatment = "serves" | "refuses" | "silent" | "losesAnswers" | "appliesLate"
 
 const STATUS_OK = 200
@@ -27,7 +27,7 @@
 const USAGE_PATH = "/usage"
 const SCALE_PATH = "/scale"
 
-/// The platform.
+/// The HTTP servers of the stand-in, with the model that checks the calls.
 export class DutyStandIn {
   readonly strayCalls = new StrayCalls("duties")
   treatment: DutyTreatment = "serves"
@@ -65,7 +65,7 @@
       return this.strayCalls.reject(STATUS_UNKNOWN, daemon, request, response)
     if (treatment === "silent") return
     if (treatment === "refuses") return sendAnswer(response, STATUS_BUSY)
-    const call = parseCall(url, body)
+    const call = decodeCall(url, body)
     if (!call) return this.strayCalls.reject(STATUS_MALFORMED, daemon, request, response)
     const holder = String(request.headers["x-lease-holder"])
     const fence = Number(request.headers["x-fencing-token"])
@@ -86,8 +86,8 @@
   }
 }
 
-/// The call of this address; undefined when the body isn't one.
-function parseCall(url: string, body: string): DutyCall | undefined {
+/// Decodes the call to this path; undefined when the body is invalid.
+function decodeCall(url: string, body: string): DutyCall | undefined {
   if (url === USAGE_PATH) {
     const usage = parseBody(usageSchema, body)
     return usage && {kind: "reportUsage", window: usage.window_id, counts: usage.counts}
--- a/lab/soak/fault-plan.ts
+++ b/lab/soak/fault-plan.ts
@@ -1,4 +1,4 @@
-/// Draws the faults of a soak: the same seed gives the same plan.
+/// Draws the plan of faults of a soak from a seeded generator: the same seed gives the same plan.
 import type {BackendBehavior} from "./backend-stand-in.js"
 import * as faults from "./faults.js"
 import {LimitFault, BackOffFault, LeavingSignalFault} from "./signal-faults.js"
@@ -6,13 +6,13 @@
 import {SOAK_TENANTS} from "./soak-routes.js"
 import type {StoreTreatment} from "./store-stand-in.js"
 
-/// A fault and when it begins, milliseconds from the start of the load.
+/// A fault and when it starts, in milliseconds from the start of the load.
 export interface PlannedFault {
   readonly atMs: number
   readonly fault: faults.Fault
 }
 
-/// What there is to strike.
+/// The daemons and the number of back ends that faults can target.
 interface FaultTargets {
   readonly daemons: readonly string[]
   readonly places: number
@@ -21,18 +21,19 @@
 const MEAN_GAP_MS = 900
 const SHORTEST_FAULT_MS = 300
 const LONGEST_FAULT_MS = 3000
-/// How long back ends turn requests away beside a series of restarts, and the longest pause between two
-/// series. Milliseconds.
+/// How long back ends reject requests during a series of restarts, and the longest gap between two series.
+/// Milliseconds.
 const SHORTEST_OVERLOAD_MS = 5000
 const LONGEST_OVERLOAD_MS = 12_000
 const LONGEST_SERIES_GAP_MS = 3000
-/// How long back ends say something of themselves, and the longest pause between two. Milliseconds.
+/// How long back ends send a signal (a limit, leaving or a back-off), and the longest gap between two.
+/// Milliseconds.
 const SHORTEST_SIGNAL_MS = 6000
 const LONGEST_SIGNAL_MS = 15_000
 const LONGEST_SIGNAL_GAP_MS = 3000
-/// Limits that are drawn. Requests a second.
+/// Limits to choose from. Requests a second.
 const LIMITS = [0.4, 1, 2, 3.5, 6.9]
-/// Back-offs that are drawn: parts of the requests that are turned away, and seconds.
+/// Back-offs to choose from: shares of the requests that are rejected, and seconds.
 const BACK_OFF_SHARES = [0.05, 0.3]
 const BACK_OFF_SECONDS = [0.8, 3, 6.5]
 
@@ -59,7 +60,7 @@
 const KEYS = SOAK_TENANTS.flatMap(({keys}) => keys)
 const LINK_STATES = ["delayed", "cutForth", "cutBack", "silent", "reset"] as const
 
-/// Draws a plan over so many milliseconds.
+/// Draws a plan for a soak of this duration.
 export function makePlan(targets: FaultTargets, durationMs: number, random: () => number): PlannedFault[] {
   const plan: PlannedFault[] = []
   let atMs = MEAN_GAP_MS
@@ -70,9 +71,9 @@
   return plan
 }
 
-/// Draws series of restarts beside services whose back ends turn requests away: each daemon in turn is
-/// stopped or killed while those before it may still be stopping. A plan of its own, to be played beside the
-/// other one, whose seeds keep their meaning.
+/// Draws series of restarts during which back ends of some services reject most requests: each daemon in turn is
+/// stopped or killed while earlier ones may still be stopping. This is a separate plan, merged with the one of
+/// `makePlan`, so that existing seeds of that one still give the same faults.
 export function makeSeriesPlan(
   daemons: readonly string[],
   placesByService: readonly (readonly number[])[],
@@ -97,8 +98,8 @@
   return plan.sort((left, right) => left.atMs - right.atMs)
 }
 
-/// Draws what back ends say of themselves: limits, that they leave, times to back off; of one of a service, of some
-/// or of all. A plan of its own, as the series of restarts.
+/// Draws signals of back ends in their answers: limits, leaving and back-offs, by one back end of a service, some
+/// or all. A separate plan for the same reason as the series of restarts.
 export function makeSignalPlan(
   placesByService: readonly (readonly number[])[],
   durationMs: number,
@@ -110,9 +111,9 @@
     while (beginMs < durationMs) {
       const signalMs = Math.round(SHORTEST_SIGNAL_MS + random() * (LONGEST_SIGNAL_MS - SHORTEST_SIGNAL_MS))
       const share = random() < 0.25 ? 1 : 0.5
-      const make = pickSignal(signalMs, random)
+      const makeFault = pickSignal(signalMs, random)
       for (const place of places)
-        if (random() < share) plan.push({atMs: Math.round(beginMs), fault: make(place)})
+        if (random() < share) plan.push({atMs: Math.round(beginMs), fault: makeFault(place)})
       beginMs += signalMs + LONGEST_SIGNAL_GAP_MS * random()
     }
   }
@@ -131,7 +132,7 @@
   return pick(makers)
 }
 
-/// Restarts from one moment to another, daemon after daemon, some planned and some not.
+/// Restarts of one daemon after another in a period; each is a planned stop or a kill.
 function makeRestarts(
   daemons: readonly string[],
   fromMs: number,
@@ -141,8 +142,8 @@
   const plan: PlannedFault[] = []
   const gapMs = (SHORTEST_OVERLOAD_MS / daemons.length) * (0.3 + random())
   const stopShare = random()
-  for (let atMs = fromMs, turn = 0; atMs < untilMs; atMs += gapMs * (0.5 + random()), turn += 1) {
-    const daemon = daemons[turn % daemons.length]
+  for (let atMs = fromMs, index = 0; atMs < untilMs; atMs += gapMs * (0.5 + random()), index += 1) {
+    const daemon = daemons[index % daemons.length]
     const downMs = Math.round(SHORTEST_FAULT_MS * (0.5 + random()))
     const fault =
       random() < stopShare ? new faults.RestartFault(daemon) : new faults.KillFault(downMs, [daemon])
--- a/lab/soak/fault-proxy.ts
+++ b/lab/soak/fault-proxy.ts
@@ -1,24 +1,24 @@
-/// A loopback proxy that harms the connections that go through it.
+/// A TCP proxy on loopback that injects faults into the connections through it.
 import {connect, createServer, type AddressInfo, type Server, type Socket} from "node:net"
 
-/// What the proxy does to bytes: passes them, holds them for a while, drops those of one direction (the
-/// connection stays open) or of both.
+/// What the proxy does with bytes: forwards them, forwards them after a delay, or drops those to the target
+/// ("cutForth"), to the client ("cutBack") or both ("silent") while the connection stays open.
 export type LinkState = "open" | "delayed" | "cutForth" | "cutBack" | "silent"
 
-const TO_TARGET = "forth"
-const TO_CLIENT = "back"
+const TO_TARGET = "toTarget"
+const TO_CLIENT = "toClient"
 
-/// One proxy before one address.
+/// A proxy for one target address.
 export class FaultProxy {
   private state: LinkState = "open"
   private delayMs = 0
   private connectionCount = 0
   private readonly sockets = new Set<Socket>()
-  /// Connections that pass nothing any more, whatever the state.
+  /// Sockets whose bytes are dropped whatever the state.
   private readonly silenced = new WeakSet<Socket>()
   private readonly server: Server
 
-  /// `getTarget` gives the address behind it now; undefined where nobody listens.
+  /// `getTarget` returns the current target address; undefined when nothing listens there.
   constructor(private readonly getTarget: () => string | undefined) {
     this.server = createServer(socket => this.accept(socket))
   }
@@ -29,18 +29,18 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /// Sets what happens to bytes from now on.
+  /// Sets the state for all connections. `delayMs` applies to "delayed".
   setState(state: LinkState, delayMs = 0): void {
     this.state = state
     this.delayMs = delayMs
   }
 
-  /// Silences the connections that are open now, for good and without a reset; new ones work.
+  /// Drops all further bytes of the connections that are open at present, without a reset; new connections work.
   silenceOpenConnections(): void {
     for (const socket of this.sockets) this.silenced.add(socket)
   }
 
-  /// Connections that have come through it so far.
+  /// Number of connections accepted so far.
   getConnectionCount(): number {
     return this.connectionCount
   }
@@ -50,7 +50,7 @@
     for (const socket of this.sockets) socket.resetAndDestroy()
   }
 
-  /// Closes everything.
+  /// Stops listening and closes every connection.
   close(): void {
     this.server.close()
     for (const socket of this.sockets) socket.destroy()
@@ -60,7 +60,8 @@
     this.connectionCount += 1
     const target = this.getTarget()
     if (target === undefined) {
-      // At once, as the system refuses it: a daemon judges by some 30 ms whether anybody listens.
+      // Reset at once, as the operating system refuses a connection: a daemon takes one that fails within about
+      // 30 ms as a sign that nothing listens.
       client.on("error", () => undefined)
       client.resetAndDestroy()
       return
--- a/lab/soak/faults.ts
+++ b/lab/soak/faults.ts
@@ -1,5 +1,5 @@
-/// Faults that a soak injects from outside. Each begins, lasts and ends; what it disturbs is said to the
-/// record.
+/// Faults that a soak injects from outside the daemons. Each has a start, a duration and an end; the soak records
+/// what it disturbs in between.
 import type {BackendBehavior} from "./backend-stand-in.js"
 import type {LinkState} from "./fault-proxy.js"
 import {PLANNED_STOP} from "./disturbance.js"
@@ -8,15 +8,15 @@
 import type {SoakSite} from "./soak-site.js"
 import type {StoreTreatment} from "./store-stand-in.js"
 
-/// One fault. `start` and `stop` return when the change is made.
+/// One fault. `start` and `stop` resolve once the change has been made. Durations are milliseconds.
 export abstract class Fault {
   constructor(readonly durationMs: number) {}
 
-  /// Its name with what it strikes, for the log of a soak.
+  /// Its name with its target, for the log of a soak.
   abstract getName(): string
-  /// Daemons whose promises with a time bound are suspended meanwhile; "*" for all.
+  /// Daemons whose promises with a time bound are suspended during the fault; "*" for all.
   abstract getDisturbedDaemons(): readonly string[]
-  /// Whether back ends or the way to them are harmed.
+  /// Whether back ends or the connections to them are affected.
   affectsBackends(): boolean {
     return false
   }
@@ -24,7 +24,7 @@
   abstract stop(site: SoakSite): Promise<void> | void
 }
 
-/// A daemon's process is killed and started again.
+/// Daemons are killed and started again.
 export class KillFault extends Fault {
   constructor(
     durationMs: number,
@@ -46,7 +46,7 @@
   }
 }
 
-/// A daemon's process stands still.
+/// A daemon's process is paused.
 export class PauseFault extends Fault {
   constructor(
     durationMs: number,
@@ -68,7 +68,7 @@
   }
 }
 
-/// A daemon is stopped in good order and started again.
+/// A daemon is stopped with SIGTERM and started again.
 export class RestartFault extends Fault {
   constructor(private readonly daemon: string) {
     super(0)
@@ -90,7 +90,7 @@
   }
 }
 
-/// The settings file is written anew, rightly or not, and the process is told.
+/// A daemon is signalled to reload an invalid settings file, and at the end a valid one.
 export class ReloadFault extends Fault {
   constructor(
     durationMs: number,
@@ -112,7 +112,7 @@
   }
 }
 
-/// A link is harmed.
+/// A proxy delays, drops or resets the connections of a link.
 export class LinkFault extends Fault {
   constructor(
     durationMs: number,
@@ -138,14 +138,14 @@
   stop(site: SoakSite): void {
     const proxy = site.getProxy(this.link)
     proxy?.setState("open")
-    // Bytes were lost: the connections that carried them are not whole any more.
+    // Bytes were dropped, so the streams of the open connections are corrupt.
     if (this.state !== "delayed") proxy?.resetAll()
   }
 }
 
 const DELAY_MS = 120
 
-/// The store treats some daemons badly.
+/// The store mistreats the calls of some daemons.
 export class StoreFault extends Fault {
   constructor(
     durationMs: number,
@@ -168,7 +168,7 @@
   }
 }
 
-/// The store forgets what has changed.
+/// The store drops its history of changes.
 export class HistoryFault extends Fault {
   constructor() {
     super(0)
@@ -211,7 +211,7 @@
   }
 }
 
-/// A back end crashes and comes back as another incarnation.
+/// A back end stops without draining and is replaced by a new incarnation.
 export class CrashFault extends Fault {
   constructor(
     durationMs: number,
@@ -236,7 +236,7 @@
   }
 }
 
-/// A back end says that it leaves, serves on, leaves, and another takes its place.
+/// A back end drains while it continues to serve, then stops and is replaced by a new incarnation.
 export class ReplaceFault extends Fault {
   constructor(
     durationMs: number,
@@ -262,7 +262,7 @@
   }
 }
 
-/// The operator takes a key away, and gives it back when the fault is over.
+/// The operator revokes an API key, and restores it at the end of the fault.
 export class KeyFault extends Fault {
   constructor(
     durationMs: number,
@@ -284,7 +284,7 @@
   }
 }
 
-/// The platform treats calls of the duties in some way.
+/// The platform mistreats the calls of the duties.
 export class DutyFault extends Fault {
   constructor(
     durationMs: number,
@@ -306,7 +306,7 @@
   }
 }
 
-/// The operator moves a route to the other service.
+/// The operator moves a route to the other plain service.
 export class ConfigurationFault extends Fault {
   constructor() {
     super(0)
--- a/lab/soak/handle-registry.ts
+++ b/lab/soak/handle-registry.ts
@@ -1,4 +1,4 @@
-/// What all back ends of a soak share: handles of prompts that were read.
+/// The KV cache handles of all back ends of a soak: which request's prompt each handle holds.
 export class HandleRegistry {
   private readonly requests = new Map<string, string>()
 
@@ -6,7 +6,7 @@
     this.requests.set(handle, requestId)
   }
 
-  /// The request whose prompt this handle holds; a handle serves once.
+  /// Removes a handle and returns the request whose prompt it holds; a handle can be used once.
   remove(handle: string): string | undefined {
     const id = this.requests.get(handle)
     this.requests.delete(handle)
--- a/lab/soak/retry-check.ts
+++ b/lab/soak/retry-check.ts
@@ -1,31 +1,33 @@
-/// The retry budget of a soak, counted where it binds: at the back ends, over all daemons and all restarts.
+/// Checks the retry budget of a soak at the back ends, where it applies: over all daemons and all restarts.
 
-/// One arrival of a request at a back end, whatever became of it.
+/// One arrival of a request at a back end, whatever its outcome.
 export interface ArrivalRecord {
   readonly requestId: string
   readonly service: string
   readonly backend?: string
   readonly at: number
-  /// Only its prompt was to be computed.
+  /// Whether the back end was only to compute the prompt (prefill).
   readonly promptOnly: boolean
-  /// The back end said that it would not run it.
+  /// Whether the back end rejected it without executing it.
   rejected: boolean
 }
 
-/// What all daemons together may repeat within any window, for each service.
+/// The retry budget of all daemons together, for each service and any window: a ratio of the requests and a
+/// constant number.
 export interface RetryBounds {
   readonly ratio: number
   readonly slack: number
   readonly windowMs: number
 }
 
-/// A caller's request for a service, as it was sent. Monotonic milliseconds.
+/// A caller's request for a service and when it was sent. Monotonic milliseconds.
 export interface ServiceRequest {
   readonly service: string
   readonly at: number
 }
 
-/// The window of one service in which most repeats came beyond what was allowed, or fewest were left.
+/// The window of one service in which the retries exceeded the allowed number most, or came closest to it.
+/// Monotonic milliseconds.
 export interface RetryWindow {
   readonly service: string
   readonly seen: number
@@ -33,7 +35,7 @@
   readonly from: number
 }
 
-/// The worst window of each service that got arrivals past the first of their requests.
+/// Finds the worst window of each service that received retries.
 export function findWorstWindows(
   arrivals: readonly ArrivalRecord[],
   requests: readonly ServiceRequest[],
@@ -41,41 +43,41 @@
 ): RetryWindow[] {
   const services = new Set(arrivals.map(({service}) => service))
   return [...services].flatMap(service => {
-    const repeats = findRetries(arrivals.filter(arrival => arrival.service === service))
-    const asked = requests.filter(request => request.service === service).map(({at}) => at)
-    return findWorstWindow(service, repeats, asked, bounds) ?? []
+    const retries = findRetries(arrivals.filter(arrival => arrival.service === service))
+    const requestTimes = requests.filter(request => request.service === service).map(({at}) => at)
+    return findWorstWindow(service, retries, requestTimes, bounds) ?? []
   })
 }
 
-/// When arrivals past the first of each request came, in order. The first call that only had the prompt
-/// computed is none.
+/// Times of the arrivals after the first of each request, in order. The first accepted prefill call of a request
+/// is no retry.
 function findRetries(arrivals: readonly ArrivalRecord[]): number[] {
-  const arrived = new Set<string>()
+  const seenRequests = new Set<string>()
   const prefilled = new Set<string>()
-  const repeats: number[] = []
+  const retries: number[] = []
   for (const {requestId, at, promptOnly, rejected} of arrivals) {
     const isFirstCall = promptOnly && !rejected && !prefilled.has(requestId)
     if (isFirstCall) prefilled.add(requestId)
-    else if (arrived.has(requestId)) repeats.push(at)
-    else arrived.add(requestId)
+    else if (seenRequests.has(requestId)) retries.push(at)
+    else seenRequests.add(requestId)
   }
-  return repeats.sort((left, right) => left - right)
+  return retries.sort((left, right) => left - right)
 }
 
-/// The worst window. Its requests, those of the window before it, or of the one half a window before it
-/// count, whichever are most.
+/// Finds the worst window. The budget follows from the highest number of requests among the window itself, the
+/// one a whole window earlier and the one half a window earlier.
 function findWorstWindow(
   service: string,
-  repeats: readonly number[],
-  asked: readonly number[],
+  retries: readonly number[],
+  requestTimes: readonly number[],
   {ratio, slack, windowMs}: RetryBounds
 ): RetryWindow | undefined {
-  const windows = repeats.map(from => {
+  const windows = retries.map(from => {
     const most = Math.max(
-      ...[0, windowMs / 2, windowMs].map(back => countInWindow(asked, from - back, windowMs))
+      ...[0, windowMs / 2, windowMs].map(offsetMs => countInWindow(requestTimes, from - offsetMs, windowMs))
     )
     const allowed = Math.floor(ratio * most + slack)
-    return {service, seen: countInWindow(repeats, from, windowMs), allowed, from: Math.round(from)}
+    return {service, seen: countInWindow(retries, from, windowMs), allowed, from: Math.round(from)}
   })
   windows.sort((left, right) => right.seen - right.allowed - (left.seen - left.allowed))
   return windows.at(0)
--- a/lab/soak/settings-file.ts
+++ b/lab/soak/settings-file.ts
@@ -2,7 +2,7 @@
 import type {SoakBounds} from "./soak-record.js"
 import {QUOTA_RULE} from "./soak-routes.js"
 
-/// Where a daemon's parts are reached.
+/// The addresses, `host:port`, and the metrics port of a daemon.
 export interface DaemonPorts {
   readonly front: string
   readonly ready: string
@@ -15,7 +15,7 @@
 const WINDOW_S = 2
 const USAGE_LATE_S = 4
 
-/// Formats the file.
+/// Formats the settings file as TOML.
 export function formatSettings(
   name: string,
   zone: string,
--- a/lab/soak/signal-check.ts
+++ b/lab/soak/signal-check.ts
@@ -1,14 +1,14 @@
-/// The bounds on requests to back ends that name a limit, say that they leave or ask daemons to back off, counted at the
-/// back ends from the daemons that they had told.
+/// Checks the bounds on requests to back ends that announce a limit, that they are leaving, or a back-off. Counts
+/// requests at the back ends, and only from daemons that had received the signal.
 
-/// In any window a back end gets so many times what its limit allows, and so many requests more.
+/// In any window a back end receives at most this multiple of its limit, plus a number of extra requests.
 const WINDOW_MS = 4000
 const ALLOWED_FACTOR = 1.5
 const ALLOWED_EXTRA = 5
-/// A daemon counts as told so long after it has passed on an answer that names the limit. Milliseconds.
+/// A daemon must keep to a limit from this long after it forwarded an answer that announces it. Milliseconds.
 const LIMIT_GRACE_MS = 500
 
-/// A time in which a back end names a limit. Monotonic milliseconds.
+/// A period in which a back end announces a limit. Monotonic milliseconds.
 export interface LimitSpan {
   readonly backend: string
   /// Requests a second.
@@ -17,7 +17,8 @@
   until: number
 }
 
-/// A request at a back end, the daemon that sent it there, and when its caller sent it.
+/// An arrival of a request at a back end, the daemon that forwarded it, and when its caller sent it.
+/// Monotonic milliseconds.
 export interface DaemonArrival {
   readonly backend: string
   readonly daemon: string
@@ -25,26 +26,27 @@
   readonly sentAt: number
 }
 
-/// An answer in which a back end says something of itself, as a daemon passed it on.
+/// An answer with a signal of a back end, and when its daemon forwarded it to the caller.
 export interface ForwardedSignal {
   readonly backend: string
   readonly daemon: string
   readonly at: number
 }
 
-/// A time for which a back end has asked a daemon to back off.
+/// A period in which a daemon must back off, as a back end asked it to.
 export interface BackOffSpan extends ForwardedSignal {
   readonly until: number
 }
 
-/// Whether a daemon ran on between two moments: one that did not must be told anew.
+/// Whether a daemon ran without interruption between two times: one that didn't may have lost the signal.
 export type UninterruptedCheck = (daemon: string, from: number, until: number) => boolean
 
-/// So many requests may reach a back end meanwhile, and none count that come sooner than this. Milliseconds.
+/// Allowed requests to a back end during a back-off, and the time at its start in which requests aren't counted,
+/// in milliseconds.
 const ALLOWED_IN_BACK_OFF = 2
 const BACK_OFF_GRACE_MS = 500
 
-/// The worst window of one span.
+/// The window of a period with a limit in which most requests arrived.
 export interface LimitWindow {
   readonly backend: string
   readonly perSecond: number
@@ -52,16 +54,16 @@
   readonly allowed: number
 }
 
-/// Requests that callers sent later than `drainMs` after a daemon had passed on that a back end leaves, and
-/// that it sent there.
+/// Requests that a daemon sent to a back end although their callers sent them more than `drainMs` after the daemon
+/// had forwarded the signal that the back end is leaving.
 export function findLateRequestsToLeaving(
-  told: readonly ForwardedSignal[],
+  signals: readonly ForwardedSignal[],
   arrivals: readonly DaemonArrival[],
   isUninterrupted: UninterruptedCheck,
   drainMs: number
 ): DaemonArrival[] {
   return arrivals.filter(({backend, daemon, at, sentAt}) =>
-    told.some(
+    signals.some(
       answer =>
         answer.backend === backend &&
         answer.daemon === daemon &&
@@ -71,7 +73,7 @@
   )
 }
 
-/// Back-offs in which more requests came from the daemon than may, with how many.
+/// Back-offs in which the daemon sent more requests than allowed, with their number.
 export function findBackOffViolations(
   spans: readonly BackOffSpan[],
   arrivals: readonly DaemonArrival[],
@@ -90,16 +92,16 @@
   })
 }
 
-/// The worst window of each span, from the contact time after its beginning on.
+/// The worst window of each period with a limit, from the contact time after its start.
 export function findLimitWindows(
   spans: readonly LimitSpan[],
   arrivals: readonly DaemonArrival[],
-  told: readonly ForwardedSignal[],
+  signals: readonly ForwardedSignal[],
   isUninterrupted: UninterruptedCheck,
   contactMs: number
 ): LimitWindow[] {
   return spans.map(({backend, perSecond, from, until}) => {
-    const answers = told.filter(({backend: id, at}) => id === backend && at >= from && at <= until)
+    const answers = signals.filter(({backend: id, at}) => id === backend && at >= from && at <= until)
     const counted = arrivals.filter(({backend: id, daemon, at}) => {
       if (id !== backend || at < from + contactMs || at > until) return false
       return answers.some(
--- a/lab/soak/signal-faults.ts
+++ b/lab/soak/signal-faults.ts
@@ -1,10 +1,10 @@
-/// Faults in which back ends say in their answers what they want.
+/// Faults in which back ends send signals in their answers: a limit, that they are leaving, or a back-off.
 import {Fault} from "./faults.js"
 import type {SoakSite} from "./soak-site.js"
 
-/// A back end names a limit in its answers.
+/// A back end announces a limit in its answers.
 export class LimitFault extends Fault {
-  private end: () => void = () => undefined
+  private stopLimit: () => void = () => undefined
 
   constructor(
     durationMs: number,
@@ -23,15 +23,15 @@
     return true
   }
   start(site: SoakSite): void {
-    this.end = site.startLimit(this.place, this.perSecond)
+    this.stopLimit = site.startLimit(this.place, this.perSecond)
   }
   stop(): void {
-    this.end()
+    this.stopLimit()
   }
 }
 
-/// A back end says in its answers that it leaves while its record says that it is ready; then another takes
-/// its place.
+/// A back end announces in its answers that it is leaving while its record says that it is ready; at the end it is
+/// replaced by a new incarnation.
 export class LeavingSignalFault extends Fault {
   constructor(
     durationMs: number,
@@ -57,7 +57,7 @@
   }
 }
 
-/// A back end turns part of its requests away and asks daemons to back off.
+/// A back end rejects part of its requests and asks daemons to back off.
 export class BackOffFault extends Fault {
   constructor(
     durationMs: number,
--- a/lab/soak/signal-record.ts
+++ b/lab/soak/signal-record.ts
@@ -1,4 +1,4 @@
-/// What back ends said of themselves in a soak, and whether daemons kept to it.
+/// The signals of back ends in a soak (limits, leaving, back-offs), and a check that daemons comply with them.
 import {SECOND_MS} from "../../src/shared/units.js"
 import {isUninterrupted, type Disturbance} from "./disturbance.js"
 import type {ArrivalRecord} from "./retry-check.js"
@@ -13,21 +13,21 @@
   type ForwardedSignal
 } from "./signal-check.js"
 
-/// What is known of a caller's request and its answer. Monotonic milliseconds.
+/// A caller's request and its answer. Monotonic milliseconds.
 interface AnsweredRequest {
   readonly daemon: string
   readonly sentAt: number
   endedAt?: number
   signature?: string
-  /// The answer names a limit of its back end.
+  /// The answer announces a limit of its back end.
   signalsLimit?: boolean
-  /// The answer says that its back end leaves.
+  /// The answer announces that its back end is leaving.
   signalsLeaving?: boolean
 }
 
-/// The record of one soak.
+/// The signals and checks of one soak.
 export class SignalRecord {
-  /// When back ends named limits.
+  /// Periods in which back ends announced limits.
   readonly limits: LimitSpan[] = []
   private readonly backOffs: BackOffSpan[] = []
 
@@ -39,30 +39,30 @@
     private readonly bounds: {readonly contactMs: number; readonly drainMs: number}
   ) {}
 
-  /// A back end turned a request away and asked the daemon that sent it to back off.
+  /// Records that a back end rejected a request and asked the daemon that sent it to back off.
   addBackOff(backend: string, requestId: string, seconds: number): void {
     const at = performance.now()
     const daemon = this.requests.get(requestId)?.daemon ?? ""
     this.backOffs.push({backend, daemon, at, until: at + seconds * SECOND_MS})
   }
 
-  /// The worst window of each limit that a back end named.
+  /// The worst window of each limit that a back end announced.
   findLimitWindows(): LimitWindow[] {
-    const told = this.findForwardedSignals(({signalsLimit}) => signalsLimit === true)
+    const signals = this.findForwardedSignals(({signalsLimit}) => signalsLimit === true)
     return findLimitWindows(
       this.limits,
       this.findArrivals(),
-      told,
+      signals,
       this.isUninterrupted,
       this.bounds.contactMs
     )
   }
 
-  /// Every broken promise.
+  /// Returns every violation of a promise.
   check(): {readonly promise: string; readonly text: string}[] {
     const arrivals = this.findArrivals()
-    const told = this.findForwardedSignals(({signalsLeaving}) => signalsLeaving === true)
-    const late = findLateRequestsToLeaving(told, arrivals, this.isUninterrupted, this.bounds.drainMs)
+    const signals = this.findForwardedSignals(({signalsLeaving}) => signalsLeaving === true)
+    const late = findLateRequestsToLeaving(signals, arrivals, this.isUninterrupted, this.bounds.drainMs)
     const backOffs = findBackOffViolations(this.backOffs, arrivals, this.isUninterrupted)
     const limits = this.findLimitWindows().filter(({seen, allowed}) => seen > allowed)
     return [
@@ -91,7 +91,7 @@
     })
   }
 
-  /// Answers that daemons passed on.
+  /// Answers with a signal that daemons forwarded.
   private findForwardedSignals(hasSignal: (request: AnsweredRequest) => boolean): ForwardedSignal[] {
     return [...this.requests.values()].flatMap(request => {
       const {signature, daemon, endedAt} = request
--- a/lab/soak/soak-record.ts
+++ b/lab/soak/soak-record.ts
@@ -1,5 +1,5 @@
-/// What callers and back ends saw in a soak, and which promises that breaks. It knows nothing of the daemons'
-/// inside.
+/// The observations of callers and back ends in a soak, and the check of the promises against them. Relies on
+/// nothing inside the daemons.
 
 import {
   findWorstWindows,
@@ -21,42 +21,42 @@
   readonly form: RouteForm
   readonly sentAt: number
   readonly timeoutMs: number
-  /// The key that the caller showed.
+  /// The API key that the caller sent.
   readonly key?: string | undefined
-  /// Whether the route asks for one.
+  /// Whether the route requires a key.
   readonly needsKey?: boolean
   endedAt?: number
-  /// Undefined when the connection ended without a whole answer.
+  /// Undefined when the connection ended before the answer was complete.
   status?: number
   signature?: string
-  /// The answer names a limit of its back end.
+  /// The answer announces a limit of its back end.
   signalsLimit?: boolean
-  /// The answer says that its back end leaves.
+  /// The answer announces that its back end is leaving.
   signalsLeaving?: boolean
   body?: string
-  /// A streamed answer ended as complete.
+  /// Whether the answer ended as complete, by its HTTP framing.
   complete?: boolean
-  /// The body of a request that ends the back ends that run it; undefined for the others.
+  /// The body of a request that crashes the back ends that execute it; undefined for the others.
   readonly crashingBody?: string
 }
 
-/// One run, or arrival, at a back end.
+/// One execution of a request at a back end. Monotonic milliseconds.
 export interface ExecutionRecord {
   readonly requestId: string
   readonly backend: string
   readonly service: string
   readonly at: number
-  /// Read only, for another back end to generate.
+  /// Whether only the prompt was computed (prefill), for another back end to generate.
   readonly promptOnly: boolean
-  /// The tenant that the back end was told.
+  /// The tenant in the headers of the request to the back end.
   readonly tenant?: string | undefined
-  /// What the request says of its tokens.
+  /// Tokens of the prompt and the maximum to generate, by the headers of the request.
   readonly tokens?: number | undefined
-  /// The status that the back end gave; undefined while it runs or when it broke off.
+  /// The status of the back end's answer; undefined while it executes or when its answer broke off.
   status?: number
 }
 
-/// One order that a back end took.
+/// One order that a back end received with a valid fence. Monotonic milliseconds.
 interface OrderRecord {
   readonly backend: string
   readonly holder: string
@@ -64,7 +64,7 @@
   readonly at: number
 }
 
-/// The bounds of a site without series of restarts.
+/// Default bounds; they don't allow for series of restarts.
 export const SOAK_BOUNDS: SoakBounds = {
   configMs: 2000,
   drainMs: 2000,
@@ -74,7 +74,7 @@
   retries: {ratio: 0.2, slack: 50, windowMs: 10_000}
 }
 
-/// A broken promise.
+/// A broken promise, with the request, back end or daemon in question.
 export interface Violation {
   readonly promise: string
   readonly text: string
@@ -86,7 +86,7 @@
   readonly drainMs: number
   readonly contactMs: number
   readonly leaseMs: number
-  /// Added to every bound: one machine runs everything.
+  /// Added to every bound, because all processes share one machine.
   readonly marginMs: number
   readonly retries: RetryBounds
 }
@@ -95,45 +95,47 @@
 const FIRST_FAILURE_STATUS = 300
 const STATUS_UNAUTHORIZED = 401
 
-/// The record of one soak.
+/// The record of one soak. Times are monotonic milliseconds.
 export class SoakRecord {
   readonly requests = new Map<string, CallerRecord>()
   readonly executions: ExecutionRecord[] = []
   readonly arrivals: ArrivalRecord[] = []
   readonly orders: OrderRecord[] = []
   readonly disturbances: Disturbance[] = []
-  /// Which service a route leads to, from when on.
+  /// Changes of the service that a route leads to.
   readonly routes: {readonly route: string; readonly service: string; readonly at: number}[] = []
-  /// Which keys were taken away or given back, and when.
+  /// Keys that were revoked or restored, and when.
   readonly keys: {readonly key: string; readonly valid: boolean; readonly at: number}[] = []
-  /// When a back end was said to drain.
+  /// When each back end's record was set to draining.
   readonly drainStarts = new Map<string, number>()
-  /// Back ends that ended under requests.
+  /// Crashes of back ends by requests.
   readonly crashes: CrashRecord[] = []
-  /// Violations that the stand-ins saw themselves.
+  /// Violations that the stand-ins and the site observed directly.
   readonly observedViolations: Violation[] = []
 
-  /// What back ends said of themselves.
+  /// Signals of back ends in their answers.
   readonly signals: SignalRecord
 
   constructor(private readonly bounds: SoakBounds) {
     this.signals = new SignalRecord(this.requests, this.arrivals, this.disturbances, bounds)
   }
 
-  /// Whether a daemon was left alone, contact included, from `from` to `until`.
+  /// Whether no disturbance of a daemon overlapped the period, the contact time after each included.
   isUndisturbed(daemon: string, from: number, until: number): boolean {
     return isUndisturbed(this.disturbances, this.bounds.contactMs, {daemon, from, until})
   }
 
-  /// Every broken promise.
+  /// Returns every violation of a promise.
   check(): Violation[] {
-    const runsOf = groupBy(this.executions, run => run.requestId)
+    const executionsByRequest = groupBy(this.executions, execution => execution.requestId)
     const violations = [...this.observedViolations]
     for (const request of this.requests.values()) {
-      const runs = (runsOf.get(request.id) ?? []).filter(run => !run.promptOnly)
-      violations.push(...this.checkRequest(request, runs))
+      const executions = (executionsByRequest.get(request.id) ?? []).filter(
+        execution => !execution.promptOnly
+      )
+      violations.push(...this.checkRequest(request, executions))
     }
-    for (const run of this.executions) violations.push(...this.checkExecution(run))
+    for (const execution of this.executions) violations.push(...this.checkExecution(execution))
     violations.push(...this.checkOrders())
     for (const tenant of Object.keys(SOAK_QUOTAS)) violations.push(...this.checkQuota(tenant))
     for (const {body, ends, lateRetries} of this.findCrashOutcomes())
@@ -150,12 +152,12 @@
     return violations
   }
 
-  /// The worst window of each service, counted at the back ends.
+  /// The worst window of retries of each service, counted at the back ends.
   findWorstRetryWindows(): RetryWindow[] {
     return findWorstWindows(this.arrivals, this.getServiceRequests(), this.bounds.retries)
   }
 
-  /// What became of each request that ends back ends.
+  /// The crashes and late retries of each request that crashes back ends.
   findCrashOutcomes(): CrashOutcome[] {
     const {contactMs, marginMs} = this.bounds
     const isInContact = (id: string, at: number) =>
@@ -164,7 +166,7 @@
     return findCrashOutcomes(this.crashes, this.arrivals, findBody, isInContact, contactMs + marginMs)
   }
 
-  /// The requests by the services that their routes led to. While a route moves its requests count for both.
+  /// The requests by the services of their routes. While a route moves, its requests count for both services.
   private getServiceRequests(): ServiceRequest[] {
     const {configMs} = this.bounds
     return [...this.requests.values()].flatMap(({route, sentAt: at}) =>
@@ -172,35 +174,44 @@
     )
   }
 
-  /// What all back ends run of a tenant within any window is bounded, whatever fails.
+  /// Checks the tokens of a tenant that all back ends execute within any window. The bound holds under all faults.
   private checkQuota(tenant: string): Violation[] {
     const {windowS, overage, slackTokens} = QUOTA_RULE
     const {ratePerSecond, burst} = SOAK_QUOTAS[tenant]
     const allowed = (ratePerSecond * windowS + burst) * (1 + overage) + slackTokens
-    const runs = this.executions.filter(run => run.tenant === tenant && !run.promptOnly)
-    const inOrder = [...runs].sort((left, right) => left.at - right.at)
+    const executions = this.executions.filter(
+      execution => execution.tenant === tenant && !execution.promptOnly
+    )
+    const inOrder = [...executions].sort((left, right) => left.at - right.at)
     let first = 0
     let sum = 0
     let worst = 0
-    for (const run of inOrder) {
-      sum += run.tokens ?? UNCACHED_TOKENS
-      while (inOrder[first].at <= run.at - windowS * 1000) sum -= inOrder[first++].tokens ?? UNCACHED_TOKENS
+    for (const execution of inOrder) {
+      sum += execution.tokens ?? UNCACHED_TOKENS
+      while (inOrder[first].at <= execution.at - windowS * 1000)
+        sum -= inOrder[first++].tokens ?? UNCACHED_TOKENS
       worst = Math.max(worst, sum)
     }
     const text = `${tenant}: ${worst} of ${Math.round(allowed)} tokens`
     return worst > allowed ? [{promise: "a tenant stays within its quota", text}] : []
   }
 
-  private checkRequest(request: CallerRecord, runs: readonly ExecutionRecord[]): Violation[] {
+  private checkRequest(request: CallerRecord, executions: readonly ExecutionRecord[]): Violation[] {
     const found: Violation[] = []
     const {id, form, status, sentAt, endedAt, timeoutMs} = request
-    const say = (promise: string, text: string) =>
+    const addViolation = (promise: string, text: string) =>
       found.push({promise, text: `${id} (${request.route} by ${request.daemon}) ${text}`})
     if (status === undefined && isCutByStop(this.disturbances, this.bounds.contactMs, request))
-      say("a planned stop cuts no request", "was cut")
-    if (form === "non_idempotent" && runs.length > 1) say("runs at most once", `ran ${runs.length} times`)
-    if (form === "non_idempotent" && status !== undefined && NOT_EXECUTED.has(status) && runs.length > 0)
-      say("a refusal as not run is true", `got ${status} and ran at ${runs[0].backend}`)
+      addViolation("a planned stop cuts no request", "was cut")
+    if (form === "non_idempotent" && executions.length > 1)
+      addViolation("runs at most once", `ran ${executions.length} times`)
+    if (
+      form === "non_idempotent" &&
+      status !== undefined &&
+      NOT_EXECUTED.has(status) &&
+      executions.length > 0
+    )
+      addViolation("a refusal as not run is true", `got ${status} and ran at ${executions[0].backend}`)
     if (
       status === STATUS_UNAUTHORIZED &&
       this.wasKeyValid(
@@ -210,15 +221,16 @@
         "always"
       )
     )
-      say("a valid key is not denied", "got 401")
-    if (status !== undefined && status < FIRST_FAILURE_STATUS) this.checkSuccess(request, runs, say)
+      addViolation("a valid key is not denied", "got 401")
+    if (status !== undefined && status < FIRST_FAILURE_STATUS)
+      this.checkSuccess(request, executions, addViolation)
     const dueAt = sentAt + timeoutMs + this.bounds.marginMs
     if ((endedAt ?? Infinity) > dueAt && this.isUndisturbed(request.daemon, sentAt, dueAt))
-      say("an answer at the time-out", `had none ${Math.round(dueAt - sentAt)} ms after it was sent`)
+      addViolation("an answer at the time-out", `had none ${Math.round(dueAt - sentAt)} ms after it was sent`)
     return found
   }
 
-  /// Whether the caller's key was valid, always or at some time, in a span.
+  /// Whether the caller's key was valid during the whole period, or at some time in it.
   wasKeyValid({key}: CallerRecord, from: number, until: number, when: "always" | "ever"): boolean {
     if (findTenant(key) === undefined) return false
     const steps = this.keys.filter(step => step.key === key && step.at <= until)
@@ -230,53 +242,58 @@
 
   private checkSuccess(
     request: CallerRecord,
-    runs: readonly ExecutionRecord[],
-    say: (promise: string, text: string) => void
+    executions: readonly ExecutionRecord[],
+    addViolation: (promise: string, text: string) => void
   ): void {
     const {id, form, signature, body, complete} = request
-    const run = runs.find(candidate => candidate.backend === signature)
-    if (!run)
-      say(
+    const execution = executions.find(candidate => candidate.backend === signature)
+    if (!execution)
+      addViolation(
         "a caller receives the whole answer to its own request",
         `signed ${signature}, which did not run it`
       )
     if (form === "streaming") {
       const problem = findStreamProblem(id, body ?? "", complete ?? false)
-      if (problem) say("a stream has every piece once, in order", problem)
+      if (problem) addViolation("a stream has every piece once, in order", problem)
     } else if (body !== formatBody(id))
-      say("a caller receives the whole answer to its own request", `body ${body}`)
+      addViolation("a caller receives the whole answer to its own request", `body ${body}`)
   }
 
-  private checkExecution(run: ExecutionRecord): Violation[] {
-    const request = this.requests.get(run.requestId)
+  private checkExecution(execution: ExecutionRecord): Violation[] {
+    const request = this.requests.get(execution.requestId)
     if (!request)
-      return [{promise: "only what callers sent is run", text: `${run.requestId} at ${run.backend}`}]
+      return [
+        {promise: "only what callers sent is run", text: `${execution.requestId} at ${execution.backend}`}
+      ]
     const found: Violation[] = []
-    const undisturbed = this.isUndisturbed(request.daemon, request.sentAt, run.at)
+    const undisturbed = this.isUndisturbed(request.daemon, request.sentAt, execution.at)
     const tenant = request.needsKey ? findTenant(request.key) : undefined
-    if (request.needsKey !== undefined && run.tenant !== tenant)
+    if (request.needsKey !== undefined && execution.tenant !== tenant)
       found.push({
         promise: "a request runs in its caller's name",
-        text: `${request.id} ran for ${run.tenant}, not ${tenant}`
+        text: `${request.id} ran for ${execution.tenant}, not ${tenant}`
       })
     const oldest = undisturbed ? request.sentAt - this.bounds.configMs - this.bounds.marginMs : -Infinity
-    if (!this.getServices(request.route, oldest, run.at).has(run.service))
+    if (!this.getServices(request.route, oldest, execution.at).has(execution.service))
       found.push({
         promise: "a configuration is in force in time",
-        text: `${request.id} ran at ${run.service}`
+        text: `${request.id} ran at ${execution.service}`
+      })
+    if (request.needsKey && !this.wasKeyValid(request, oldest, execution.at, "ever"))
+      found.push({
+        promise: "no request runs without a valid key",
+        text: `${request.id} at ${execution.backend}`
       })
-    if (request.needsKey && !this.wasKeyValid(request, oldest, run.at, "ever"))
-      found.push({promise: "no request runs without a valid key", text: `${request.id} at ${run.backend}`})
-    const drainedAt = this.drainStarts.get(run.backend) ?? Infinity
-    if (undisturbed && run.at > drainedAt + this.bounds.drainMs + this.bounds.marginMs)
+    const drainedAt = this.drainStarts.get(execution.backend) ?? Infinity
+    if (undisturbed && execution.at > drainedAt + this.bounds.drainMs + this.bounds.marginMs)
       found.push({
         promise: "a leaving back end gets no new work",
-        text: `${request.id} at ${run.backend} by ${request.daemon}`
+        text: `${request.id} at ${execution.backend} by ${request.daemon}`
       })
     return found
   }
 
-  /// Services that a route led to at some time between two moments.
+  /// The services that a route led to at any time in the period.
   private getServices(route: string, from: number, until: number): Set<string> {
     const steps = this.routes.filter(step => step.route === route && step.at <= until)
     const services = new Set<string>()
@@ -294,34 +311,35 @@
         const other = orders.find(earlier => earlier.fence === order.fence && earlier.holder !== order.holder)
         if (other)
           found.push({promise: "one holder a fence", text: `${backend}: fence ${order.fence} by two`})
-        const turned = orders
+        const returnsWithinLease = orders
           .slice(i + 1)
           .some(
-            (later, j) => later.holder !== order.holder && this.isLeaseBroken(order, orders.slice(i + 2 + j))
+            (later, j) => later.holder !== order.holder && this.isWithinLease(order, orders.slice(i + 2 + j))
           )
-        if (turned)
+        if (returnsWithinLease)
           found.push({promise: "holders do not take turns", text: `${backend} at ${Math.round(order.at)}`})
       }
     }
     return found
   }
 
-  private isLeaseBroken(order: OrderRecord, later: readonly OrderRecord[]): boolean {
+  private isWithinLease(order: OrderRecord, later: readonly OrderRecord[]): boolean {
     return later.some(next => next.holder === order.holder && next.at - order.at < this.bounds.leaseMs)
   }
 }
 
-/// The body of the answer to a request that is not streamed.
+/// The body of the answer to a request when it isn't streamed.
 export function formatBody(id: string): string {
   return `answer to ${id}.`
 }
 
-/// One event of a stream; the last says so.
+/// One server-sent event of a streamed answer, with its number and the total count.
 export function formatEvent(id: string, number: number, count: number): string {
   return `id: ${number}\ndata: ${id} ${number} of ${count}\n\n`
 }
 
-/// What is wrong with a stream that was taken for a success.
+/// Finds the first error in a stream with a success status; undefined when there is none. A stream that didn't end
+/// as complete may lack events at its end.
 function findStreamProblem(id: string, body: string, whole: boolean): string | undefined {
   const events = body.split("\n\n")
   const remainder = events.pop()
--- a/lab/soak/soak-routes.ts
+++ b/lab/soak/soak-routes.ts
@@ -1,9 +1,9 @@
-/// The routes and services of a soak, as the operator writes them and as callers use them.
+/// The routes, services, tenants and quotas of a soak: the operator's configuration and the callers' view of it.
 
-/// Forms of requests, as routes name them.
+/// The kinds of routes in the operator's configuration.
 export type RouteForm = "idempotent" | "non_idempotent" | "streaming"
 
-/// A route as callers use it.
+/// A route from the callers' point of view. Time-outs are milliseconds.
 export interface CallerRoute {
   readonly name: string
   readonly host: string
@@ -12,7 +12,8 @@
   readonly timeoutMs: number
   /// Callers need no key.
   readonly isPublic?: boolean
-  /// Tokens of the shared and the own part of each prompt; undefined for plain services.
+  /// Tokens of the shared and the unique part of each prompt, and the number of different shared parts; undefined
+  /// for plain services.
   readonly prompt?: {readonly shared: number; readonly unique: number; readonly subjects: number}
 }
 
@@ -25,35 +26,35 @@
 /// Names of the services.
 export const SOAK_SERVICES = {plain: "application", otherPlain: "application-2", engines: "engines"} as const
 
-/// The tenants and their keys, before any is taken away.
+/// The tenants and their keys, before any is revoked.
 export const SOAK_TENANTS: readonly {readonly name: string; readonly keys: readonly string[]}[] = [
   {name: "anna", keys: ["k3f9x2m7q1w8e5r6t4a1", "k3f9x2m7q1w8e5r6t4a2"]},
   {name: "bert", keys: ["p8d2c5v9b3n7m1k4j6b1", "p8d2c5v9b3n7m1k4j6b2"]},
   {name: "cleo", keys: ["z4y7u1i9o2p5l8h3g6c1"]}
 ]
 
-/// The tenant that asks for more than it may.
+/// The tenant whose requests exceed its quota.
 export const OVER_QUOTA_TENANT = "cleo"
-/// What the tenants may ask, in tokens.
+/// The quotas of the tenants, in tokens; a tenant without an entry has none.
 export const SOAK_QUOTAS: Readonly<Record<string, {readonly ratePerSecond: number; readonly burst: number}>> =
   {
     anna: {ratePerSecond: 400_000, burst: 400_000},
     [OVER_QUOTA_TENANT]: {ratePerSecond: 3000, burst: 6000}
   }
-/// What a request counts that says nothing of tokens.
+/// Tokens counted for a request without token headers.
 export const UNCACHED_TOKENS = 50
-/// Bounds of the promise; see `checkQuotas`.
+/// Bounds of the promise on quotas; see `checkQuota` of the record.
 export const QUOTA_RULE = {windowS: 8, overage: 0.1, slackTokens: 40_000} as const
 
-/// A key that no configuration ever holds.
+/// A key that is in no configuration.
 export const UNKNOWN_KEY = "q9w8e7r6t5y4u3i2o1xx"
 
-/// The tenant of a key.
+/// Finds the tenant of a key, revoked or not; undefined for an unknown key.
 export function findTenant(key: string | undefined): string | undefined {
   return SOAK_TENANTS.find(({keys}) => key !== undefined && keys.includes(key))?.name
 }
 
-/// The routes that callers use.
+/// The routes that callers send requests to.
 export const SOAK_ROUTES: readonly CallerRoute[] = [
   {name: "document", host: HOST, path: "/document/x", form: "non_idempotent", timeoutMs: 1500},
   {name: "receipt", host: HOST, path: "/receipt/x", form: "idempotent", timeoutMs: 1500, isPublic: true},
@@ -82,7 +83,7 @@
   return route === MOVING_ROUTE ? movingService : SOAK_SERVICES.plain
 }
 
-/// The operator's configuration, without the keys in `taken`.
+/// Formats the operator's configuration, without the keys in `revokedKeys`.
 export function formatConfiguration(
   version: number,
   movingService: string,
--- a/lab/soak/soak-site.ts
+++ b/lab/soak/soak-site.ts
@@ -1,5 +1,5 @@
-/// The whole site of a soak: daemons as processes, and in this process the store, the back ends, the proxies
-/// before them and the callers.
+/// The site of a soak. Daemons run as separate processes; the store, the back ends and the proxies in front of
+/// them and of the daemons run in this process.
 import {readFileSync} from "node:fs"
 import {join} from "node:path"
 import {parse} from "smol-toml"
@@ -18,13 +18,13 @@
 
 const ZONES = ["zone-a", "zone-b"]
 const PORTS_PER_DAEMON = 4
-/// A back end that a request has ended is down so long. Milliseconds.
+/// How long a back end is down after a request has crashed it. Milliseconds.
 const SHORTEST_DOWN_MS = 800
 const LONGEST_DOWN_MS = 3000
-/// How long back ends are down has a generator of its own, so that plans stay the same.
+/// Seed of the generator for down times of crashed back ends. A separate one keeps the plans of faults the same.
 const CRASH_SEED = 43
 
-/// Back ends by place: a place keeps its service when its incarnation changes.
+/// The places of back ends: each keeps its service and its first stage over all incarnations.
 const PLACES: readonly {service: string; stage: "prefill" | "decode" | undefined}[] = [
   ...Array.from({length: 2}, () => ({service: SOAK_SERVICES.plain, stage: undefined})),
   ...Array.from({length: 2}, () => ({service: SOAK_SERVICES.otherPlain, stage: undefined})),
@@ -34,9 +34,9 @@
   }))
 ]
 
-/// How many back ends there are.
+/// Number of back ends.
 export const BACKEND_PLACES = PLACES.length
-/// The same by service.
+/// The places of the back ends of each service.
 export const PLACES_BY_SERVICE: readonly (readonly number[])[] = Object.values(SOAK_SERVICES).map(service =>
   [...PLACES.keys()].filter(place => PLACES[place].service === service)
 )
@@ -49,7 +49,7 @@
   incarnation: number
 }
 
-/// The site.
+/// Starts and stops the parts of the site, and applies faults to them.
 export class SoakSite {
   readonly store = new StoreStandIn()
   readonly duties: DutyStandIn
@@ -57,7 +57,7 @@
   readonly targets: CallerTarget[] = []
   private readonly proxies = new Map<string, FaultProxy>()
   private readonly places: Place[] = []
-  /// Every incarnation of this run: each holds its port until the end of the run.
+  /// Every incarnation of this soak: each keeps its port until the end.
   private readonly incarnations: BackendStandIn[] = []
   private readonly registry = new HandleRegistry()
   private version = 0
@@ -72,7 +72,7 @@
     private readonly folder: string,
     private readonly program: string,
     private readonly random: () => number,
-    /// Flags of the runtime beside those of the deploy file.
+    /// Flags of the runtime in addition to those of the deploy file.
     private readonly extraFlags: readonly string[] = []
   ) {
     this.duties = new DutyStandIn(bounds.leaseMs)
@@ -80,7 +80,7 @@
     this.crashRandom = () => generator.next()
   }
 
-  /// Starts everything with so many daemons.
+  /// Starts the stand-ins, then this number of daemons.
   async start(daemonCount: number): Promise<void> {
     await this.startDaemons(daemonCount)
     this.changeConfiguration()
@@ -91,7 +91,7 @@
     for (const daemon of this.daemons) daemon.start()
   }
 
-  /// Ends every process that was started here, and closes everything.
+  /// Kills every process that was started here, and closes all servers.
   async close(): Promise<void> {
     this.closed = true
     await Promise.all(this.daemons.map(daemon => daemon.kill()))
@@ -122,8 +122,8 @@
     if (backend) backend.behavior = behavior
   }
 
-  /// The back end at a place names a limit in its answers from now on, in requests a second. Returns how to
-  /// end that.
+  /// Makes the back end at a place announce a limit, in requests a second. Returns a function that stops it; it
+  /// also stops when the back end does.
   startLimit(place: number, perSecond: number): () => void {
     const {backend} = this.places[place]
     if (!backend) return () => undefined
@@ -138,19 +138,21 @@
     return end
   }
 
-  /// The back end at a place says in its answers that it leaves, while its record says that it is ready.
+  /// Makes the back end at a place announce in its answers that it is leaving, while its record says that it is
+  /// ready.
   setLeaving(place: number): void {
     const {backend} = this.places[place]
     if (backend) backend.signalsLeaving = true
   }
 
-  /// The back end at a place turns part of its requests away and asks daemons to back off; undefined: no more.
+  /// Makes the back end at a place reject part of its requests and ask daemons to back off; undefined stops it.
   setBackOff(place: number, backOff: BackendStandIn["backOff"]): void {
     const {backend} = this.places[place]
     if (backend) backend.backOff = backOff
   }
 
-  /// Starts a new incarnation at a place, if none is there. It may have the id of the one before.
+  /// Starts a new incarnation at a place, if none is running there. With `keepsId` it has the id of the previous
+  /// one.
   async startBackend(index: number, keepsId = false): Promise<void> {
     const place = this.places[index]
     if (place.backend || this.closed) return
@@ -165,14 +167,14 @@
     backend.announce(place.proxyAddress)
   }
 
-  /// The address of a place's back end; undefined where none is, since the one before holds its port to the end.
+  /// The address of a place's back end; undefined when none is running, as the previous one still holds its port.
   private findListenerAddress(index: number): string | undefined {
     const {backend, realAddress} = this.places[index]
     return backend && realAddress
   }
 
-  /// A request has ended the back end at a place; it is back after some seconds, half of the times under its
-  /// id.
+  /// Crashes the back end at a place because of a request. A new incarnation starts after the down time, in half
+  /// of the cases with the same id, unless the old one was draining.
   private crashBackend(index: number): void {
     const place = this.places[index]
     const {backend} = place
@@ -203,7 +205,7 @@
     this.places[index].backend = undefined
   }
 
-  /// Writes the next version: the moving route changes its service.
+  /// Writes a new version of the configuration, in which the moving route leads to the other plain service.
   changeConfiguration(): void {
     this.version += 1 + Math.floor(this.random() * 3)
     const {plain, otherPlain} = SOAK_SERVICES
@@ -218,7 +220,7 @@
     this.writeConfiguration()
   }
 
-  /// Takes a key away from its tenant, or gives it back.
+  /// Revokes a tenant's key, or restores it.
   setKey(key: string, valid: boolean): void {
     if (valid) this.revokedKeys.delete(key)
     else this.revokedKeys.add(key)
@@ -286,7 +288,7 @@
   }
 }
 
-/// The flags of the program, as the deploy file has them.
+/// Reads the flags of the runtime for the program from the deploy file.
 function readFlags(): string[] {
   const deploy = parse(readFileSync(join(process.cwd(), "deploy/system.toml"), "utf8"))
   const {run} = (deploy.roles as Record<string, {run: string}>).forwarder
--- a/lab/soak/soak.ts
+++ b/lab/soak/soak.ts
@@ -1,5 +1,5 @@
-/// A randomized soak of the deployed program: real processes, faults from outside, promises checked from what
-/// callers and back ends see.
+/// A randomized soak test of the deployed program: real processes, faults injected from outside, and promises
+/// checked against what callers and back ends observe.
 ///
 /// npm run fault-soak -- --seed 7 --seconds 60
 import {execFileSync} from "node:child_process"
@@ -22,46 +22,46 @@
 
 const BOUNDS: SoakBounds = {...SOAK_BOUNDS, marginMs: 1500}
 const START_MS = 2500
-/// After the last fault the site must serve again.
+/// Time for the site to recover after the last fault; requests in its last part must be served. Milliseconds.
 const RECOVERY_MS = 8000
 const RECOVERY_CHECK_MS = 3000
 const STATUS_OVER_QUOTA = 429
 const MIN_SERVED_AFTER_RECOVERY = 0.95
 const DAEMONS = 5
 
-/// What a soak came to.
+/// The result of a soak, printed as one line of JSON.
 interface SoakOutcome {
   readonly seed: number
   readonly requests: number
   readonly served: number
   readonly servedWhenCalm: number
-  /// The worst window of repeats of each service.
+  /// The worst window of retries of each service.
   readonly repeats: readonly RetryWindow[]
-  /// What became of requests that end back ends.
+  /// The crashes and late retries of requests that crash back ends.
   readonly crashes: readonly CrashOutcome[]
-  /// The worst windows of limits that back ends named.
+  /// The worst window of each limit that a back end announced.
   readonly limits: readonly LimitWindow[]
   readonly violations: readonly Violation[]
 }
 
-/// What a soak is made of beside its seed.
+/// Options of a soak besides its seed and its rate.
 interface SoakOptions {
   readonly daemonCount: number
-  /// Whether series of restarts beside busy back ends are played too.
+  /// Whether there are series of restarts with overloaded back ends.
   readonly series: boolean
-  /// Whether some callers send requests that end the back ends that run them.
+  /// Whether some callers send requests that crash the back ends that execute them.
   readonly crashes: boolean
-  /// Whether back ends say in their answers what they want.
+  /// Whether back ends send signals in their answers: limits, leaving and back-offs.
   readonly signals: boolean
 }
 
 const DEFAULT_OPTIONS: SoakOptions = {daemonCount: DAEMONS, series: false, crashes: false, signals: false}
-/// Callers of such requests come back so often, about. Milliseconds.
+/// Mean interval of the requests that crash back ends, on each of their routes. Milliseconds.
 const CRASH_INTERVAL_MS = 400
-/// The routes on which they are sent: a plain one, and two whose answers are streamed.
+/// The routes of these requests: a plain one, and two with streamed answers.
 const CRASH_ROUTES = SOAK_ROUTES.filter(({name}) => ["receipt", "check", "review"].includes(name))
 
-/// Runs one soak with the program at `program`. Logs of the daemons are kept under `folder`.
+/// Runs one soak with the program at `program`. The daemons write their logs and settings to `folder`.
 export async function runSoak(
   seed: number,
   seconds: number,
@@ -76,14 +76,14 @@
   const site = new SoakSite(record, BOUNDS, folder, program, random)
   await site.start(daemonCount)
   await wait(START_MS)
-  // Beside series of restarts callers go to another daemon as soon as a process is gone, or most requests
-  // would reach nobody.
+  // During series of restarts callers switch to another daemon as soon as a process has exited; otherwise most
+  // requests would find no listener.
   const isUsed = ({daemon}: CallerTarget) => !series || site.getDaemon(daemon).isRunning()
   const load = new CallerLoad(record, site.targets, SOAK_ROUTES, random, isUsed)
   const loading = load.run(perSecond)
   const crashing = crashes ? sendCrashes(load, seed) : []
   const daemons = site.daemons.map(daemon => daemon.name)
-  // The plan has a generator of its own, since the load draws at times that differ from run to run.
+  // The plan has a generator of its own, since the order of the load's draws differs from run to run.
   const planGenerator = new SeededRandom(seed + 1)
   const plan = makePlan({daemons, places: BACKEND_PLACES}, seconds * 1000, () => planGenerator.next())
   const seriesGenerator = new SeededRandom(seed + 2)
@@ -107,8 +107,8 @@
   return makeOutcome(seed, record, calmFrom)
 }
 
-/// Writes down the calls that weren't meant for the platform. One that it knows and cannot read is a daemon's
-/// fault.
+/// Logs the calls that weren't meant for the platform. One to a known path with an invalid body comes from a daemon
+/// and is a violation.
 function addStrayCallViolations({record, store, duties}: SoakSite): void {
   for (const {status, text} of [...store.strayCalls.calls, ...duties.strayCalls.calls]) {
     process.stdout.write(`${JSON.stringify({strayCall: text, status})}\n`)
@@ -117,7 +117,7 @@
   }
 }
 
-/// Callers that send requests which end back ends, from the start to the end of the load.
+/// Sends the requests that crash back ends, until the load stops.
 function sendCrashes(load: CallerLoad, seed: number): Promise<void>[] {
   return CRASH_ROUTES.map((route, i) => {
     const generator = new SeededRandom(seed + 3 + i)
@@ -138,10 +138,10 @@
   for (const {atMs, fault} of plan) {
     await wait(Math.max(0, atMs - (performance.now() - startedAt)))
     const name = fault.getName()
-    // One fault at a time for each thing: ending one must not end another.
+    // At most one fault at a time for each target, because the end of one fault would undo another.
     const key = name.replace(/^(kill|pause|restart|crash of|replacement of) /, "")
-    if (busy.has(key) || fault.getDisturbedDaemons().some(what => busy.has(what))) continue
-    for (const what of [key, ...fault.getDisturbedDaemons()]) busy.add(what)
+    if (busy.has(key) || fault.getDisturbedDaemons().some(target => busy.has(target))) continue
+    for (const target of [key, ...fault.getDisturbedDaemons()]) busy.add(target)
     const targets = fault.affectsBackends()
       ? [...fault.getDisturbedDaemons(), BACKENDS]
       : fault.getDisturbedDaemons()
@@ -158,14 +158,14 @@
       await wait(fault.durationMs)
       await fault.stop(site)
       for (const disturbance of disturbances) disturbance.until = performance.now()
-      for (const what of [key, ...fault.getDisturbedDaemons()]) busy.delete(what)
+      for (const target of [key, ...fault.getDisturbedDaemons()]) busy.delete(target)
     }
     running.push(run())
   }
   await Promise.all(running)
 }
 
-/// Whether it was refused for the quota of the one tenant that asks for more than it may.
+/// Whether the request was refused because its tenant, the one that exceeds its quota, was over it.
 function isOverQuota({key, status}: CallerRecord): boolean {
   return status === STATUS_OVER_QUOTA && findTenant(key) === OVER_QUOTA_TENANT
 }
@@ -200,7 +200,7 @@
   }
 }
 
-/// Builds the program as the deploy file does, into a folder, and returns what is run.
+/// Builds the program into a folder, as the deploy file does, and returns the path of its start script.
 export function buildProgram(folder: string): string {
   execFileSync(process.execPath, ["deploy/build.mjs", folder])
   return join(folder, "start.cjs")
@@ -246,7 +246,7 @@
     else if (!keep) rmSync(folder, {recursive: true})
   }
   process.stdout.write(`${runs.length - failed} passed, ${failed} failed\n`)
-  // Sockets that a harmed link left half closed may keep the process alive after everything is judged.
+  // Sockets that a faulty link left half-closed could keep the process alive after the checks.
   process.exit(failed > 0 ? 1 : 0)
 }
 
@@ -262,7 +262,7 @@
   })
 )
 
-/// Seeds that failed once, each with its cause.
+/// Reads the seeds that have failed before, each with its cause.
 function readRegressions(): z.infer<typeof regressionsSchema> {
   return regressionsSchema.parse(JSON.parse(readFileSync("lab/soak/regression-seeds.json", "utf8")))
 }
--- a/lab/soak/stage-orders.ts
+++ b/lab/soak/stage-orders.ts
@@ -1,4 +1,4 @@
-/// The orders that a stand-in for a model engine takes, and the stage that it so has.
+/// The orders to a stand-in for a model engine, and the stage that follows from them.
 import * as z from "zod"
 import type {SoakRecord} from "./soak-record.js"
 
@@ -6,7 +6,7 @@
 const STATUS_ACCEPTED = 202
 const STATUS_CONFLICT = 409
 const STATUS_LOW_FENCE = 412
-/// A change of the stage takes so long. Milliseconds.
+/// Duration of a change of stage. Milliseconds.
 const SWITCH_MS = 400
 
 const stageSchema = z.enum(["prefill", "decode"])
@@ -22,21 +22,22 @@
 
 /// The orders of one incarnation.
 export class StageOrders {
-  /// The stage is changing now.
+  /// Whether a change of stage is in progress.
   isChanging = false
-  /// Orders taken since the start.
+  /// Changes of stage since the start, sent as `seq`.
   appliedCount = 0
   private highestFence = 0
 
   constructor(
     private readonly backend: string,
-    /// Undefined for what is no engine.
+    /// Undefined for a back end that is no engine.
     public stage: Stage | undefined,
     private readonly record: SoakRecord,
     private readonly onStageChanged: () => void
   ) {}
 
-  /// Carries out an order, and returns the status with which it is answered.
+  /// Applies an order, unless its fence is too low or the count of changes differs from the expected one. Returns
+  /// the HTTP status of the answer.
   apply({holder, fence, phase, expected_count: expected = this.appliedCount}: Order): number {
     if (fence < this.highestFence) return STATUS_LOW_FENCE
     this.highestFence = fence
--- a/lab/soak/store-stand-in.ts
+++ b/lab/soak/store-stand-in.ts
@@ -1,12 +1,12 @@
-/// A stand-in for the platform's store, after its published pages: rows under conditions, feeds, and what can
-/// go wrong with them for some of its callers. Each caller has a port of its own, so that the store can treat
-/// it apart.
+/// A stand-in for the platform's table store, written from its published pages: conditional transactions, feeds
+/// of changes, and injected faults for some of its callers. Each caller has a port of its own, so that faults can
+/// be set for one caller.
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from "node:http"
 import type {AddressInfo} from "node:net"
 import * as z from "zod"
 import {parseBody, readBody, STATUS_MALFORMED, STATUS_UNKNOWN, StrayCalls} from "./stray-calls.js"
 
-/// How the store treats one caller.
+/// What the store does with the calls of one caller: "serves" is correct, the others are faults.
 export type StoreTreatment =
   "serves" | "refuses" | "throttles" | "silent" | "slow" | "losesAnswers" | "appliesLate"
 
@@ -41,7 +41,7 @@
 const TRANSACTION_PATH = "/v1/rows-tx"
 const PATHS = [FEED_PATH, GET_PATH, TRANSACTION_PATH]
 
-/// The store.
+/// The rows, their history of changes, and the HTTP servers.
 export class StoreStandIn {
   readonly strayCalls = new StrayCalls("store")
   private readonly rows = new Map<string, Row>()
@@ -60,17 +60,17 @@
     return `127.0.0.1:${(server.address() as AddressInfo).port}`
   }
 
-  /// Sets how a caller is treated from now on.
+  /// Sets a caller's treatment for the calls from now on.
   setTreatment(caller: string, treatment: StoreTreatment): void {
     this.treatments.set(caller, treatment)
   }
 
-  /// Writes as the operator or a server: JSON, without a condition.
+  /// Writes a row as the operator or a back end does: JSON, without a condition.
   write(table: string, key: string, value: object): void {
     this.apply([{table, part: "", key, value: Buffer.from(JSON.stringify(value)).toString("base64")}], [])
   }
 
-  /// The JSON of a row; undefined when there is none.
+  /// The decoded JSON of a row; undefined when there is no such row.
   read(table: string, key: string): unknown {
     const value = this.rows.get(`${table}/${key}`)?.value
     return value === undefined ? undefined : JSON.parse(Buffer.from(value, "base64").toString("utf8"))
@@ -81,7 +81,7 @@
     this.apply([], [{table, part: "", key}])
   }
 
-  /// Forgets what has changed so far.
+  /// Drops the history of changes: feeds from an earlier version get the status 410.
   forgetHistory(): void {
     this.history = []
     this.historyFrom = this.version
@@ -99,7 +99,7 @@
     const body = await readBody(request)
     if (body === undefined) return
     const treatment = this.treatments.get(caller) ?? "serves"
-    // Like the platform's, it takes a plus sign for itself and not for a space.
+    // The platform decodes a plus sign as itself and not as a space.
     const url = new URL((request.url ?? "/").replaceAll("+", "%2B"), "http://store")
     const answer = (status: number, value: object) => this.answer(response, treatment, status, value)
     if (!PATHS.includes(url.pathname))
--- a/lab/soak/stray-calls.ts
+++ b/lab/soak/stray-calls.ts
@@ -1,11 +1,12 @@
-/// Calls that arrive at a stand-in of a soak and aren't meant for it, such as one for a program of another
-/// run that had the port before. It owns the list of them; each is answered with an error and ends nothing.
+/// Calls that arrive at a stand-in of a soak but aren't meant for it, for example because a program of another
+/// run had the port before. Owns the list of these calls. Each is answered with an error status and doesn't stop
+/// the soak.
 import type {IncomingMessage, ServerResponse} from "node:http"
 import type * as z from "zod"
 
-/// The status of a call that a stand-in doesn't know.
+/// The status of a call to an unknown path.
 export const STATUS_UNKNOWN = 404
-/// The status of a call that it knows, with a body that cannot be read.
+/// The status of a call to a known path with an invalid body.
 export const STATUS_MALFORMED = 400
 
 /// One call that was rejected.
@@ -18,10 +19,10 @@
 export class StrayCalls {
   readonly calls: StrayCall[] = []
 
-  /// `owner`: what the stand-in is, for the text.
+  /// `service` names the stand-in in the text.
   constructor(private readonly service: string) {}
 
-  /// Answers the call with this status and notes it, with the program that the port is for.
+  /// Answers the call with this status and records it, with the program that the port was opened for.
   reject(status: number, caller: string, request: IncomingMessage, response: ServerResponse): void {
     const text = `${request.method} ${request.url} to the ${this.service} for ${caller}`
     this.calls.push({status, text})
@@ -30,19 +31,19 @@
   }
 }
 
-/// The body of a request; undefined when the connection broke off before its end.
+/// Reads the body of a request; undefined when the connection broke before its end.
 export async function readBody(request: IncomingMessage): Promise<string | undefined> {
   const chunks: Buffer[] = []
   try {
     for await (const chunk of request) chunks.push(chunk as Buffer)
   } catch {
-    // A soak resets connections: nobody waits for an answer any more.
+    // A soak resets connections; there is no caller left to answer.
     return undefined
   }
   return Buffer.concat(chunks).toString("utf8")
 }
 
-/// A body of JSON after its schema; undefined when it is something else.
+/// Parses a JSON body and validates it by a schema; undefined when it is invalid.
 export function parseBody<Schema extends z.ZodType>(
   schema: Schema,
   body: string
--- a/test/fault-soak.test.ts
+++ b/test/fault-soak.test.ts
@@ -1,4 +1,7 @@
-/** The soak's own parts: its checker finds every broken promise that is planted, and the same seed gives the same plan. */
+/**
+ * Tests of the soak itself: its checker finds every violation that a test puts into a record, the same seed gives the
+ * same plan, and its proxy injects the faults that it is set to.
+ */
 import { createServer, connect, type AddressInfo } from 'node:net';
 import { once } from 'node:events';
 import { expect } from 'chai';
@@ -28,8 +31,8 @@
   retries: { ratio: 0.2, slack: 3, windowMs: 10_000 },
 };
 
-/** A record in which one request was served as it should be. */
-function soundRecord(): SoakRecord {
+/** An empty record with one route, to which tests add requests and executions. */
+function makeRecord(): SoakRecord {
   const record = new SoakRecord(BOUNDS);
   record.routes.push({ route: 'receipt', service: 'application', at: 0 });
   return record;
@@ -53,7 +56,7 @@
   });
 }
 
-function addRun(record: SoakRecord, fields: Partial<ExecutionRecord> = {}): void {
+function addExecution(record: SoakRecord, fields: Partial<ExecutionRecord> = {}): void {
   record.executions.push({
     requestId: 'q1',
     backend: 'b1',
@@ -66,48 +69,54 @@
 
 const EVENTS = [1, 2, 3].map((number) => formatEvent('q1', number, 3));
 
-const PLANTED: readonly [string, (record: SoakRecord) => void][] = [
-  ['nothing wrong', (record) => (addRequest(record, {}), addRun(record))],
+const VIOLATION_CASES: readonly [string, (record: SoakRecord) => void][] = [
+  ['nothing wrong', (record) => (addRequest(record, {}), addExecution(record))],
   [
     'a stream as it should be',
-    (record) => (addRequest(record, { form: 'streaming', body: EVENTS.join('') }), addRun(record)),
+    (record) => (addRequest(record, { form: 'streaming', body: EVENTS.join('') }), addExecution(record)),
   ],
   [
     'a request that runs once runs twice',
     (record) => (
       addRequest(record, { form: 'non_idempotent' }),
-      addRun(record),
-      addRun(record, { backend: 'b2' })
+      addExecution(record),
+      addExecution(record, { backend: 'b2' })
     ),
   ],
   [
     'refused as not run, but it ran',
     (record) => (
       addRequest(record, { form: 'non_idempotent', status: 503, signature: undefined }),
-      addRun(record)
+      addExecution(record)
     ),
   ],
   [
     'the body of another answer',
-    (record) => (addRequest(record, { body: formatBody('q2') }), addRun(record)),
+    (record) => (addRequest(record, { body: formatBody('q2') }), addExecution(record)),
   ],
   [
     'signed by a back end that did not run it',
-    (record) => (addRequest(record, { signature: 'b9' }), addRun(record)),
+    (record) => (addRequest(record, { signature: 'b9' }), addExecution(record)),
   ],
   [
     'a stream lacks its second event',
-    (record) => (addRequest(record, { form: 'streaming', body: EVENTS[0] + EVENTS[2] }), addRun(record)),
+    (record) => (
+      addRequest(record, { form: 'streaming', body: EVENTS[0] + EVENTS[2] }),
+      addExecution(record)
+    ),
   ],
   [
     'a stream ends as complete too soon',
-    (record) => (addRequest(record, { form: 'streaming', body: EVENTS[0] + EVENTS[1] }), addRun(record)),
+    (record) => (
+      addRequest(record, { form: 'streaming', body: EVENTS[0] + EVENTS[1] }),
+      addExecution(record)
+    ),
   ],
   [
     'a stream that was cut inside an event and says so',
     (record) => (
       addRequest(record, { form: 'streaming', body: `${EVENTS[0]}id: 2`, complete: false }),
-      addRun(record)
+      addExecution(record)
     ),
   ],
   [
@@ -118,11 +127,11 @@
         const at = 10_050 + i * 1000;
         const fields = { id, sentAt: at - 50, endedAt: at + 50, body: formatBody(id) };
         addRequest(record, { ...fields, key: SOAK_TENANTS[2].keys[0], needsKey: true });
-        addRun(record, { requestId: id, at, tenant: SOAK_TENANTS[2].name, tokens: 11_060 });
+        addExecution(record, { requestId: id, at, tenant: SOAK_TENANTS[2].name, tokens: 11_060 });
       }
     },
   ],
-  ['a request that nobody sent', (record) => addRun(record)],
+  ['a request that nobody sent', (record) => addExecution(record)],
   ['no answer at the time-out', (record) => addRequest(record, { status: undefined, endedAt: 12_500 })],
   [
     'no answer at the time-out of a daemon that was paused',
@@ -156,7 +165,7 @@
     (record) => {
       record.routes.push({ route: 'receipt', service: 'application-2', at: 5000 });
       addRequest(record, {});
-      addRun(record);
+      addExecution(record);
     },
   ],
   [
@@ -164,7 +173,7 @@
     (record) => {
       record.routes.push({ route: 'receipt', service: 'application-2', at: 9000 });
       addRequest(record, {});
-      addRun(record);
+      addExecution(record);
     },
   ],
   [
@@ -172,7 +181,7 @@
     (record) => {
       record.drainStarts.set('b1', 5000);
       addRequest(record, {});
-      addRun(record);
+      addExecution(record);
     },
   ],
   [
@@ -194,22 +203,22 @@
   ],
   [
     'run in the name of the tenant of its key',
-    (record) => (addRequest(record, { key: KEY, needsKey: true }), addRun(record, { tenant: 'anna' })),
+    (record) => (addRequest(record, { key: KEY, needsKey: true }), addExecution(record, { tenant: 'anna' })),
   ],
   [
     'run in the name of somebody else',
-    (record) => (addRequest(record, { key: KEY, needsKey: true }), addRun(record, { tenant: 'bert' })),
+    (record) => (addRequest(record, { key: KEY, needsKey: true }), addExecution(record, { tenant: 'bert' })),
   ],
   [
     'run with a key that nobody knows',
-    (record) => (addRequest(record, { key: 'unknown', needsKey: true }), addRun(record)),
+    (record) => (addRequest(record, { key: 'unknown', needsKey: true }), addExecution(record)),
   ],
   [
     'run long after its key was taken away',
     (record) => {
       record.keys.push({ key: KEY, valid: false, at: 5000 });
       addRequest(record, { key: KEY, needsKey: true });
-      addRun(record, { tenant: 'anna' });
+      addExecution(record, { tenant: 'anna' });
     },
   ],
   [
@@ -217,7 +226,7 @@
     (record) => {
       record.keys.push({ key: KEY, valid: false, at: 9000 });
       addRequest(record, { key: KEY, needsKey: true });
-      addRun(record, { tenant: 'anna' });
+      addExecution(record, { tenant: 'anna' });
     },
   ],
   [
@@ -233,7 +242,7 @@
   ],
 ];
 
-/** Arrivals at a back end, of requests with these ids. */
+/** Adds an arrival at a back end for each of these request ids. */
 function addArrivals(record: SoakRecord, ids: readonly string[], fields: Partial<ArrivalRecord> = {}): void {
   for (const requestId of ids)
     record.arrivals.push({
@@ -246,7 +255,7 @@
     });
 }
 
-const RETRIES_PLANTED: readonly [string, (record: SoakRecord) => void][] = [
+const RETRY_CASES: readonly [string, (record: SoakRecord) => void][] = [
   ['as many repeats as the budget allows', (record) => addArrivals(record, ['a', 'a', 'a', 'a'])],
   [
     'one repeat more, rejected ones included',
@@ -285,10 +294,10 @@
 ];
 
 describe('fault soak', () => {
-  it('the checker counts repeats at the back ends', () => {
+  it('the checker counts retries at the back ends', () => {
     const snapshot = new Snapshot('fault-soak-retries');
-    for (const [name, plant] of RETRIES_PLANTED) {
-      const record = soundRecord();
+    for (const [name, plant] of RETRY_CASES) {
+      const record = makeRecord();
       plant(record);
       const found = record.check().map(({ promise, text }) => `${promise}: ${text}`);
       snapshot.add(`${name}\n  ${found.join('\n  ') || '-'}`);
@@ -296,7 +305,7 @@
     snapshot.check();
   });
 
-  it('a seed gives the same series of restarts each time', () => {
+  it('a seed always gives the same series of restarts', () => {
     const snapshot = new Snapshot('fault-soak-series');
     const random = new SeededRandom(7);
     const plan = makeSeriesPlan(
@@ -313,10 +322,10 @@
     snapshot.check();
   });
 
-  it('the checker finds what is planted and nothing else', () => {
+  it('the checker finds the violation in each record and nothing else', () => {
     const snapshot = new Snapshot('fault-soak-checker');
-    for (const [name, plant] of PLANTED) {
-      const record = soundRecord();
+    for (const [name, plant] of VIOLATION_CASES) {
+      const record = makeRecord();
       plant(record);
       const found = record.check().map(({ promise, text }) => `${promise}: ${text}`);
       snapshot.add(`${name}\n  ${found.join('\n  ') || '-'}`);
@@ -324,15 +333,15 @@
     snapshot.check();
   });
 
-  it('the checker counts what becomes of requests that end back ends', () => {
+  it('the checker counts crashes and late retries of requests that crash back ends', () => {
     const body = `${CRASHING_BODY}, receipt`;
-    const record = soundRecord();
+    const record = makeRecord();
     [1000, 2000, 3000].forEach((at) => record.crashes.push({ body, at }));
     const arriveAt = (id: string, at: number, daemon: string) => {
       addRequest(record, { id, daemon, status: 503, sentAt: at - 5, crashingBody: body });
       record.arrivals.push({ requestId: id, service: 'application', at, promptOnly: false, rejected: true });
     };
-    // The bound counts from 3,000 + contact 3,000 + margin 500 on.
+    // Arrivals count as late after 6,500 ms: third crash at 3,000, contact time 3,000 and margin 500.
     [4000, 6400, 7000, 7100, 7200].forEach((at, i) => arriveAt(`c${i}`, at, 'daemon-1'));
     record.disturbances.push({ target: 'daemon-2', kind: 'kill', from: 6000, until: 7000 });
     arriveAt('d1', 8000, 'daemon-2');
@@ -343,7 +352,7 @@
     expect(record.check().map(({ promise }) => promise)).to.include(KEPT_AWAY);
   });
 
-  it('a seed gives the same plan each time', () => {
+  it('a seed always gives the same plan', () => {
     const snapshot = new Snapshot('fault-soak-plan');
     const random = new SeededRandom(7);
     const plan = makePlan({ daemons: ['d1', 'd2', 'd3'], places: 10 }, 20_000, () => random.next());
@@ -352,7 +361,7 @@
     snapshot.check();
   });
 
-  it('the proxy passes bytes, drops those of a cut direction and resets', async () => {
+  it('the proxy forwards bytes, drops those of a cut direction and resets connections', async () => {
     const echo = createServer(
       (socket) => void socket.on('data', (bytes) => socket.write(bytes)).on('error', () => undefined),
     );
--- a/test/soak-daemon.test.ts
+++ b/test/soak-daemon.test.ts
@@ -1,4 +1,5 @@
-/// A daemon of the fault soak: which ends count against it.
+/// Which exits of a daemon process the fault soak reports as unexpected. The soak itself can make the settings
+/// invalid while a daemon starts; the daemon then exits with 78, and must be started again and not be reported.
 import { expect } from 'chai';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -7,7 +8,7 @@
 import { SOAK_BOUNDS } from '../lab/soak/soak-record.js';
 
 const PORTS = { front: '127.0.0.1:1', ready: '127.0.0.1:2', control: '127.0.0.1:3', metrics: 4 };
-/// Reads its settings a moment after its start, and cannot go on with wrong ones or when told so.
+/// Reads its settings 1.5 s after its start. Exits with 78 if they are invalid, or always under the name "always".
 const PROGRAM = `process.on("SIGHUP", () => {})
 console.log("up")
 setTimeout(() => {
@@ -23,9 +24,9 @@
     await new Promise((resolve) => setTimeout(resolve, WAIT_STEP_MS));
 }
 
-describe('a daemon of the fault soak', () => {
+describe('a daemon process of the fault soak', () => {
   const folder = mkdtempSync(join(tmpdir(), 'soak-daemon-'));
-  const ends: (number | null)[] = [];
+  const exitCodes: (number | null)[] = [];
 
   function makeDaemon(name: string): DaemonProcess {
     const program = join(folder, `${name}.cjs`);
@@ -37,14 +38,14 @@
       PORTS,
       site,
       { store: '127.0.0.1:5', duties: '127.0.0.1:6' },
-      (_name, code) => ends.push(code),
+      (_name, code) => exitCodes.push(code),
     );
   }
 
   after(() => rmSync(folder, { recursive: true }));
-  beforeEach(() => void ends.splice(0));
+  beforeEach(() => void exitCodes.splice(0));
 
-  it('is started again when the soak itself has spoiled its settings while it started', async () => {
+  it('is started again when the soak made its settings invalid during its start', async () => {
     const daemon = makeDaemon('sometimes');
     daemon.start();
     await waitUntil(() => readFileSync(join(folder, 'sometimes.log'), 'utf8').includes('up'));
@@ -52,15 +53,15 @@
     await waitUntil(() => daemon.starts === 2);
     expect(daemon.starts).to.equal(2);
     expect(daemon.isRunning()).to.equal(true);
-    expect(ends).to.deep.equal([]);
+    expect(exitCodes).to.deep.equal([]);
     await daemon.kill();
   }).timeout(20_000);
 
-  it('counts as ended by itself when its settings were right all the time', async () => {
+  it('is reported as an unexpected exit when its settings were always valid', async () => {
     const daemon = makeDaemon('always');
     daemon.start();
-    await waitUntil(() => ends.length > 0);
-    expect(ends).to.deep.equal([78]);
+    await waitUntil(() => exitCodes.length > 0);
+    expect(exitCodes).to.deep.equal([78]);
     expect(daemon.starts).to.equal(1);
   }).timeout(20_000);
 });
--- a/test/soak-ports.test.ts
+++ b/test/soak-ports.test.ts
@@ -1,5 +1,5 @@
-/// Ports and stray calls of the fault soak: a port of a run goes to one owner, and a call that isn't meant for a
-/// stand-in ends nothing.
+/// Ports and stray calls of the fault soak: a port has one owner for the whole soak, and a call that isn't meant for
+/// a stand-in is rejected without stopping the soak.
 import { once } from 'node:events';
 import { createServer, connect } from 'node:net';
 import { expect } from 'chai';
@@ -22,42 +22,42 @@
   return new BackendStandIn(identity, store, new SoakRecord(SOAK_BOUNDS), new HandleRegistry(), () => 0.5);
 }
 
-/** The code of the error with which a connection to this address ends. */
-async function findConnectionEnd(address: string): Promise<string> {
+/** Connects to this address and returns the error code with which the connection fails. */
+async function findConnectError(address: string): Promise<string> {
   const socket = connect({ host: HOST, port: getPort(address) });
   const [error] = (await once(socket, 'error')) as [NodeJS.ErrnoException];
   return error.code ?? '';
 }
 
-/** The code of the error with which somebody else's attempt to listen on this address ends; `taken` without one. */
-async function findListenEnd(address: string): Promise<string> {
+/** Tries to listen on this address and returns the error code; `free` if it succeeds. */
+async function findListenError(address: string): Promise<string> {
   const server = createServer();
   const outcome = new Promise<string>((resolve) => {
     server.once('error', (error: NodeJS.ErrnoException) => resolve(error.code ?? ''));
-    server.listen(getPort(address), HOST, () => server.close(() => resolve('taken')));
+    server.listen(getPort(address), HOST, () => server.close(() => resolve('free')));
   });
   return outcome;
 }
 
 describe('ports of the fault soak', () => {
   for (const end of ['crash', 'close'] as const)
-    it(`the port of a back end stays its own after its ${end}, until the run lets it go`, async () => {
+    it(`a back end keeps its port after its ${end}, until the soak releases it`, async () => {
       const store = new StoreStandIn();
       const backend = makeBackend(store);
       const address = await backend.start();
       backend[end]();
-      expect(await findConnectionEnd(address)).to.equal('ECONNRESET');
-      expect(await findListenEnd(address)).to.equal('EADDRINUSE');
+      expect(await findConnectError(address)).to.equal('ECONNRESET');
+      expect(await findListenError(address)).to.equal('EADDRINUSE');
       backend.releasePort();
-      expect(await findListenEnd(address)).to.equal('taken');
+      expect(await findListenError(address)).to.equal('free');
     });
 
-  it('a port that was handed out once is not handed out again', async () => {
+  it('a port is handed out only once', async () => {
     const ports = [...(await findFreePorts(3)), ...(await findFreePorts(3))];
     expect(new Set(ports).size).to.equal(6);
   });
 
-  it('the store rejects and notes calls that are not meant for it, and serves on', async () => {
+  it('the store rejects and records calls that are not meant for it, and continues to serve', async () => {
     const store = new StoreStandIn();
     const url = `http://${await store.open('daemon-1')}`;
     for (const path of ['/healthz', '/v1/kv-events?since=0'])
@@ -73,7 +73,7 @@
     store.close();
   });
 
-  it('the platform of the duties rejects and notes calls that are not meant for it, and serves on', async () => {
+  it('the stand-in for duties rejects and records calls that are not meant for it, and continues to serve', async () => {
     const duties = new DutyStandIn(SOAK_BOUNDS.leaseMs);
     const url = `http://${await duties.open('daemon-1')}`;
     for (const path of ['/healthz', '/v1/kv-events?since=0'])
@@ -93,7 +93,7 @@
     duties.close();
   });
 
-  it('a back end rejects an order that cannot be read, and serves on', async () => {
+  it('a back end rejects an invalid order, and continues to serve', async () => {
     const store = new StoreStandIn();
     const backend = makeBackend(store);
     const url = `http://${await backend.start()}`;
