--- a/lab/engine-model.ts
+++ b/lab/engine-model.ts
@@ -38,7 +38,7 @@
 interface Stream {
   readonly work: EngineWork;
   readonly order: number;
-  prefillLeft: number;
+  remainingPrefill: number;
   /** The stream joins the batch no earlier than this, while its KV cache is being transferred. */
   readyAt: number;
   nextOffset: number;
@@ -108,13 +108,13 @@
       : 0;
     if (!work.imported) this.cachedShare += CACHE_SMOOTHING * (cached / work.promptTokens - this.cachedShare);
     this.addPrefix(work.prefixKey);
-    const prefillLeft = work.imported ? 0 : Math.max(1, work.promptTokens + work.offset - cached);
+    const remainingPrefill = work.imported ? 0 : Math.max(1, work.promptTokens + work.offset - cached);
     const readyAt = work.imported ? now + work.promptTokens * this.settings.kvTransferMsPerToken : now;
     this.orderCount += 1;
     this.streams.set(work.attemptId, {
       work,
       order: this.orderCount,
-      prefillLeft,
+      remainingPrefill,
       readyAt,
       nextOffset: work.offset,
     });
@@ -251,12 +251,12 @@
     const prefill = new Map<Stream, number>();
     let chunk = this.settings.prefillChunk[role];
     for (const stream of running) {
-      if (stream.prefillLeft === 0 || chunk === 0) continue;
-      const share = Math.min(stream.prefillLeft, chunk);
+      if (stream.remainingPrefill === 0 || chunk === 0) continue;
+      const share = Math.min(stream.remainingPrefill, chunk);
       prefill.set(stream, share);
       chunk -= share;
     }
-    const decode = running.filter((stream) => stream.prefillLeft === 0);
+    const decode = running.filter((stream) => stream.remainingPrefill === 0);
     const promptTokens = this.settings.prefillChunk[role] - chunk;
     const { stepBaseMs, stepPerStreamMs, stepPerPromptTokenMs } = this.settings;
     const duration = stepBaseMs + decode.length * stepPerStreamMs + promptTokens * stepPerPromptTokenMs;
@@ -266,8 +266,8 @@
   private finishStep(step: Step, outputs: EngineOutput[]): void {
     for (const [stream, tokens] of step.prefill) {
       if (!this.isLive(stream)) continue;
-      stream.prefillLeft -= tokens;
-      if (stream.prefillLeft > 0) continue;
+      stream.remainingPrefill -= tokens;
+      if (stream.remainingPrefill > 0) continue;
       if (stream.work.stage === 'prefill') this.exportKv(stream, step.endsAt, outputs);
       else this.addToken(stream, outputs);
     }
@@ -324,7 +324,7 @@
     const last = this.snapshots[this.snapshots.length - 1];
     if (now - last.at < this.settings.reportLagMs / 4) return;
     let waitingPrefillTokens = 0;
-    for (const stream of this.streams.values()) waitingPrefillTokens += stream.prefillLeft;
+    for (const stream of this.streams.values()) waitingPrefillTokens += stream.remainingPrefill;
     this.snapshots.push({ at: now, streams: this.streams.size, waitingPrefillTokens });
     if (this.snapshots.length > 16) this.snapshots = this.snapshots.slice(-8);
   }
--- a/lab/free-ports.ts
+++ b/lab/free-ports.ts
@@ -1,6 +1,6 @@
 /**
- * Finds free ports on the loopback address for programs that are configured with fixed ports. Owns the list of
- * ports that were handed out.
+ * Finds free ports on the loopback address for programs that are configured with fixed ports. Owns the blocks of
+ * ports that this process has reserved.
  */
 import { createServer } from 'node:net';
 
@@ -45,7 +45,7 @@
   for (let attempt = 0; attempt < BLOCK_COUNT; attempt += 1) {
     const first = FIRST_PORT + nextBlock * PORTS_PER_BLOCK;
     nextBlock = (nextBlock + 1) % BLOCK_COUNT;
-    if (!(await startHolding(first))) continue;
+    if (!(await startListening(first))) continue;
     nextPort = first + 1;
     endPort = first + PORTS_PER_BLOCK;
     return;
@@ -59,7 +59,7 @@
 }
 
 /** Listens on a port until this process exits, without keeping it alive. Returns false if the port is in use. */
-function startHolding(port: number): Promise<boolean> {
+function startListening(port: number): Promise<boolean> {
   const server = createServer();
   return new Promise((resolve) => {
     server.once('error', () => resolve(false));
--- a/lab/soak/crash-check.ts
+++ b/lab/soak/crash-check.ts
@@ -21,7 +21,7 @@
   readonly lateRetries: number
 }
 
-/// Allowed arrivals at back ends after a request has crashed three and daemons had the time to find contact.
+/// Allowed arrivals of a request at back ends after it has crashed three and the contact time has passed.
 export const ALLOWED_LATE_RETRIES = 3
 const CRASH_THRESHOLD = 3
 
--- a/lab/soak/daemon-process.ts
+++ b/lab/soak/daemon-process.ts
@@ -30,7 +30,7 @@
   /// Whether the settings file was made invalid after the process started.
   private hasInvalidSettings = false
   private startedAt = -Infinity
-  starts = 0
+  startCount = 0
 
   constructor(
     readonly name: string,
@@ -47,7 +47,7 @@
     this.isExitExpected = false
     this.hasInvalidSettings = false
     this.startedAt = performance.now()
-    this.starts += 1
+    this.startCount += 1
     const log = openSync(join(this.site.folder, `${this.name}.log`), "a")
     const child = spawn(process.execPath, [...this.site.flags, this.site.program], {
       env: {PATH: process.env.PATH, PULLEYLEDGE_NODE_FILE: this.getSettingsPath()},
--- a/lab/soak/duty-stand-in.ts
+++ b/lab/soak/duty-stand-in.ts
@@ -9,7 +9,7 @@
 import {parseBody, readBody, STATUS_MALFORMED, STATUS_UNKNOWN, StrayCalls} from "./stray-calls.js"
 
 /// What the platform does with the calls of all daemons: "serves" is correct, the others are faults.
-export type DutyTreatment = "serves" | "refuses" | "silent" | "losesAnswers" | "appliesLate"
+export type DutyBehavior = "serves" | "refuses" | "silent" | "losesAnswers" | "appliesLate"
 
 const STATUS_OK = 200
 const STATUS_CONFLICT = 409
@@ -30,7 +30,7 @@
 /// The HTTP servers of the stand-in, with the model that checks the calls.
 export class DutyStandIn {
   readonly strayCalls = new StrayCalls("duties")
-  treatment: DutyTreatment = "serves"
+  behavior: DutyBehavior = "serves"
   readonly model: DutyModel
   /// When a report was last accepted. Monotonic milliseconds.
   lastReportAt = -Infinity
@@ -59,21 +59,21 @@
   private async onRequest(daemon: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request)
     if (body === undefined) return
-    const {treatment} = this
+    const {behavior} = this
     const url = request.url ?? ""
     if (url !== USAGE_PATH && url !== SCALE_PATH)
       return this.strayCalls.reject(STATUS_UNKNOWN, daemon, request, response)
-    if (treatment === "silent") return
-    if (treatment === "refuses") return sendAnswer(response, STATUS_BUSY)
+    if (behavior === "silent") return
+    if (behavior === "refuses") return sendAnswer(response, STATUS_BUSY)
     const call = decodeCall(url, body)
     if (!call) return this.strayCalls.reject(STATUS_MALFORMED, daemon, request, response)
     const holder = String(request.headers["x-lease-holder"])
     const fence = Number(request.headers["x-fencing-token"])
-    if (treatment === "appliesLate")
+    if (behavior === "appliesLate")
       setTimeout(() => this.apply(daemon, call, {holder, fence}), APPLY_DELAY_MS)
     else {
       const status = this.apply(daemon, call, {holder, fence})
-      if (treatment === "serves") sendAnswer(response, status)
+      if (behavior === "serves") sendAnswer(response, status)
     }
   }
 
--- a/lab/soak/fault-plan.ts
+++ b/lab/soak/fault-plan.ts
@@ -2,9 +2,9 @@
 import type {BackendBehavior} from "./backend-stand-in.js"
 import * as faults from "./faults.js"
 import {LimitFault, BackOffFault, LeavingSignalFault} from "./signal-faults.js"
-import type {DutyTreatment} from "./duty-stand-in.js"
+import type {DutyBehavior} from "./duty-stand-in.js"
 import {SOAK_TENANTS} from "./soak-routes.js"
-import type {StoreTreatment} from "./store-stand-in.js"
+import type {StoreBehavior} from "./store-stand-in.js"
 
 /// A fault and when it starts, in milliseconds from the start of the load.
 export interface PlannedFault {
@@ -48,7 +48,7 @@
   "slow",
   "lateOrders"
 ]
-const STORE_TREATMENTS: readonly StoreTreatment[] = [
+const STORE_BEHAVIORS: readonly StoreBehavior[] = [
   "refuses",
   "throttles",
   "silent",
@@ -56,7 +56,7 @@
   "losesAnswers",
   "appliesLate"
 ]
-const DUTY_TREATMENTS: readonly DutyTreatment[] = ["refuses", "silent", "losesAnswers", "appliesLate"]
+const DUTY_BEHAVIORS: readonly DutyBehavior[] = ["refuses", "silent", "losesAnswers", "appliesLate"]
 const KEYS = SOAK_TENANTS.flatMap(({keys}) => keys)
 const LINK_STATES = ["delayed", "cutForth", "cutBack", "silent", "reset"] as const
 
@@ -167,8 +167,8 @@
     () => new faults.LinkFault(durationMs, `caller ${daemon}`, pick(LINK_STATES)),
     () => new faults.LinkFault(durationMs, `store ${daemon}`, pick(LINK_STATES)),
     () => new faults.LinkFault(durationMs, `backend ${place}`, pick(LINK_STATES)),
-    () => new faults.StoreFault(durationMs, [daemon], pick(STORE_TREATMENTS)),
-    () => new faults.StoreFault(durationMs, random() < 0.3 ? targets.daemons : some, pick(STORE_TREATMENTS)),
+    () => new faults.StoreFault(durationMs, [daemon], pick(STORE_BEHAVIORS)),
+    () => new faults.StoreFault(durationMs, random() < 0.3 ? targets.daemons : some, pick(STORE_BEHAVIORS)),
     () => new faults.HistoryFault(),
     () => new faults.BackendFault(durationMs, place, pick(BACKEND_BEHAVIORS)),
     () => new faults.BackendFault(durationMs, place, pick(BACKEND_BEHAVIORS)),
@@ -178,7 +178,7 @@
     () => new faults.ConfigurationFault(),
     () => new faults.KeyFault(durationMs, pick(KEYS)),
     () => new faults.KeyFault(durationMs, pick(KEYS)),
-    () => new faults.DutyFault(durationMs, pick(DUTY_TREATMENTS))
+    () => new faults.DutyFault(durationMs, pick(DUTY_BEHAVIORS))
   ]
   return pick(makers)()
 }
--- a/lab/soak/faults.ts
+++ b/lab/soak/faults.ts
@@ -3,10 +3,10 @@
 import type {BackendBehavior} from "./backend-stand-in.js"
 import type {LinkState} from "./fault-proxy.js"
 import {PLANNED_STOP} from "./disturbance.js"
-import type {DutyTreatment} from "./duty-stand-in.js"
+import type {DutyBehavior} from "./duty-stand-in.js"
 import {findTenant} from "./soak-routes.js"
 import type {SoakSite} from "./soak-site.js"
-import type {StoreTreatment} from "./store-stand-in.js"
+import type {StoreBehavior} from "./store-stand-in.js"
 
 /// One fault. `start` and `stop` resolve once the change has been made. Durations are milliseconds.
 export abstract class Fault {
@@ -145,26 +145,26 @@
 
 const DELAY_MS = 120
 
-/// The store mistreats the calls of some daemons.
+/// The store is faulty for some daemons.
 export class StoreFault extends Fault {
   constructor(
     durationMs: number,
     private readonly daemons: readonly string[],
-    private readonly treatment: StoreTreatment
+    private readonly behavior: StoreBehavior
   ) {
     super(durationMs)
   }
   getName(): string {
-    return `store ${this.treatment} ${this.daemons.join(" ")}`
+    return `store ${this.behavior} ${this.daemons.join(" ")}`
   }
   getDisturbedDaemons(): readonly string[] {
     return this.daemons
   }
   start(site: SoakSite): void {
-    for (const name of this.daemons) site.store.setTreatment(name, this.treatment)
+    for (const name of this.daemons) site.store.setBehavior(name, this.behavior)
   }
   stop(site: SoakSite): void {
-    for (const name of this.daemons) site.store.setTreatment(name, "serves")
+    for (const name of this.daemons) site.store.setBehavior(name, "serves")
   }
 }
 
@@ -284,25 +284,25 @@
   }
 }
 
-/// The platform mistreats the calls of the duties.
+/// The platform is faulty for the calls of the duties.
 export class DutyFault extends Fault {
   constructor(
     durationMs: number,
-    private readonly treatment: DutyTreatment
+    private readonly behavior: DutyBehavior
   ) {
     super(durationMs)
   }
   getName(): string {
-    return `duties: platform ${this.treatment}`
+    return `duties: platform ${this.behavior}`
   }
   getDisturbedDaemons(): readonly string[] {
     return []
   }
   start(site: SoakSite): void {
-    site.duties.treatment = this.treatment
+    site.duties.behavior = this.behavior
   }
   stop(site: SoakSite): void {
-    site.duties.treatment = "serves"
+    site.duties.behavior = "serves"
   }
 }
 
--- a/lab/soak/soak-record.ts
+++ b/lab/soak/soak-record.ts
@@ -333,14 +333,14 @@
   return `answer to ${id}.`
 }
 
-/// One server-sent event of a streamed answer, with its number and the total count.
+/// One server-sent event of a streamed answer, with its number and the total count, which identify the last event.
 export function formatEvent(id: string, number: number, count: number): string {
   return `id: ${number}\ndata: ${id} ${number} of ${count}\n\n`
 }
 
 /// Finds the first error in a stream with a success status; undefined when there is none. A stream that didn't end
 /// as complete may lack events at its end.
-function findStreamProblem(id: string, body: string, whole: boolean): string | undefined {
+function findStreamProblem(id: string, body: string, complete: boolean): string | undefined {
   const events = body.split("\n\n")
   const remainder = events.pop()
   let count = 0
@@ -350,7 +350,7 @@
       return `event ${i + 1} is ${JSON.stringify(event)}`
     count = Number(match[4])
   }
-  if (whole && (remainder !== "" || events.length === 0 || events.length < count))
+  if (complete && (remainder !== "" || events.length === 0 || events.length < count))
     return `ended as complete after ${events.length} of ${count} events`
   return undefined
 }
--- a/lab/soak/soak.ts
+++ b/lab/soak/soak.ts
@@ -92,19 +92,19 @@
   const signalPlan = makeSignalPlan(PLACES_BY_SERVICE, seconds * 1000, () => signalGenerator.next())
   await runPlan(site, mergePlans(plan, series ? seriesPlan : [], signals ? signalPlan : []))
   await wait(RECOVERY_MS)
-  const calmFrom = performance.now() - RECOVERY_CHECK_MS
+  const recoveredFrom = performance.now() - RECOVERY_CHECK_MS
   load.stop()
   await Promise.all([loading, ...crashing])
   await site.close()
   for (const text of site.duties.model.violations)
     record.observedViolations.push({promise: "one holder of the duties", text})
   addStrayCallViolations(site)
-  if (site.duties.lastReportAt < calmFrom)
+  if (site.duties.lastReportAt < recoveredFrom)
     record.observedViolations.push({
       promise: "usage is reported again after faults",
       text: "no report in the last seconds"
     })
-  return makeOutcome(seed, record, calmFrom)
+  return makeOutcome(seed, record, recoveredFrom)
 }
 
 /// Logs the calls that weren't meant for the platform. One to a known path with an invalid body comes from a daemon
@@ -170,17 +170,17 @@
   return status === STATUS_OVER_QUOTA && findTenant(key) === OVER_QUOTA_TENANT
 }
 
-function makeOutcome(seed: number, record: SoakRecord, calmFrom: number): SoakOutcome {
+function makeOutcome(seed: number, record: SoakRecord, recoveredFrom: number): SoakOutcome {
   const violations = record.check()
   const requests = [...record.requests.values()].filter(({crashingBody}) => crashingBody === undefined)
   const isServed = ({status, complete}: {status?: number; complete?: boolean}) =>
     status === 200 && complete === true
   const afterRecovery = requests.filter(
     request =>
-      request.sentAt >= calmFrom &&
+      request.sentAt >= recoveredFrom &&
       request.endedAt !== request.sentAt &&
       !isOverQuota(request) &&
-      (!request.needsKey || record.wasKeyValid(request, calmFrom, Infinity, "always"))
+      (!request.needsKey || record.wasKeyValid(request, recoveredFrom, Infinity, "always"))
   )
   const servedWhenCalm = afterRecovery.filter(isServed).length / Math.max(1, afterRecovery.length)
   if (servedWhenCalm < MIN_SERVED_AFTER_RECOVERY)
@@ -227,8 +227,8 @@
   )
   const {seed, count, seconds, rate, daemons, series, crashes, signals, keep, regressions} = cli.flags
   const options = {daemons, series, crashes, signals}
-  const fresh = Array.from({length: count}, (_, i) => ({seed: seed + i, seconds, ...options}))
-  const runs = regressions ? readRegressions() : fresh
+  const freshRuns = Array.from({length: count}, (_, i) => ({seed: seed + i, seconds, ...options}))
+  const runs = regressions ? readRegressions() : freshRuns
   const program = buildProgram(join(process.cwd(), "bench-results", "program"))
   let failed = 0
   for (const run of runs) {
--- a/lab/soak/store-stand-in.ts
+++ b/lab/soak/store-stand-in.ts
@@ -7,7 +7,7 @@
 import {parseBody, readBody, STATUS_MALFORMED, STATUS_UNKNOWN, StrayCalls} from "./stray-calls.js"
 
 /// What the store does with the calls of one caller: "serves" is correct, the others are faults.
-export type StoreTreatment =
+export type StoreBehavior =
   "serves" | "refuses" | "throttles" | "silent" | "slow" | "losesAnswers" | "appliesLate"
 
 const STATUS_OK = 200
@@ -48,7 +48,7 @@
   private history: Row[] = []
   private historyFrom = 0
   private version = 0
-  private readonly treatments = new Map<string, StoreTreatment>()
+  private readonly behaviors = new Map<string, StoreBehavior>()
   private readonly servers: Server[] = []
   private readonly pendingPolls = new Set<() => void>()
 
@@ -60,9 +60,9 @@
     return `127.0.0.1:${(server.address() as AddressInfo).port}`
   }
 
-  /// Sets a caller's treatment for the calls from now on.
-  setTreatment(caller: string, treatment: StoreTreatment): void {
-    this.treatments.set(caller, treatment)
+  /// Sets a caller's behavior for the calls from now on.
+  setBehavior(caller: string, behavior: StoreBehavior): void {
+    this.behaviors.set(caller, behavior)
   }
 
   /// Writes a row as the operator or a back end does: JSON, without a condition.
@@ -98,28 +98,28 @@
   private async onRequest(caller: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request)
     if (body === undefined) return
-    const treatment = this.treatments.get(caller) ?? "serves"
+    const behavior = this.behaviors.get(caller) ?? "serves"
     // The platform decodes a plus sign as itself and not as a space.
     const url = new URL((request.url ?? "/").replaceAll("+", "%2B"), "http://store")
-    const answer = (status: number, value: object) => this.answer(response, treatment, status, value)
+    const answer = (status: number, value: object) => this.answer(response, behavior, status, value)
     if (!PATHS.includes(url.pathname))
       return this.strayCalls.reject(STATUS_UNKNOWN, caller, request, response)
-    if (treatment === "silent") return
-    if (treatment === "refuses") return answer(STATUS_BUSY, {})
-    if (treatment === "throttles") return answer(STATUS_THROTTLED, {})
+    if (behavior === "silent") return
+    if (behavior === "refuses") return answer(STATUS_BUSY, {})
+    if (behavior === "throttles") return answer(STATUS_THROTTLED, {})
     if (url.pathname === FEED_PATH) return this.onFeed(url, answer)
     if (url.pathname === GET_PATH) return answer(STATUS_OK, this.getRows(url))
     const transaction = parseBody(transactionSchema, body)
     if (!transaction) return this.strayCalls.reject(STATUS_MALFORMED, caller, request, response)
-    if (treatment === "appliesLate") setTimeout(() => this.applyTransaction(transaction), APPLY_DELAY_MS)
+    if (behavior === "appliesLate") setTimeout(() => this.applyTransaction(transaction), APPLY_DELAY_MS)
     else {
       const result = this.applyTransaction(transaction)
-      if (treatment !== "losesAnswers") answer(result.status, result.body)
+      if (behavior !== "losesAnswers") answer(result.status, result.body)
     }
   }
 
-  private answer(response: ServerResponse, treatment: StoreTreatment, status: number, value: object): void {
-    const delayMs = treatment === "slow" ? SLOW_MS : ANSWER_MS
+  private answer(response: ServerResponse, behavior: StoreBehavior, status: number, value: object): void {
+    const delayMs = behavior === "slow" ? SLOW_MS : ANSWER_MS
     setTimeout(() => {
       response.writeHead(status, {"Content-Type": "application/json"})
       response.end(JSON.stringify(value))
--- a/test/soak-daemon.test.ts
+++ b/test/soak-daemon.test.ts
@@ -50,8 +50,8 @@
     daemon.start();
     await waitUntil(() => readFileSync(join(folder, 'sometimes.log'), 'utf8').includes('up'));
     daemon.reload(false);
-    await waitUntil(() => daemon.starts === 2);
-    expect(daemon.starts).to.equal(2);
+    await waitUntil(() => daemon.startCount === 2);
+    expect(daemon.startCount).to.equal(2);
     expect(daemon.isRunning()).to.equal(true);
     expect(exitCodes).to.deep.equal([]);
     await daemon.kill();
@@ -62,6 +62,6 @@
     daemon.start();
     await waitUntil(() => exitCodes.length > 0);
     expect(exitCodes).to.deep.equal([78]);
-    expect(daemon.starts).to.equal(1);
+    expect(daemon.startCount).to.equal(1);
   }).timeout(20_000);
 });
