--- a/lab/demo.ts
+++ b/lab/demo.ts
@@ -1,5 +1,5 @@
 /** `npm run demo`: runs a small Trust site of separate processes under a changing load and prints a report. */
-import { statusCommand } from '../src/cli/status-command.js';
+import { runStatusCommand } from '../src/cli/status-command.js';
 import { SeededRandom } from '../src/shared/random.js';
 import { LocalSite } from './launcher.js';
 import { LoadGenerator, type LoadClass, type LoadPhase } from './load-generator.js';
@@ -55,7 +55,7 @@
     writeLine(formatLoadReport(load));
     writeLine('');
     writeLine(
-      await statusCommand(
+      await runStatusCommand(
         site.daemons.map((daemon) => daemon.addresses.operator),
         false,
       ),
--- a/lab/launcher.ts
+++ b/lab/launcher.ts
@@ -68,7 +68,7 @@
     await this.waitReady(this.daemons);
     await this.waitFor(async () => {
       for (const daemon of this.daemons) {
-        const { engines } = await new OperatorClient(daemon.addresses.operator).status();
+        const { engines } = await new OperatorClient(daemon.addresses.operator).getStatus();
         if (engines.filter((engine) => engine.assignment).length < engineCount)
           throw new Error('daemon has not found all engines yet');
       }
--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -6,7 +6,7 @@
 } from '../src/daemon/forwarding-daemon-settings.js';
 import type { ForwardingEffect, ForwardingEvent } from '../src/daemon/forwarding-messages.js';
 import type { PeerMessage } from '../src/daemon/peer-messages.js';
-import type { WatchedBackend } from '../src/quarantine/break-watch.js';
+import type { BackendIncarnation } from '../src/quarantine/break-watch.js';
 import type { RecordRead, RecordReadResult, StoredRecord } from '../src/fleet/record-store.js';
 import { SeededRandom } from '../src/shared/random.js';
 import type { AttemptStart, ForwardAttemptEvent } from '../src/forwarding/forward-messages.js';
@@ -296,7 +296,7 @@
     });
   }
 
-  private checkBackend(node: FleetNode, backend: WatchedBackend): void {
+  private checkBackend(node: FleetNode, backend: BackendIncarnation): void {
     const check = this.isListening(backend.address) ? 'answered' : 'ended';
     this.time.after(2 * this.networkMs, () => this.handle(node, { kind: 'backendChecked', backend, check }));
   }
@@ -349,7 +349,7 @@
       give({ kind: 'rejected', status: STATUS_BUSY }, STORE_MS);
     } else if (node.silentConnections.delete(collection) || node.access !== 'serves') {
       const heldMs = read.after === undefined ? 0 : read.waitMs;
-      give({ kind: 'noAnswer', reason: 'TimeoutError' }, heldMs + read.answerMs);
+      give({ kind: 'noAnswer', reason: 'TimeoutError' }, heldMs + read.answerTimeoutMs);
     } else if (read.after === undefined) {
       const records = [...this.records.values()].filter((record) => record.collection === collection);
       give({ kind: 'snapshot', revision: this.revision, records, storeMs: this.time.now() }, STORE_MS);
--- a/simulation/quota-fleet.ts
+++ b/simulation/quota-fleet.ts
@@ -172,7 +172,7 @@
       () => {
         const { members } = node;
         const joined = members.length > 1 || this.nodes.length === 1;
-        return { members, known: this.nodes.length, joined };
+        return { members, knownCount: this.nodes.length, joined };
       },
       this.random,
       (effect) => this.perform(node, effect),
@@ -196,7 +196,7 @@
         [node, peer],
         [peer, node],
       ])
-        this.pass(from, to, () => to.manager.hear(from.id, this.time.now()));
+        this.pass(from, to, () => to.manager.onContact(from.id, this.time.now()));
       this.time.after(CHATTER_MS, chatter);
     };
     this.time.after(this.random.next() * TICK_MS, tick);
@@ -205,7 +205,7 @@
 
   private tickNode(node: QuotaNode): void {
     const now = this.time.now();
-    if (now - node.tickedAt > PAUSE_MS) node.manager.resumeAfterPause(now);
+    if (now - node.tickedAt > PAUSE_MS) node.manager.onProcessResumed(now);
     node.tickedAt = now;
     node.manager.tick(now);
   }
@@ -246,7 +246,7 @@
     const target = this.nodes.find((other) => addressOf(other) === effect.address) as QuotaNode;
     const { id } = node;
     this.pass(node, target, () => {
-      target.manager.hear(id, this.time.now());
+      target.manager.onContact(id, this.time.now());
       target.manager.receive(id, addressOf(node), effect.message, this.time.now());
     });
   }
--- a/src/allocation/stage-coordinator.ts
+++ b/src/allocation/stage-coordinator.ts
@@ -116,7 +116,7 @@
     this.setDue(context.shouldLead && steps.length > 0, now);
     this.lease.tick(now, this.hasBeenDue(context.standbyDelayMs ?? 0, now));
     if (!context.shouldLead) this.release(now);
-    const held = this.lease.current(now);
+    const held = this.lease.getHeldLease(now);
     if (!held || now < this.ordersAllowedFrom) return;
     for (let next = steps; next.length > 0; next = this.planSteps(context, now))
       if (!next.some((step) => this.startChange(context, step, now))) return;
@@ -153,7 +153,7 @@
 
   /** The machine was suspended, for a time that the monotonic clock did not count. */
   onMachineSuspended(): void {
-    this.lease.resumeAfterSuspension();
+    this.lease.onMachineSuspended();
   }
 
   /** Releases the lease, unless changes are pending. */
@@ -170,7 +170,7 @@
   receiveStatus(backendId: string, status: EngineStatus | undefined, now: number): void {
     const pending = this.pending.get(backendId);
     if (!pending || pending.ordered) return;
-    const held = this.lease.current(now);
+    const held = this.lease.getHeldLease(now);
     if (!status || status.changing || status.stage === pending.stage || !held) {
       this.pending.delete(backendId);
       return;
@@ -215,7 +215,7 @@
   ): ReadonlyMap<string, readonly BackendView[]> {
     const serving = views.filter(
       (view) =>
-        view.takesWork() && (view.changing || this.isChanging(view.record.id) || !view.isEjected(now)),
+        view.takesWork() && (view.isChangingStage || this.isChanging(view.record.id) || !view.isEjected(now)),
     );
     return groupByRegion(serving, ({ record }) => regionOf?.(record.zone) ?? '');
   }
--- a/src/configuration/configuration-replica.ts
+++ b/src/configuration/configuration-replica.ts
@@ -108,27 +108,27 @@
   }
 
   /** The revision in force here; -1 before the first. */
-  revision(): number {
+  getRevision(): number {
     return this.currentRevision;
   }
 
   /** The row of a service, if the configuration in force has it. */
-  service(name: string): ServiceRow | undefined {
+  getService(name: string): ServiceRow | undefined {
     return this.rows.get(name)?.row ?? undefined;
   }
 
   /** A row with its revision. */
-  versioned(name: string): VersionedRow | undefined {
+  getVersioned(name: string): VersionedRow | undefined {
     return this.rows.get(name);
   }
 
   /** Every row that is not deleted. */
-  services(): VersionedRow[] {
+  getServices(): VersionedRow[] {
     return [...this.rows.values()].filter((entry) => entry.row !== null);
   }
 
   /** Whether the last read of the table failed. */
-  tableDown(): boolean {
+  isTableDown(): boolean {
     return this.tableDownSince !== undefined;
   }
 
@@ -136,13 +136,13 @@
    * The clock stood still for a time that it has not counted: what is known is older than it seems.
    * Milliseconds.
    */
-  resumeAfterSuspension(forMs: number): void {
+  onMachineSuspended(forMs: number): void {
     this.confirmedAt -= forMs;
     this.outageHeardAt -= forMs;
   }
 
   /** How current the configuration is known to be. */
-  freshness(now: number, contact: PeerContact): Freshness {
+  getFreshness(now: number, contact: PeerContact): Freshness {
     if (this.currentRevision < 0) return { kind: 'never' };
     const ageMs = now - this.confirmedAt;
     if (ageMs <= this.settings.maximumStalenessMs) return { kind: 'confirmed', ageMs };
@@ -164,7 +164,7 @@
       this.unansweredPulls >= UNANSWERED_PULLS_BEFORE_POLL;
     if ((isPoller || fallback) && now >= this.nextPollAt && this.pollSentAt === undefined)
       this.pollTable(now);
-    if (isPoller && !this.tableDown()) return;
+    if (isPoller && !this.isTableDown()) return;
     // In an outage pollers ask whoever there is; a zone's only daemon asks those of other zones.
     const others = (list: readonly Member[]): Member[] => list.filter((member) => member.id !== this.selfId);
     const sources = [isPoller ? zoneMembers : pollers, zoneMembers, members]
@@ -217,7 +217,7 @@
         sequence: message.sequence,
         revision: this.currentRevision,
         ageMs: Number.isFinite(this.confirmedAt) ? Math.round(now - this.confirmedAt) : -1,
-        tableDown: this.tableDown(),
+        tableDown: this.isTableDown(),
         rows: newer.map((entry) => [entry.name, entry.revision, entry.row]),
       },
     });
--- a/src/daemon/admission.ts
+++ b/src/daemon/admission.ts
@@ -146,7 +146,7 @@
 
   private submit(work: Work, now: number): void {
     const { requestId, service } = work.request;
-    const row = this.parts.configuration.service(service);
+    const row = this.parts.configuration.getService(service);
     if (work.kind === 'completion' && row?.kind === 'completion') {
       this.parts.demand.addArrival(row, work.request.prompt.tokens, work.request.maximumTokens, now);
     }
--- a/src/daemon/cell-manager.ts
+++ b/src/daemon/cell-manager.ts
@@ -57,8 +57,8 @@
   /** Leases of the cells that this daemon routes to, for the status. */
   getLeases(now: number): { cell: string; holder: string; epoch: number; heldHere: boolean }[] {
     return [...this.runtimes.values()].map((runtime) => {
-      const held = runtime.lease.current(now);
-      const seen = runtime.lease.lastSeen();
+      const held = runtime.lease.getHeldLease(now);
+      const seen = runtime.lease.getLastObserved();
       const holder = held ? this.identity.id : (seen?.holder ?? '');
       return {
         cell: runtime.cell,
@@ -78,7 +78,7 @@
 
   /** Advances timers. `eligible` is false while the daemon is draining: it then acquires no leases. */
   tick(now: number, eligible: boolean): void {
-    this.assignment.update(this.parts.membership.active(), this.cells);
+    this.assignment.update(this.parts.membership.getActive(), this.cells);
     if (now >= this.nextListingAt) this.requestListing(now);
     for (const runtime of this.runtimes.values()) {
       const coordinatorId = this.assignment.getCoordinator(runtime.cell);
@@ -87,7 +87,7 @@
         selfId: this.identity.id,
         coordinatorId,
         subscriberIds: () => this.assignment.getSubscribers(runtime.cell).map((member) => member.id),
-        services: () => this.parts.configuration.services(),
+        services: () => this.parts.configuration.getServices(),
         localDemand: () => this.getDemand(runtime.cell, now),
         eligible,
       });
@@ -117,7 +117,7 @@
     if (sameCells) this.listedSince ??= now;
     else this.cells = listing.cells;
     this.machines = listing.machines;
-    this.assignment.update(this.parts.membership.active(), this.cells);
+    this.assignment.update(this.parts.membership.getActive(), this.cells);
     const routed = this.assignment.getCells(this.identity);
     for (const cell of routed) this.addRuntime(cell, now);
     for (const cell of [...this.runtimes.keys()]) if (!routed.includes(cell)) this.runtimes.delete(cell);
@@ -136,7 +136,7 @@
    */
   onMachineSuspended(now: number): void {
     this.onProcessResumed(now, now);
-    for (const { lease } of this.runtimes.values()) lease.resumeAfterSuspension();
+    for (const { lease } of this.runtimes.values()) lease.onMachineSuspended();
   }
 
   /** Receives an engine's answer to a control request. */
--- a/src/daemon/cell-runtime.ts
+++ b/src/daemon/cell-runtime.ts
@@ -96,7 +96,7 @@
     this.lease.tick(now, isCoordinator && context.eligible);
     const releasing = !isCoordinator || !context.eligible;
     if (releasing && this.coordinator.mayRelease(now)) this.lease.release(now);
-    const lease = releasing ? undefined : this.lease.current(now);
+    const lease = releasing ? undefined : this.lease.getHeldLease(now);
     if (now >= this.nextDemandAt) this.reportDemand(now, context);
     if (!isCoordinator && !lease) return;
     this.coordinator.tick(now, lease, () => this.getTotalDemand(now, context.services()));
@@ -106,7 +106,7 @@
   private reportDemand(now: number, context: CellContext): void {
     this.nextDemandAt = now + this.settings.cells.demandIntervalMs;
     const entries = context.localDemand();
-    if (context.coordinatorId === context.selfId || this.lease.current(now))
+    if (context.coordinatorId === context.selfId || this.lease.getHeldLease(now))
       this.receiveDemand(context.selfId, entries, now);
     const hasNoDemand = entries.every((entry) => entry[2] === 0 && entry[3] === 0);
     if (context.coordinatorId === undefined || context.coordinatorId === context.selfId || hasNoDemand)
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -69,7 +69,7 @@
   readiness(now: number): { ready: boolean; reason: string } {
     if (this.draining) return { ready: false, reason: 'draining' };
     const { membership, cells } = this.machines;
-    if (!membership.joined()) return { ready: false, reason: 'no other daemon has answered yet' };
+    if (!membership.hasJoined()) return { ready: false, reason: 'no other daemon has answered yet' };
     const freshness = this.freshness(now);
     if (freshness.kind === 'never') return { ready: false, reason: 'no configuration is known yet' };
     if (freshness.kind === 'stale') return { ready: false, reason: 'the configuration is stale' };
@@ -86,17 +86,17 @@
 
   /** Revision of the configuration in force; -1 before the first. */
   configurationRevision(): number {
-    return this.machines.configuration.revision();
+    return this.machines.configuration.getRevision();
   }
 
   /** Number of daemons in contact and of known daemons, as counted by the majority rule. */
   getMemberCounts(): { alive: number; known: number } {
-    return this.machines.membership.contact();
+    return this.machines.membership.getContact();
   }
 
   /** Number of unconfirmed writes to the table; a stopping process waits for them for a limited time. */
   countUnconfirmedWrites(): number {
-    return this.machines.ledger.waiting();
+    return this.machines.ledger.countPending();
   }
 
   /** The status document that `pulleyledge status` shows. */
@@ -110,9 +110,9 @@
       ready,
       draining: this.draining,
       reason,
-      configurationRevision: configuration.revision(),
+      configurationRevision: configuration.getRevision(),
       configurationAgeMs: freshness.kind === 'never' ? -1 : Math.round(freshness.ageMs),
-      members: membership.all().map(({ id, address, zone, state }) => ({ id, address, zone, state })),
+      members: membership.getAll().map(({ id, address, zone, state }) => ({ id, address, zone, state })),
       engines: directory.summary(),
       leases: cells.getLeases(now),
       limits: limits.getInUse(),
@@ -122,7 +122,7 @@
         applicationCalls: applications.active(),
       },
       roleChanges: cells.countRoleChanges(),
-      services: configuration.services(),
+      services: configuration.getServices(),
     };
   }
 
@@ -133,7 +133,7 @@
         break;
       case 'clockStoodStill':
         this.machines.cells.onMachineSuspended(now);
-        this.machines.configuration.resumeAfterSuspension(event.forMs);
+        this.machines.configuration.onMachineSuspended(event.forMs);
         break;
       case 'peerMessage':
         this.receivePeer(event.fromId, event.fromAddress, event.message, now);
@@ -191,7 +191,7 @@
     const { membership, quarantine, configuration, cells, limits } = this.machines;
     membership.tick(now);
     quarantine.tick(wallMs, now);
-    configuration.tick(now, this.identity.zone, membership.active());
+    configuration.tick(now, this.identity.zone, membership.getActive());
     cells.tick(now, !this.draining);
     limits.tick(now);
     const { ledger, editor, admission, completions, applications } = this.machines;
@@ -279,6 +279,6 @@
 
   private freshness(now: number): Freshness {
     const { configuration, membership } = this.machines;
-    return configuration.freshness(now, getPeerContact(membership, now));
+    return configuration.getFreshness(now, getPeerContact(membership, now));
   }
 }
--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -7,8 +7,8 @@
  * (`defer`).
  */
 import { ConfigurationReplica, type Freshness } from '../configuration/configuration-replica.js';
-import { OnceLedger } from '../ledger/once-ledger.js';
-import { initialMember } from '../membership/member-rules.js';
+import { AtMostOnceLedger } from '../ledger/once-ledger.js';
+import { createInitialMember } from '../membership/member-rules.js';
 import { Membership } from '../membership/membership.js';
 import type { DaemonIdentity } from '../membership/membership-messages.js';
 import { ApplicationManager } from '../routing/application-manager.js';
@@ -66,7 +66,7 @@
   /** Requests that crash back ends. */
   readonly quarantine: CompletionQuarantine;
   /** Claims of calls that may be executed at most once. */
-  readonly ledger: OnceLedger;
+  readonly ledger: AtMostOnceLedger;
   /** The demand for each model version. */
   readonly demand: DemandTracker;
   /** Leases, coordination and digests of the cells that this daemon routes to. */
@@ -84,7 +84,7 @@
   const limitContext = { membership, configuration, admission: () => admission, emit, defer };
   const limits: LimitManager = new LimitManager(identity, settings.limits, limitContext, now);
   const onLedger = createLedgerSink({ emit, defer, applications: () => applications });
-  const ledger = new OnceLedger(identity.id, settings.ledger, onLedger);
+  const ledger = new AtMostOnceLedger(identity.id, settings.ledger, onLedger);
   const quarantine: CompletionQuarantine = createQuarantine(context, membership, () => [
     completions,
     applications,
@@ -103,7 +103,7 @@
   const cellParts = { directory, membership, configuration, applications, demand };
   const cells = new CellManager(identity, settings, cellParts, emit);
   const editor = new ServiceEditor(createEditorSink(emit));
-  const freshness = (at: number): Freshness => configuration.freshness(at, getPeerContact(membership, at));
+  const freshness = (at: number): Freshness => configuration.getFreshness(at, getPeerContact(membership, at));
   const slots = limits.holder;
   const admissionParts = { configuration, slots, completions, applications, demand, freshness };
   const admission: Admission = new Admission(admissionParts, emit);
@@ -121,7 +121,7 @@
   const applyChange = (deadId: string | undefined): void =>
     defer((at) => limits().applyMembership(deadId, Math.max(at, now)));
   return new Membership(
-    initialMember(identity),
+    createInitialMember(identity),
     seeds,
     settings.membership,
     random,
@@ -137,7 +137,7 @@
 ): CompletionQuarantine {
   return new CompletionQuarantine({
     selfId: identity.id,
-    members: () => membership.active(),
+    members: () => membership.getActive(),
     hasOlderAttempt: (id, before) => managers().some((manager) => manager.hasOlderAttempt(id, before)),
     random,
     emit,
--- a/src/daemon/completion-messages.ts
+++ b/src/daemon/completion-messages.ts
@@ -9,7 +9,7 @@
   EngineControlResult,
 } from '../contracts/engine-protocol.js';
 import type { PulleyledgeError } from '../errors/index.js';
-import type { BackendCheck, CheckBackend, WatchedBackend } from '../quarantine/break-watch.js';
+import type { BackendCheck, CheckBackend, BackendIncarnation } from '../quarantine/break-watch.js';
 import type { MachineListing } from '../contracts/machine-list.js';
 import type { TableRequest, TableResult } from '../contracts/table-service.js';
 import type {
@@ -80,7 +80,7 @@
       readonly attemptId: string;
       readonly event: ApplicationEvent;
     }
-  | { readonly kind: 'backendChecked'; readonly backend: WatchedBackend; readonly check: BackendCheck }
+  | { readonly kind: 'backendChecked'; readonly backend: BackendIncarnation; readonly check: BackendCheck }
   | { readonly kind: 'editServices'; readonly editId: string; readonly edits: readonly RowEdit[] }
   | { readonly kind: 'beginDrain' };
 
--- a/src/daemon/forwarding-messages.ts
+++ b/src/daemon/forwarding-messages.ts
@@ -9,7 +9,7 @@
 import type { BackendSignals } from '../forwarding/backends/backend-signals.js';
 import type { ForwardRequest } from '../forwarding/forward-request.js';
 import type { KvChanges, KvChangesCall } from '../forwarding/kv-cache/kv-follower.js';
-import type { BackendCheck, WatchedBackend } from '../quarantine/break-watch.js';
+import type { BackendCheck, BackendIncarnation } from '../quarantine/break-watch.js';
 import type { HealthProbe } from '../forwarding/backends/health-prober.js';
 import type { BackendRecord, RouteConfiguration } from '../forwarding/routes/route.js';
 import type { TableRequest, TableResult } from '../contracts/table-service.js';
@@ -52,7 +52,7 @@
       readonly sentAt: number;
       readonly isHealthCheck: boolean;
     }
-  | { readonly kind: 'backendChecked'; readonly backend: WatchedBackend; readonly check: BackendCheck }
+  | { readonly kind: 'backendChecked'; readonly backend: BackendIncarnation; readonly check: BackendCheck }
   | { readonly kind: 'quarantineTableResult'; readonly result: TableResult }
   | { readonly kind: 'leaseTableResult'; readonly cell: string; readonly result: TableResult }
   | { readonly kind: 'usageTableResult'; readonly window: number; readonly result: TableResult }
@@ -80,7 +80,7 @@
   | { readonly kind: 'readRecords'; readonly read: RecordRead }
   | { readonly kind: 'probeBackend'; readonly probe: HealthProbe; readonly healthPath: string }
   | { readonly kind: 'readKvChanges'; readonly call: KvChangesCall }
-  | { readonly kind: 'checkBackend'; readonly backend: WatchedBackend }
+  | { readonly kind: 'checkBackend'; readonly backend: BackendIncarnation }
   | { readonly kind: 'quarantineTable'; readonly request: TableRequest }
   | { readonly kind: 'leaseTable'; readonly cell: string; readonly request: TableRequest }
   | { readonly kind: 'usageTable'; readonly window: number; readonly request: TableRequest }
--- a/src/daemon/limit-manager.ts
+++ b/src/daemon/limit-manager.ts
@@ -40,26 +40,26 @@
     this.ownership = new SlotOwnership(identity.id, membership);
     this.owner = new SlotOwner(
       settings,
-      (service) => configuration.service(service),
+      (service) => configuration.getService(service),
       (effect) => this.send(effect.daemonId, effect.message),
       now,
     );
     this.holder = new SlotHolder(
       settings,
-      (service) => this.ownership.ownerOf(service),
+      (service) => this.ownership.getOwner(service),
       (effect) => this.onHolderEffect(effect),
     );
   }
 
   /** Services whose limits this daemon owns, with their slots in use and waiting requests, for the status. */
-  getInUse(): ReturnType<SlotOwner['inUse']> {
-    return this.owner.inUse();
+  getInUse(): ReturnType<SlotOwner['getUsage']> {
+    return this.owner.getUsage();
   }
 
   /** Advances timers. */
   tick(now: number): void {
     this.owner.tick(now);
-    this.holder.tick(now, (id) => this.ownership.isUp(id));
+    this.holder.tick(now, (id) => this.ownership.isAlive(id));
   }
 
   /** Receives a message from a peer or from this daemon itself. */
@@ -81,13 +81,13 @@
 
   /** Applies a change of members; `deadId` is the ID of a daemon that is believed dead. */
   applyMembership(deadId: string | undefined, now: number): void {
-    this.owner.applyMembership(now);
-    if (deadId !== undefined) this.owner.removeDaemon(deadId);
+    this.owner.onMembershipChanged(now);
+    if (deadId !== undefined) this.owner.removeWaitingOf(deadId);
   }
 
   /** Sends the holders of all slots to the succeeding owners, when this daemon is leaving. */
   handOver(): void {
-    this.owner.handOver((service) => this.ownership.successorOf(service));
+    this.owner.handOver((service) => this.ownership.getSuccessor(service));
   }
 
   private send(daemonId: string, message: LimitMessage): void {
--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -4,7 +4,7 @@
  * passes them to the quarantine machine in `src/quarantine`, which owns the state and the rules.
  */
 import type { Member } from '../membership/membership-messages.js';
-import type { BackendCheck, WatchedBackend } from '../quarantine/break-watch.js';
+import type { BackendCheck, BackendIncarnation } from '../quarantine/break-watch.js';
 import { QuarantineManager, type QuarantineEffect } from '../quarantine/quarantine-manager.js';
 import type { QuarantineMessage } from '../quarantine/quarantine-messages.js';
 import { DEFAULT_QUARANTINE_SETTINGS } from '../quarantine/quarantine-settings.js';
@@ -12,7 +12,7 @@
 import { AttemptListener, type AttemptBackend } from '../routing/run-listener.js';
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { RandomSource } from '../shared/random.js';
-import { getRendezvousPlace } from '../shared/rendezvous-hash.js';
+import { getRendezvousRank } from '../shared/rendezvous-hash.js';
 import { makeQuarantineChange } from './change-log.js';
 import type { CompletionDaemonEffect } from './completion-messages.js';
 
@@ -46,8 +46,8 @@
     const context = {
       selfId,
       members: () => options.members(),
-      isFirst: () => getRendezvousPlace(CLEANER_KEY, getMemberIds(), selfId) === 0,
-      hasOlderRun: ({ id }: WatchedBackend, before: number) => options.hasOlderAttempt(id, before),
+      isFirst: () => getRendezvousRank(CLEANER_KEY, getMemberIds(), selfId) === 0,
+      hasOlderRun: ({ id }: BackendIncarnation, before: number) => options.hasOlderAttempt(id, before),
     };
     const onEffect = (effect: QuarantineEffect): void => this.onQuarantineEffect(effect);
     this.manager = new QuarantineManager(DEFAULT_QUARANTINE_SETTINGS, context, random, onEffect, now);
@@ -63,7 +63,8 @@
     startedAt: number,
     now: number,
   ): void {
-    if (key !== undefined) this.manager.addBreak(key, { id, address, incarnation: id }, startedAt, now);
+    if (key !== undefined)
+      this.manager.addBrokenAttempt(key, { id, address, incarnation: id }, startedAt, now);
   }
 
   override addAnswer(key: string | undefined, now: number): void {
@@ -71,7 +72,7 @@
   }
 
   /** Receives the result of a check on a back end. */
-  receiveCheck(backend: WatchedBackend, check: BackendCheck, now: number): void {
+  receiveCheck(backend: BackendIncarnation, check: BackendCheck, now: number): void {
     this.manager.receiveCheck(backend, check, now);
   }
 
--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -15,7 +15,7 @@
 import type { Member } from '../membership/membership-messages.js';
 import type { TableResult } from '../contracts/table-service.js';
 import type { EffectSink } from '../shared/effect-sink.js';
-import { getRendezvousPlace } from '../shared/rendezvous-hash.js';
+import { getRendezvousRank } from '../shared/rendezvous-hash.js';
 
 /** What the manager reads. */
 interface StageManagerParts {
@@ -118,7 +118,7 @@
     this.rankedMembers = members;
     const ids = members.map((member) => member.id);
     for (const service of this.slots.keys()) {
-      const place = getRendezvousPlace(service, ids, this.selfId);
+      const place = getRendezvousRank(service, ids, this.selfId);
       if (this.elections.get(service)?.place !== place) this.elections.set(service, { place, since: now });
     }
   }
@@ -139,7 +139,7 @@
       },
       now,
     );
-    for (const view of views) view.changing = coordinator.isChanging(view.record.id);
+    for (const view of views) view.isChangingStage = coordinator.isChanging(view.record.id);
   }
 
   private getCoordinator(service: string, now: number): StageCoordinator {
--- a/src/forwarding/backends/advertised-limit.ts
+++ b/src/forwarding/backends/advertised-limit.ts
@@ -24,12 +24,12 @@
   }
 
   /// Takes what another daemon knows, and since when. Returns whether the limit has changed.
-  applyTold(perSecond: number | undefined, changedAt: number): boolean {
+  applyFromPeer(perSecond: number | undefined, changedAt: number): boolean {
     return changedAt > this.changedAt && this.set(perSecond, changedAt)
   }
 
   /// The clock has not counted so many milliseconds: what is known is older by them.
-  addAge(ms: number): void {
+  onMachineSuspended(ms: number): void {
     this.changedAt -= ms
   }
 
--- a/src/forwarding/backends/backend-directory.ts
+++ b/src/forwarding/backends/backend-directory.ts
@@ -1,8 +1,8 @@
 /// All back ends that this daemon knows, by id and by service. Owns their views; the records come from the
 /// fleet's replica, the loads of other daemons from their digests.
 import type {BackendRecord} from "../routes/route.js"
-import {DEFAULT_PACE_BOOK_SETTINGS, PaceBook, type PaceBookSettings} from "../pace/pace-book.js"
-import {CHANGING_DISTRUST, PeerLoads, type BackendLoad} from "./peer-loads.js"
+import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type PaceTrackerSettings} from "../pace/pace-book.js"
+import {STAGE_CHANGE_VOTES, PeerLoads, type BackendLoad} from "./peer-loads.js"
 import type {BackendHealthSettings} from "./backend-health.js"
 import {BackendView} from "./backend-view.js"
 import {SignalState} from "./signal-state.js"
@@ -25,20 +25,20 @@
   readonly peers = new PeerLoads()
 
   /// How fast the back ends work.
-  readonly paces: PaceBook
+  readonly paces: PaceTracker
 
   constructor(
     private readonly settings: BackendHealthSettings,
-    paceSettings: PaceBookSettings = DEFAULT_PACE_BOOK_SETTINGS
+    paceSettings: PaceTrackerSettings = DEFAULT_PACE_TRACKER_SETTINGS
   ) {
-    this.paces = new PaceBook(paceSettings)
+    this.paces = new PaceTracker(paceSettings)
   }
 
   /// Takes the present record of a back end.
   put(record: BackendRecord): void {
     const known = this.views.get(record.id)
     if (known) {
-      if (known.record.address !== record.address) known.pace.forget()
+      if (known.record.address !== record.address) known.pace.reset()
       if (known.record.bornMs !== record.bornMs) known.signals = this.getSignals(record)
       known.record = record
       return
@@ -60,9 +60,9 @@
   remove(id: string): BackendView | undefined {
     const view = this.views.get(id)
     if (!view) return undefined
-    view.gone = true
+    view.removed = true
     this.views.delete(id)
-    if (!view.signals.hasSaidAnything()) this.signals.delete(getIncarnation(view.record))
+    if (!view.signals.hasSignals()) this.signals.delete(getIncarnation(view.record))
     this.paces.remove(id)
     const others = (this.byService.get(view.record.service) ?? []).filter(other => other !== view)
     this.byService.set(view.record.service, others)
@@ -112,16 +112,16 @@
   takeLoads(now: number): BackendLoad[] {
     const loads: BackendLoad[] = []
     for (const view of this.views.values()) {
-      const distrust = view.changing ? CHANGING_DISTRUST : view.isEjected(now) ? EJECTED_DISTRUST : 0
-      const inFlight = view.ownInFlight()
+      const distrust = view.isChangingStage ? STAGE_CHANGE_VOTES : view.isEjected(now) ? EJECTED_DISTRUST : 0
+      const inFlight = view.localInFlight()
       const {succeeded, failed} = view.health.takeOutcomes()
       if (inFlight + distrust + succeeded + failed > 0)
         loads.push([
           view.record.id,
           inFlight,
-          Math.round(view.ownPromptTokens()),
+          Math.round(view.localPromptTokens()),
           distrust,
-          Math.round(view.ownOverdueTokens()),
+          Math.round(view.localOverdueTokens()),
           succeeded,
           failed
         ])
--- a/src/forwarding/backends/backend-health.ts
+++ b/src/forwarding/backends/backend-health.ts
@@ -146,13 +146,13 @@
 
   /// No connection could be made, or it stayed silent: nothing more is sent there until it answers a probe.
   onUnreachable(now: number): void {
-    this.onProcessEnded(now)
+    this.onContactLost(now)
     this.unsentFailures += 1
     this.eject(now)
   }
 
   /// Its process was found to have ended: nothing more is sent there until it answers a probe.
-  onProcessEnded(now: number): void {
+  onContactLost(now: number): void {
     this.lostContact = true
     this.lostAt = now
   }
@@ -165,7 +165,7 @@
   }
 
   /// This process stood still until now and could not hear an answer.
-  resumeAfterPause(now: number): void {
+  onProcessResumed(now: number): void {
     this.lastHeardAt = Math.max(this.lastHeardAt, now)
   }
 
--- a/src/forwarding/backends/backend-view.ts
+++ b/src/forwarding/backends/backend-view.ts
@@ -1,7 +1,7 @@
 /// One incarnation of a back end as this daemon sees it. Owns its record, the attempts of this daemon there
 /// and the prompt tokens that wait for them; its health has a class of its own (backend-health.ts). Relies on
 /// the peers' digests for the load of the other daemons.
-import {DEFAULT_PACE_BOOK_SETTINGS, PaceBook, type EnginePace} from "../pace/pace-book.js"
+import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type BackendPace} from "../pace/pace-book.js"
 import type {AdvertisedLimit} from "./advertised-limit.js"
 import {BackendHealth, type BackendHealthSettings} from "./backend-health.js"
 import type {PeerLoads} from "./peer-loads.js"
@@ -20,23 +20,23 @@
 /// The state of one back end. Times are monotonic milliseconds.
 export class BackendView {
   /// The incarnation has ended or its address belongs to another one.
-  gone = false
+  removed = false
   /// This daemon is changing the engine's stage.
-  changing = false
+  isChangingStage = false
   /// Whether it works, as far as this daemon knows.
   readonly health: BackendHealth
   /// Requests that this daemon may send there while it names a limit.
   permits = 0
   private readonly attempts = new Map<string, SentAttempt>()
-  private ownPendingTokens = 0
-  private ownPendingOverdueTokens = 0
+  private localPendingTokens = 0
+  private localPendingOverdueTokens = 0
 
   constructor(
     public record: BackendRecord,
     healthSettings: BackendHealthSettings,
     private readonly peers: PeerLoads,
     /// How fast it works beside the others of its group.
-    readonly pace: EnginePace = new PaceBook(DEFAULT_PACE_BOOK_SETTINGS).get(record.id),
+    readonly pace: BackendPace = new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS).get(record.id),
     /// What its present incarnation says of itself.
     public signals = new SignalState()
   ) {
@@ -84,12 +84,12 @@
 
   /// Whether nothing should be sent there while another back end can take it.
   isEjected(now: number): boolean {
-    return this.changing || this.health.isEjected(now)
+    return this.isChangingStage || this.health.isEjected(now)
   }
 
   /// Whether new work may go there at all.
   takesWork(): boolean {
-    return !this.gone && this.record.state === "ready" && !this.signals.isLeaving
+    return !this.removed && this.record.state === "ready" && !this.signals.isLeaving
   }
 
   /// Whether it wants nothing from this daemon now.
@@ -109,7 +109,7 @@
   }
 
   /// Attempts of this daemon.
-  ownInFlight(): number {
+  localInFlight(): number {
     return this.attempts.size
   }
 
@@ -119,23 +119,23 @@
   }
 
   /// Prompt tokens that this daemon has sent and that are still to be computed, overdue ones aside.
-  ownPromptTokens(): number {
-    return Math.max(0, this.ownPendingTokens)
+  localPromptTokens(): number {
+    return Math.max(0, this.localPendingTokens)
   }
 
   /// The same of overdue prompts.
-  ownOverdueTokens(): number {
-    return Math.max(0, this.ownPendingOverdueTokens)
+  localOverdueTokens(): number {
+    return Math.max(0, this.localPendingOverdueTokens)
   }
 
   /// Prompt tokens of all daemons that are still to be computed, overdue ones aside.
   pendingTokens(): number {
-    return this.ownPromptTokens() + this.peers.getPendingTokens(this.record.id)
+    return this.localPromptTokens() + this.peers.getPendingTokens(this.record.id)
   }
 
   /// The same of overdue prompts.
   overdueTokens(): number {
-    return this.ownOverdueTokens() + this.peers.getOverdueTokens(this.record.id)
+    return this.localOverdueTokens() + this.peers.getOverdueTokens(this.record.id)
   }
 
   /// When the oldest attempt was sent that has no answer yet; Infinity when there is none.
@@ -147,7 +147,7 @@
   }
 
   private addPending(tokens: number, overdue: boolean): void {
-    if (overdue) this.ownPendingOverdueTokens += tokens
-    else this.ownPendingTokens += tokens
+    if (overdue) this.localPendingOverdueTokens += tokens
+    else this.localPendingTokens += tokens
   }
 }
--- a/src/forwarding/backends/health-prober.ts
+++ b/src/forwarding/backends/health-prober.ts
@@ -36,7 +36,7 @@
   }
 
   /// Takes the outcome of a probe.
-  answered(id: string, well: boolean, now: number): void {
+  onAnswer(id: string, well: boolean, now: number): void {
     if (well) this.directory.get(id)?.health.onProbeAnswered(now)
   }
 }
--- a/src/forwarding/backends/leaving-backends.ts
+++ b/src/forwarding/backends/leaving-backends.ts
@@ -6,7 +6,7 @@
 
 /// A leaving as daemons tell it: the back end's id and the start of its incarnation, 0 where the platform does
 /// not tell.
-export type ToldLeaving = [id: string, bornMs: number]
+export type SharedLeaving = [id: string, bornMs: number]
 
 /// Told in one message at most.
 const MAXIMUM_TOLD = 256
@@ -38,7 +38,7 @@
   }
 
   /// Takes what another daemon knows. What it says of back ends that are not known here yet it says again.
-  applyTold(told: readonly ToldLeaving[], now: number): void {
+  applyFromPeer(told: readonly SharedLeaving[], now: number): void {
     for (const [id, bornMs] of told) {
       const view = this.directory.get(id)
       if (view && (view.record.bornMs ?? 0) === bornMs) this.add(view, now)
@@ -46,8 +46,8 @@
   }
 
   /// What this daemon tells others.
-  getTold(): ToldLeaving[] {
-    const told = [...this.views].map(({record}): ToldLeaving => [record.id, record.bornMs ?? 0])
+  getForPeers(): SharedLeaving[] {
+    const told = [...this.views].map(({record}): SharedLeaving => [record.id, record.bornMs ?? 0])
     return told.slice(-MAXIMUM_TOLD)
   }
 
--- a/src/forwarding/backends/peer-loads.ts
+++ b/src/forwarding/backends/peer-loads.ts
@@ -16,7 +16,7 @@
 
 /// Distrust of a daemon that changes the stage of an engine: enough for every fleet to leave the engine
 /// alone.
-export const CHANGING_DISTRUST = 1000
+export const STAGE_CHANGE_VOTES = 1000
 
 interface Digest {
   readonly loads: readonly BackendLoad[]
@@ -44,7 +44,7 @@
   private distrusted = DISTRUSTED
 
   /// Takes the number of daemons in the fleet.
-  setDaemons(count: number): void {
+  setDaemonCount(count: number): void {
     this.distrusted = Math.max(DISTRUSTED, Math.ceil(count * MINIMUM_DISTRUST_SHARE))
   }
 
--- a/src/forwarding/backends/signal-state.ts
+++ b/src/forwarding/backends/signal-state.ts
@@ -22,7 +22,7 @@
   }
 
   /// Whether it has said anything that still counts.
-  hasSaidAnything(): boolean {
+  hasSignals(): boolean {
     return this.isLeaving || this.backOffUntil > -Infinity || this.limit.getChangedAt() > -Infinity
   }
 }
--- a/src/forwarding/choose/backend-choice.ts
+++ b/src/forwarding/choose/backend-choice.ts
@@ -42,7 +42,7 @@
   readonly service: string
   readonly prompt: PromptOutline | undefined
   /// It may run only at the one back end that this caller's requests are confined to.
-  readonly confinedCaller?: string | undefined
+  readonly isolatedCaller?: string | undefined
   /// The KV cache exists already: only a decode engine will do.
   readonly prefilled: boolean
   /// Address of the engine that holds it.
@@ -59,7 +59,7 @@
   /// Back ends that this request has been sent to.
   readonly excluded: ReadonlySet<string>
   /// Requests that this daemon may have on one back end: its part of the connections that a back end takes.
-  readonly maximumOwnInFlight: number
+  readonly maximumLocalInFlight: number
 }
 
 /// What a call carries beside the request's body, both heads and a short answer. Bytes, about.
@@ -72,7 +72,7 @@
 
 /// Back ends that may have one more request of this daemon.
 export function getWithCapacity(views: readonly BackendView[], query: BackendQuery): BackendView[] {
-  return views.filter(view => view.ownInFlight() < query.maximumOwnInFlight)
+  return views.filter(view => view.localInFlight() < query.maximumLocalInFlight)
 }
 
 /// A choice that does not depend on the engines' pace.
--- a/src/forwarding/choose/backend-distance.ts
+++ b/src/forwarding/choose/backend-distance.ts
@@ -60,22 +60,22 @@
 
   /// A call with so many bytes to the back end.
   getCall(view: BackendView, bytes: number): Expense {
-    return this.cost.getCall(this.ownZone, view.record.zone, bytes)
+    return this.cost.getCallExpense(this.ownZone, view.record.zone, bytes)
   }
 
   /// So many tokens of a KV cache copied between two engines.
   getMove(from: BackendView, to: BackendView, tokens: number, engine: EngineTraits | undefined): Expense {
-    return this.cost.getMove(from.record.zone, to.record.zone, tokens, getLinks(engine))
+    return this.cost.getCopyExpense(from.record.zone, to.record.zone, tokens, getLinks(engine))
   }
 
   /// Prompt tokens that an engine computes in a millisecond until its pace is known.
   getDefaultTokensPerMs(): number {
-    return this.cost.settings.tokensPerMs
+    return this.cost.settings.initialTokensPerMs
   }
 
   /// How long a request takes at a back end of this kind. Milliseconds.
   getWorkMs(view: BackendView): number {
-    return this.workMs.get(getKind(view)) ?? this.cost.settings.workMs
+    return this.workMs.get(getKind(view)) ?? this.cost.settings.initialWorkMs
   }
 
   /// What a request would wait for a slot there. Milliseconds.
--- a/src/forwarding/choose/backend-picker-settings.ts
+++ b/src/forwarding/choose/backend-picker-settings.ts
@@ -1,5 +1,5 @@
 /// Settings of the choice of back ends.
-import {DEFAULT_PACE_BOOK_SETTINGS, type PaceBookSettings} from "../pace/pace-book.js"
+import {DEFAULT_PACE_TRACKER_SETTINGS, type PaceTrackerSettings} from "../pace/pace-book.js"
 
 /// Settings of the choice.
 export interface BackendPickerSettings {
@@ -10,7 +10,7 @@
   /// How much slower a decode engine computes prompts than a prefill engine. Default 2.
   readonly decodePromptFactor: number
   /// Shared parts read again delay others too: they weigh so much more than their tokens. Default 4.
-  readonly readAgainFactor: number
+  readonly recomputeFactor: number
   /// What a token costs that is copied from another engine's KV cache, in tokens that are computed. Default
   /// 0.05.
   readonly copyFactor: number
@@ -28,9 +28,9 @@
   readonly onTimeShare: number
   /// Part of an engine's KV cache and slots that prompts may take before overdue ones find no room. An engine
   /// that runs out of memory puts back what it has begun to read. Default 0.7.
-  readonly lateRoomShare: number
+  readonly overdueCapacityShare: number
   /// How the back ends' pace is learned.
-  readonly pace: PaceBookSettings
+  readonly pace: PaceTrackerSettings
 }
 
 /// Default settings.
@@ -38,13 +38,13 @@
   draws: 3,
   minimumAffinityTokens: 1000,
   decodePromptFactor: 2,
-  readAgainFactor: 4,
+  recomputeFactor: 4,
   copyFactor: 0.05,
   minimumCopyTokens: 256,
   homesByRegion: true,
   requestCostTokens: 60,
   decodePromptTokens: 300,
   onTimeShare: 0.6,
-  lateRoomShare: 0.7,
-  pace: DEFAULT_PACE_BOOK_SETTINGS
+  overdueCapacityShare: 0.7,
+  pace: DEFAULT_PACE_TRACKER_SETTINGS
 }
--- a/src/forwarding/choose/backend-picker.ts
+++ b/src/forwarding/choose/backend-picker.ts
@@ -41,8 +41,8 @@
   }
 
   /// This process stood still until now: silence before says nothing about the back ends.
-  resumeAfterPause(now: number): void {
-    for (const view of this.directory.all()) view.health.resumeAfterPause(now)
+  onProcessResumed(now: number): void {
+    for (const view of this.directory.all()) view.health.onProcessResumed(now)
   }
 
   /// A prompt was computed as planned, so long after it was sent.
@@ -121,7 +121,7 @@
   }
 
   /// The same with those that this daemon backs off from, or that name a limit and have no permit.
-  private getAllowed({service, excluded, confinedCaller}: BackendQuery): BackendView[] {
+  private getAllowed({service, excluded, isolatedCaller: confinedCaller}: BackendQuery): BackendView[] {
     const working = this.directory.ofService(service).filter(view => view.takesWork())
     const allowed = confinedCaller === undefined ? working : getConfined(working, confinedCaller)
     return allowed.filter(view => !excluded.has(view.record.id))
--- a/src/forwarding/choose/prompt-picker.ts
+++ b/src/forwarding/choose/prompt-picker.ts
@@ -119,7 +119,12 @@
     backend: BackendView,
     cacheHolders: readonly CacheHolder[]
   ): PromptWork {
-    const {minimumCopyTokens, minimumAffinityTokens, readAgainFactor, copyFactor} = this.settings
+    const {
+      minimumCopyTokens,
+      minimumAffinityTokens,
+      recomputeFactor: readAgainFactor,
+      copyFactor
+    } = this.settings
     const shared = getSharedTokens(prompt)
     const keptTokens = this.kvIndex.getKeptTokens(backend.record.id, prompt)
     const cacheHolder = transfers ? transfers.pickCacheHolder(cacheHolders, backend) : cacheHolders[0]
@@ -167,7 +172,7 @@
   ): boolean {
     if (!engine) return true
     const requests = view.inFlight() + 1
-    const {lateRoomShare} = this.settings
+    const {overdueCapacityShare: lateRoomShare} = this.settings
     const memory = requests * prompt.promptTokens <= engine.kvCapacityTokens * lateRoomShare
     return memory && requests <= engine.slots * lateRoomShare
   }
@@ -178,7 +183,7 @@
     const cacheHolders: CacheHolder[] = []
     let most = 0
     for (const backend of this.directory.ofService(service)) {
-      if (backend.gone || backend.health.hasLostContact() || this.distance.isCutOff(backend)) continue
+      if (backend.removed || backend.health.hasLostContact() || this.distance.isCutOff(backend)) continue
       const tokens = this.kvIndex.getKeptTokens(backend.record.id, prompt)
       if (tokens > most) {
         most = tokens
--- a/src/forwarding/forward-manager.ts
+++ b/src/forwarding/forward-manager.ts
@@ -143,7 +143,7 @@
   /// silence until now is not attributed to any back end.
   onProcessResumed(now: number): void {
     this.resumedAt = now
-    this.picker.resumeAfterPause(now)
+    this.picker.onProcessResumed(now)
   }
 
   /// Handles deadlines, waits for permits that are over, and stalled attempts.
--- a/src/forwarding/pace/attempt-pace.ts
+++ b/src/forwarding/pace/attempt-pace.ts
@@ -24,7 +24,7 @@
 }
 
 /// The stream, or the answer of a plain back end, is whole.
-export function addWholeSample(attempt: LiveAttempt, now: number): void {
+export function addCompletedSample(attempt: LiveAttempt, now: number): void {
   const {choice, startedAt, firstEventAt, events, inFlightBefore: load} = attempt
   const {record, pace} = choice.backend
   if (record.stage === undefined) {
--- a/src/forwarding/pace/pace-book.ts
+++ b/src/forwarding/pace/pace-book.ts
@@ -4,13 +4,13 @@
 /// another one and starts as an average one.
 import {
   DEFAULT_PROMPT_PACE_SETTINGS,
-  isSensibleSample,
+  isValidSample,
   PromptPace,
   type PromptPaceSettings
 } from "./prompt-pace.js"
 
 /// Settings of the learning.
-export interface PaceBookSettings {
+export interface PaceTrackerSettings {
   /// How the groups' lines are learned.
   readonly line: PromptPaceSettings
   /// Shrinkage: an engine counts as average as though it had given so many average samples. Default 5: single
@@ -21,12 +21,12 @@
   /// that factors stay near 1 there but for engines that are many times slower.
   readonly halfLifeMs: number
   /// What the samples before still count after one more. Default 0.96.
-  readonly memory: number
+  readonly sampleDecay: number
   /// A sample that is so many times slower or faster than the engine is thought to be is a surprise. Default
   /// 2.5.
-  readonly surpriseRatio: number
+  readonly outlierRatio: number
   /// What the samples before still count after a second surprise in the same direction. Default 0.5.
-  readonly surpriseMemory: number
+  readonly outlierDecay: number
   /// No sample counts as more times slower or faster than this. Default 8.
   readonly maximumRatio: number
   /// Samples of one engine move its group's line as though at most so many times slower than expected.
@@ -36,21 +36,21 @@
   /// of a group may take longer than its line says. Default 2.
   readonly slowFactor: number
   /// A slow one is told as sound again below this. Default 1.5.
-  readonly soundFactor: number
+  readonly recoveredFactor: number
 }
 
 /// Default settings.
-export const DEFAULT_PACE_BOOK_SETTINGS: PaceBookSettings = {
+export const DEFAULT_PACE_TRACKER_SETTINGS: PaceTrackerSettings = {
   line: DEFAULT_PROMPT_PACE_SETTINGS,
   priorSamples: 5,
   halfLifeMs: 4000,
-  memory: 0.96,
-  surpriseRatio: 2.5,
-  surpriseMemory: 0.5,
+  sampleDecay: 0.96,
+  outlierRatio: 2.5,
+  outlierDecay: 0.5,
   maximumRatio: 8,
   maximumLineRatio: 3,
   slowFactor: 2,
-  soundFactor: 1.5
+  recoveredFactor: 1.5
 }
 
 /// What a line says: prompts computed apart by the tokens in front, first events of whole requests by the
@@ -75,7 +75,7 @@
 const MAXIMUM_COUNT = 1000
 
 /// The speed of one back end.
-export class EnginePace {
+export class BackendPace {
   private weight = 0
   private ratioSum = 0
   private surprises = 0
@@ -85,7 +85,7 @@
   private lastGroup: string | undefined
 
   constructor(
-    private readonly settings: PaceBookSettings,
+    private readonly settings: PaceTrackerSettings,
     private readonly getLine: (group: string) => PromptPace
   ) {}
 
@@ -97,7 +97,7 @@
 
   /// The engine took `ms` over something that had `load` in front of it. Senseless figures are ignored.
   addSample(group: string, load: number, ms: number): void {
-    if (!isSensibleSample(load, ms)) return
+    if (!isValidSample(load, ms)) return
     this.lastGroup = group
     const line = this.getLine(group)
     const expectedMs = line.getExpectedMs(load)
@@ -109,20 +109,20 @@
   /// The engine had not answered after `ms`, when it was asked no longer: a sample where that is longer than
   /// it should take.
   addUnanswered(group: string, load: number, ms: number): void {
-    if (!isSensibleSample(load, ms)) return
+    if (!isValidSample(load, ms)) return
     const expectedMs = this.getLine(group).getExpectedMs(load)
     if (expectedMs === undefined || expectedMs <= 0) return
     if (ms > expectedMs * this.factor()) this.addOwn(ms / expectedMs)
   }
 
   /// Samples of other daemons.
-  applyEvidence(ratioSum: number, count: number): void {
+  applySamples(ratioSum: number, count: number): void {
     const sensible = count > 0 && count <= MAXIMUM_COUNT && ratioSum >= 0
     if (sensible) this.add(ratioSum / count, count)
   }
 
   /// Samples of this daemon since the last call.
-  takeEvidence(): {ratioSum: number; count: number} {
+  takeSamples(): {ratioSum: number; count: number} {
     const evidence = {ratioSum: this.unsentSum, count: this.unsentCount}
     this.unsentSum = 0
     this.unsentCount = 0
@@ -130,15 +130,15 @@
   }
 
   /// What is known counts this part from now on.
-  fade(keptShare: number): void {
+  decay(keptShare: number): void {
     this.weight *= keptShare
     this.ratioSum *= keptShare
     if (this.weight >= MINIMUM_WEIGHT) return
-    this.forget()
+    this.reset()
   }
 
   /// Another engine answers there now.
-  forget(): void {
+  reset(): void {
     this.weight = 0
     this.ratioSum = 0
     this.surprises = 0
@@ -152,7 +152,7 @@
   /// The change since the last call: it has turned slow beside the middle one of its group, or is sound
   /// again.
   takeChange(middleFactor: number): "slow" | "sound" | undefined {
-    const {slowFactor, soundFactor} = this.settings
+    const {slowFactor, recoveredFactor: soundFactor} = this.settings
     const factor = this.factor() / middleFactor
     const slow = this.slow ? factor > soundFactor : factor >= slowFactor
     if (slow === this.slow) return undefined
@@ -175,15 +175,15 @@
   private add(ratio: number, count: number): void {
     const bounded = this.bound(ratio)
     const kept = this.countSurprise(bounded, count)
-      ? this.settings.surpriseMemory
-      : this.settings.memory ** count
+      ? this.settings.outlierDecay
+      : this.settings.sampleDecay ** count
     this.weight = this.weight * kept + count
     this.ratioSum = this.ratioSum * kept + bounded * count
   }
 
   /// Whether so much speaks against what was known that it is forgotten sooner.
   private countSurprise(ratio: number, count: number): boolean {
-    const {surpriseRatio} = this.settings
+    const {outlierRatio: surpriseRatio} = this.settings
     const beside = ratio / this.factor()
     const direction = beside > surpriseRatio ? 1 : beside < 1 / surpriseRatio ? -1 : 0
     this.surprises = direction * this.surprises > 0 ? this.surprises + direction * count : direction * count
@@ -198,9 +198,9 @@
 
 /// The speeds of all back ends that a daemon knows, and the lines of their groups. Times are monotonic
 /// milliseconds.
-export class PaceBook {
+export class PaceTracker {
   private readonly lines = new Map<string, PromptPace>()
-  private readonly engines = new Map<string, EnginePace>()
+  private readonly engines = new Map<string, BackendPace>()
   private fadedAt: number | undefined
   private readonly getLine = (group: string): PromptPace => {
     let line = this.lines.get(group)
@@ -208,12 +208,12 @@
     return line
   }
 
-  constructor(private readonly settings: PaceBookSettings) {}
+  constructor(private readonly settings: PaceTrackerSettings) {}
 
   /// The speed of this incarnation of a back end.
-  get(id: string): EnginePace {
+  get(id: string): BackendPace {
     let pace = this.engines.get(id)
-    if (!pace) this.engines.set(id, (pace = new EnginePace(this.settings, this.getLine)))
+    if (!pace) this.engines.set(id, (pace = new BackendPace(this.settings, this.getLine)))
     return pace
   }
 
@@ -233,7 +233,7 @@
     this.fadedAt = now
     if (passedMs <= 0) return
     const keptShare = 0.5 ** (passedMs / this.settings.halfLifeMs)
-    for (const pace of this.engines.values()) pace.fade(keptShare)
+    for (const pace of this.engines.values()) pace.decay(keptShare)
   }
 
   /// Engines that have turned slow or sound since the last call.
@@ -264,18 +264,18 @@
   }
 
   /// This daemon's samples since the last call, for its peers.
-  takeEvidence(): PaceEvidence[] {
+  takeSamples(): PaceEvidence[] {
     const told: PaceEvidence[] = []
     for (const [id, pace] of this.engines) {
-      const {ratioSum, count} = pace.takeEvidence()
+      const {ratioSum, count} = pace.takeSamples()
       if (count > 0) told.push([id, Math.round(ratioSum * 100) / 100, count])
     }
     return told
   }
 
   /// Samples of other daemons. Engines that are not known here are left out.
-  applyEvidence(evidence: readonly PaceEvidence[]): void {
-    for (const [id, ratioSum, count] of evidence) this.engines.get(id)?.applyEvidence(ratioSum, count)
+  applySamples(evidence: readonly PaceEvidence[]): void {
+    for (const [id, ratioSum, count] of evidence) this.engines.get(id)?.applySamples(ratioSum, count)
   }
 
   /// Engines that are told as slow.
--- a/src/forwarding/pace/prompt-pace.ts
+++ b/src/forwarding/pace/prompt-pace.ts
@@ -5,20 +5,20 @@
 /// Settings of the learning.
 export interface PromptPaceSettings {
   /// What a sample still counts after the next one. Default 0.98.
-  readonly memory: number
+  readonly sampleDecay: number
   /// Samples before anything is predicted. Default 8.
   readonly minimumSamples: number
 }
 
 /// Default settings.
-export const DEFAULT_PROMPT_PACE_SETTINGS: PromptPaceSettings = {memory: 0.98, minimumSamples: 8}
+export const DEFAULT_PROMPT_PACE_SETTINGS: PromptPaceSettings = {sampleDecay: 0.98, minimumSamples: 8}
 
 /// Figures beyond these are senseless, and their squares would not be finite.
 const MAXIMUM_TOKENS = 1e9
 const MAXIMUM_MS = 1e9
 
 /// Whether a measured time and what it was taken over can be true.
-export function isSensibleSample(tokens: number, ms: number): boolean {
+export function isValidSample(tokens: number, ms: number): boolean {
   return tokens >= 0 && tokens <= MAXIMUM_TOKENS && ms >= 0 && ms <= MAXIMUM_MS
 }
 
@@ -36,8 +36,8 @@
   /// A prompt was computed `ms` after it was sent, with `tokens` to compute until then. Senseless figures are
   /// ignored.
   addSample(tokens: number, ms: number): void {
-    if (!isSensibleSample(tokens, ms)) return
-    const {memory} = this.settings
+    if (!isValidSample(tokens, ms)) return
+    const {sampleDecay: memory} = this.settings
     this.samples += 1
     this.weight = this.weight * memory + 1
     this.sumTokens = this.sumTokens * memory + tokens
--- a/src/forwarding/permits/backend-limits.ts
+++ b/src/forwarding/permits/backend-limits.ts
@@ -7,7 +7,7 @@
 /// A limit as daemons tell it: the back end's id and the start of its incarnation, 0 where the platform does
 /// not tell; requests a second, `NO_LIMIT` where it names none any more; and for how long that has been so,
 /// in milliseconds.
-export type ToldLimit = [id: string, bornMs: number, perSecond: number, ageMs: number]
+export type SharedLimit = [id: string, bornMs: number, perSecond: number, ageMs: number]
 
 /// Told in place of a limit that has ended.
 const NO_LIMIT = -1
@@ -31,7 +31,7 @@
 
   /// The back ends that name a limit now.
   getLimited(): BackendView[] {
-    return [...this.views].filter(view => !view.gone && view.limit.get() !== undefined)
+    return [...this.views].filter(view => !view.removed && view.limit.get() !== undefined)
   }
 
   /// The record of a back end is there, or has come back after a lapse.
@@ -47,18 +47,18 @@
   }
 
   /// Takes what another daemon knows. What it says of back ends that are not known here yet it says again.
-  applyTold(told: readonly ToldLimit[], now: number): void {
+  applyFromPeer(told: readonly SharedLimit[], now: number): void {
     for (const [id, bornMs, perSecond, ageMs] of told) {
       const view = this.directory.get(id)
       if (!view || (view.record.bornMs ?? 0) !== bornMs) continue
       const limit = perSecond === NO_LIMIT ? undefined : perSecond
-      if (view.limit.applyTold(limit, now - ageMs)) this.setChanged(view, now)
+      if (view.limit.applyFromPeer(limit, now - ageMs)) this.setChanged(view, now)
     }
   }
 
   /// What this daemon tells others.
-  getTold(now: number): ToldLimit[] {
-    const told: ToldLimit[] = []
+  getForPeers(now: number): SharedLimit[] {
+    const told: SharedLimit[] = []
     for (const {record, limit} of this.views) {
       const ageMs = Math.round(now - limit.getChangedAt())
       const perSecond = limit.get()
@@ -69,13 +69,13 @@
   }
 
   /// The clock has not counted so many milliseconds.
-  addAge(ms: number): void {
-    for (const {limit} of this.views) limit.addAge(ms)
+  onMachineSuspended(ms: number): void {
+    for (const {limit} of this.views) limit.onMachineSuspended(ms)
   }
 
   /// Forgets back ends that are gone.
   tick(): void {
-    for (const view of this.views) if (view.gone) this.views.delete(view)
+    for (const view of this.views) if (view.removed) this.views.delete(view)
   }
 
   private setChanged(view: BackendView, now: number): void {
--- a/src/forwarding/permits/permit-manager.ts
+++ b/src/forwarding/permits/permit-manager.ts
@@ -40,7 +40,7 @@
   readonly random: RandomSource
   readonly getFleet: () => FleetView
   /// Called when a request of the service may find a permit, or need not wait for one any more.
-  readonly onSettled: (service: string, now: number) => void
+  readonly onDecision: (service: string, now: number) => void
   readonly emit: EffectSink<{
     readonly kind: "sendPeer"
     readonly address: string
@@ -141,8 +141,8 @@
   }
 
   /// Any message of a daemon shows that it runs.
-  hear(fromId: string, now: number): void {
-    this.buckets.hear(fromId, now)
+  onContact(fromId: string, now: number): void {
+    this.buckets.onContact(fromId, now)
   }
 
   /// Takes a message about permits.
@@ -152,9 +152,9 @@
   }
 
   /// This process stood still until now: what it was granted before is out of date.
-  resumeAfterPause(now: number): void {
+  onProcessResumed(now: number): void {
     for (const view of this.states.keys()) view.permits = 0
-    this.buckets.resumeAfterPause(now)
+    this.buckets.onProcessResumed(now)
   }
 
   /// Advances timers.
@@ -223,7 +223,7 @@
     }
     const view = this.asked.get(effect.requestId)
     this.settle(effect.requestId, effect.decision)
-    if (view) this.dependencies.onSettled(view.record.service, this.now)
+    if (view) this.dependencies.onDecision(view.record.service, this.now)
   }
 
   private settle(askId: string, decision: QuotaDecision): void {
--- a/src/forwarding/retry/attempt-outcomes.ts
+++ b/src/forwarding/retry/attempt-outcomes.ts
@@ -2,7 +2,7 @@
 /// retried (as retry-policy.ts decides), answered or failed.
 import type {EffectSink} from "../../shared/effect-sink.js"
 import {FIRST_SERVER_ERROR_STATUS} from "../../shared/http-status.js"
-import {addFirstEventSample, addUnansweredSample, addWholeSample} from "../pace/attempt-pace.js"
+import {addFirstEventSample, addUnansweredSample, addCompletedSample} from "../pace/attempt-pace.js"
 import type {AttemptSender} from "./attempt-sender.js"
 import type {BackendPicker} from "../choose/backend-picker.js"
 import type {SignalReport} from "../backends/backend-signals.js"
@@ -129,7 +129,7 @@
     now: number
   ): void {
     const {backend} = attempt.choice
-    if (wrongIncarnation) backend.gone = true
+    if (wrongIncarnation) backend.removed = true
     else backend.health.addRejection(now)
     removeAttempt(session, attempt)
     session.arrivals += 1
@@ -182,7 +182,7 @@
     const failed = status >= FIRST_SERVER_ERROR_STATUS
     if (failed) backend.health.addFailure(now)
     else backend.health.addSuccess(now)
-    if (!failed) addWholeSample(attempt, now)
+    if (!failed) addCompletedSample(attempt, now)
     if (!failed) this.dependencies.picker.addAnswerSample(attempt.choice, now - attempt.startedAt)
     if (failed && this.dependencies.retryPolicy.tryRetryExecuted(session, now)) {
       this.dependencies.answers.logDecision("request.attempt-failed", session, {
--- a/src/forwarding/retry/attempt-sender.ts
+++ b/src/forwarding/retry/attempt-sender.ts
@@ -125,7 +125,7 @@
     return {
       service,
       prompt: request.prompt,
-      confinedCaller: quarantineGate.getIsolatedCaller(session, now),
+      isolatedCaller: quarantineGate.getIsolatedCaller(session, now),
       prefilled: session.kvSource !== undefined,
       prefilledAt: session.kvSource?.address,
       bodyBytes: request.bodyBytes,
@@ -133,7 +133,7 @@
       engine: limits.getEngine(service),
       targetLeftMs: request.arrivedAt + route.targetLatencyMs - now,
       excluded,
-      maximumOwnInFlight: limits.getMaximumInFlight(service)
+      maximumLocalInFlight: limits.getMaximumInFlight(service)
     }
   }
 
--- a/src/lease/cell-lease.ts
+++ b/src/lease/cell-lease.ts
@@ -89,13 +89,13 @@
   }
 
   /** The authority at time `now`, if any. Callers must ask before each order and must not keep the answer. */
-  current(now: number): HeldLease | undefined {
+  getHeldLease(now: number): HeldLease | undefined {
     if (this.held && now >= this.held.validUntil) this.lose();
     return this.held;
   }
 
   /** The holder that the table last showed, for status pages. */
-  lastSeen(): LeaseValue | undefined {
+  getLastObserved(): LeaseValue | undefined {
     return this.observed?.value;
   }
 
@@ -104,7 +104,7 @@
    * become free to others for `patienceMs`.
    */
   tick(now: number, shouldHold: boolean, patienceMs = 0): void {
-    this.current(now);
+    this.getHeldLease(now);
     if (this.requestInFlight || now < this.nextActionAt) return;
     this.nextActionAt = now + this.settings.renewIntervalMs;
     if (this.pendingWrite) this.sendWrite(this.pendingWrite);
@@ -122,7 +122,7 @@
   }
 
   /** Ends the authority here at once: somebody else was seen to have a later one. */
-  giveUp(): void {
+  onSuperseded(): void {
     this.lose();
   }
 
@@ -130,7 +130,7 @@
    * This process's clock stood still for a time that nobody here has counted: what was held may have gone to
    * another, and a write on its way counts from a moment that lies further back than it seems.
    */
-  resumeAfterSuspension(): void {
+  onMachineSuspended(): void {
     this.lose();
     this.lapsedThrough = Math.max(this.lapsedThrough, this.pendingWrite?.value.epoch ?? 0);
   }
--- a/src/ledger/once-ledger.ts
+++ b/src/ledger/once-ledger.ts
@@ -70,7 +70,7 @@
 }
 
 /** The ledger state machine of one daemon. Times are monotonic milliseconds. */
-export class OnceLedger {
+export class AtMostOnceLedger {
   private queue: Entry[] = [];
   private batch: Batch | undefined;
   private batchCount = 0;
@@ -84,7 +84,7 @@
   ) {}
 
   /** Claims not yet answered. */
-  waiting(): number {
+  countPending(): number {
     return this.queue.length + (this.batch?.entries.length ?? 0);
   }
 
@@ -122,7 +122,7 @@
   }
 
   /** Forgets a claim whose outcome will never be known; the row stays and blocks repeats. */
-  abandon(requestId: string): void {
+  abandonClaim(requestId: string): void {
     this.claimRevisions.delete(requestId);
   }
 
--- a/src/limits/slot-holder.ts
+++ b/src/limits/slot-holder.ts
@@ -40,12 +40,12 @@
   ) {}
 
   /** Slots held, by service, for status pages. */
-  heldSlots(): HeldSlots[] {
+  getHeldSlots(): HeldSlots[] {
     return [...this.held];
   }
 
   /** Requests that wait for a slot. */
-  waiting(): number {
+  countWaiting(): number {
     return this.pending.size;
   }
 
--- a/src/limits/slot-owner.ts
+++ b/src/limits/slot-owner.ts
@@ -57,7 +57,7 @@
   ) {}
 
   /** Services with state here, and slots in use, for status pages. */
-  inUse(): { service: string; held: number; waiting: number }[] {
+  getUsage(): { service: string; held: number; waiting: number }[] {
     return [...this.services].map(([service, owned]) => ({
       service,
       held: heldCount(owned),
@@ -68,7 +68,7 @@
   /**
    * A daemon joined or went: services that are new here from now on may come with slots granted elsewhere.
    */
-  applyMembership(now: number): void {
+  onMembershipChanged(now: number): void {
     this.ownershipChangedAt = now;
   }
 
@@ -109,7 +109,7 @@
   }
 
   /** Drops what a dead daemon waited for; its slots run to their expiry, since its requests may still run. */
-  removeDaemon(daemonId: string): void {
+  removeWaitingOf(daemonId: string): void {
     for (const owned of this.services.values()) {
       for (let index = owned.queue.length - 1; index >= 0; index -= 1) {
         if (owned.queue[index].daemonId === daemonId) owned.queue.splice(index, 1);
--- a/src/limits/slot-ownership.ts
+++ b/src/limits/slot-ownership.ts
@@ -10,21 +10,21 @@
   ) {}
 
   /** The owner of a service's limits. */
-  ownerOf(service: string): string | undefined {
+  getOwner(service: string): string | undefined {
     return pickByRendezvous(service, this.memberIds());
   }
 
   /** Who will own them when this daemon has left. */
-  successorOf(service: string): string | undefined {
+  getSuccessor(service: string): string | undefined {
     return rankByRendezvous(service, this.memberIds(), 2).find((id) => id !== this.selfId);
   }
 
   /** Whether an owner is believed to be there. */
-  isUp(id: string): boolean {
+  isAlive(id: string): boolean {
     return id === this.selfId || this.membership.get(id)?.state === 'alive';
   }
 
   private memberIds(): string[] {
-    return this.membership.active().map((member) => member.id);
+    return this.membership.getActive().map((member) => member.id);
   }
 }
--- a/src/parts/backend-signal-part.ts
+++ b/src/parts/backend-signal-part.ts
@@ -63,7 +63,7 @@
 
   override receivePeer(fromId: string, fromAddress: string, message: PeerMessage, now: number): void {
     const {permits} = this.context
-    permits.hear(fromId, now)
+    permits.onContact(fromId, now)
     switch (message.kind) {
       case "quotaAsk":
       case "quotaAnswer":
@@ -76,11 +76,11 @@
   }
 
   override onProcessResumed(now: number): void {
-    this.context.permits.resumeAfterPause(now)
+    this.context.permits.onProcessResumed(now)
   }
 
   override onMachineSuspended(forMs: number): void {
-    this.context.limits.addAge(forMs)
+    this.context.limits.onMachineSuspended(forMs)
   }
 
   override tick(now: number): void {
@@ -90,7 +90,7 @@
   override scan(_draining: boolean, now: number): void {
     this.context.limits.tick()
     for (const known of [this.confirmedAt, this.namesLimitInChecks, this.lastUnreadable])
-      for (const view of known.keys()) if (view.gone) known.delete(view)
+      for (const view of known.keys()) if (view.removed) known.delete(view)
     for (const view of this.context.limits.getLimited()) this.probeLimit(view, now)
   }
 
--- a/src/parts/health-part.ts
+++ b/src/parts/health-part.ts
@@ -19,7 +19,7 @@
   override receiveAnswer(event: AnswerEvent, now: number): void {
     if (event.kind !== "probed") return
     const neededProbe = this.context.directory.get(event.backendId)?.health.needsProbe(now)
-    this.prober.answered(event.backendId, event.well, now)
+    this.prober.onAnswer(event.backendId, event.well, now)
     if (event.well && neededProbe) this.context.logChange("backend.recovered", {backend: event.backendId})
   }
 
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -4,7 +4,7 @@
 import type {BackendRecord} from "../forwarding/routes/route.js"
 import {getIncarnation} from "../quarantine/incarnation.js"
 import {QuarantineManager, type QuarantineEffect} from "../quarantine/quarantine-manager.js"
-import type {WatchedBackend} from "../quarantine/break-watch.js"
+import type {BackendIncarnation} from "../quarantine/break-watch.js"
 import {DaemonPart, type AnswerEvent, type PartFigures, type PartContext} from "./daemon-part.js"
 
 /// The part that runs the quarantine.
@@ -28,7 +28,7 @@
         selfId: identity.id,
         members,
         isFirst,
-        hasOlderRun: ({id}, before) => directory.get(id)?.hasAttemptBefore(before) ?? false
+        hasOlderAttempt: ({id}, before) => directory.get(id)?.hasAttemptBefore(before) ?? false
       },
       random,
       effect => this.onQuarantineEffect(effect),
@@ -43,12 +43,12 @@
   }
 
   override getIsolatedCaller(key: string, now: number): string | undefined {
-    return this.manager.getConfinedCaller(key, now)
+    return this.manager.getIsolatedCaller(key, now)
   }
 
   override onAttemptBroken(key: string, record: BackendRecord, startedAt: number, now: number): void {
     this.eventAt = now
-    this.manager.addBreak(key, makeIncarnation(record), startedAt, now)
+    this.manager.addBrokenAttempt(key, makeIncarnation(record), startedAt, now)
   }
 
   override onAttemptAnswered(key: string, now: number): void {
@@ -126,11 +126,11 @@
   private avoidCrashed(incarnation: string): void {
     for (const record of this.records.values())
       if (getIncarnation(record) === incarnation)
-        this.context.directory.get(record.id)?.health.onProcessEnded(this.eventAt)
+        this.context.directory.get(record.id)?.health.onContactLost(this.eventAt)
   }
 }
 
-function makeIncarnation(record: BackendRecord): WatchedBackend {
+function makeIncarnation(record: BackendRecord): BackendIncarnation {
   const {id, address} = record
   return {id, address, incarnation: getIncarnation(record)}
 }
--- a/src/parts/quota-part.ts
+++ b/src/parts/quota-part.ts
@@ -29,7 +29,7 @@
   }
 
   override receivePeer(fromId: string, fromAddress: string, message: PeerMessage, now: number): void {
-    this.manager.hear(fromId, now)
+    this.manager.onContact(fromId, now)
     switch (message.kind) {
       case "quotaAsk":
       case "quotaAnswer":
@@ -58,7 +58,7 @@
   }
 
   override onProcessResumed(now: number): void {
-    this.manager.resumeAfterPause(now)
+    this.manager.onProcessResumed(now)
   }
 
   override tick(now: number): void {
--- a/src/quarantine/break-watch.ts
+++ b/src/quarantine/break-watch.ts
@@ -3,17 +3,17 @@
 /// more while no older run of this daemon goes on there, or when its record says so: it is gone, or was
 /// written by a later start.
 import type {EffectSink} from "../shared/effect-sink.js"
-import type {RunEnd} from "./end-record.js"
+import type {BackendCrash} from "./end-record.js"
 
 /// A back end as the watch knows it: one incarnation.
-export interface WatchedBackend {
+export interface BackendIncarnation {
   readonly id: string
   readonly incarnation: string
   readonly address: string
 }
 
 /// A run that broke off. Monotonic milliseconds.
-interface BrokenRun {
+interface BrokenAttempt {
   readonly key: string
   readonly startedAt: number
   readonly at: number
@@ -31,7 +31,7 @@
 /// The watch asks to have a back end checked.
 export interface CheckBackend {
   readonly kind: "checkBackend"
-  readonly backend: WatchedBackend
+  readonly backend: BackendIncarnation
 }
 
 /// A back end may refuse connections for a moment, when it has too many: it is checked again after this time.
@@ -48,8 +48,8 @@
 const ANSWERED_PAUSE_MS = 200
 
 interface Watched {
-  readonly backend: WatchedBackend
-  runs: BrokenRun[]
+  readonly backend: BackendIncarnation
+  runs: BrokenAttempt[]
   checking: boolean
   /// Something has happened since the last check that it may not have shown.
   isCheckDue: boolean
@@ -62,19 +62,19 @@
 }
 
 /// The watch of one daemon. Times are monotonic milliseconds.
-export class BreakWatch {
+export class CrashDetector {
   private readonly watched = new Map<string, Watched>()
 
   constructor(
     /// Whether a run that began before a moment still goes on at a back end.
-    private readonly hasOlderRun: (backend: WatchedBackend, before: number) => boolean,
+    private readonly hasOlderAttempt: (backend: BackendIncarnation, before: number) => boolean,
     private readonly emit: EffectSink<CheckBackend>
   ) {}
 
   /// A run broke off. Returns its end if the back end is known to have ended. One that began after the first
   /// had broken off was sent to a back end that may have been gone already: something before it, such as a
   /// proxy, takes connections and closes them.
-  addBreak(backend: WatchedBackend, run: BrokenRun): RunEnd[] {
+  addBrokenAttempt(backend: BackendIncarnation, run: BrokenAttempt): BackendCrash[] {
     const watched = this.watched.get(backend.incarnation) ?? this.addWatched(backend, run.at)
     watched.firstBreakAt ??= run.at
     if (run.startedAt > watched.firstBreakAt) return []
@@ -87,7 +87,7 @@
   }
 
   /// Takes the outcome of a check. Returns the ends that it proves.
-  receive({incarnation}: WatchedBackend, check: BackendCheck, now: number): RunEnd[] {
+  receiveCheck({incarnation}: BackendIncarnation, check: BackendCheck, now: number): BackendCrash[] {
     const watched = this.watched.get(incarnation)
     if (!watched || watched.ended) return []
     watched.checking = false
@@ -101,12 +101,12 @@
     const seemsEnded = check === "ended" || watched.unclear >= UNCLEAR_CHECKS
     if (!seemsEnded) return []
     // One that refuses new connections and serves on is checked again while any of the older runs goes on.
-    return this.hasOlderRun(watched.backend, watched.firstBreakAt ?? now) ? [] : this.end(watched)
+    return this.hasOlderAttempt(watched.backend, watched.firstBreakAt ?? now) ? [] : this.end(watched)
   }
 
   /// The record of a back end went without its leave, or was written by a later start. Returns the ends that
   /// this proves.
-  receiveGone(incarnation: string): RunEnd[] {
+  onBackendGone(incarnation: string): BackendCrash[] {
     const watched = this.watched.get(incarnation)
     return watched && !watched.ended ? this.end(watched) : []
   }
@@ -119,7 +119,7 @@
     }
   }
 
-  private addWatched(backend: WatchedBackend, now: number): Watched {
+  private addWatched(backend: BackendIncarnation, now: number): Watched {
     const watched: Watched = {
       backend,
       runs: [],
@@ -142,7 +142,7 @@
     this.emit({kind: "checkBackend", backend: watched.backend})
   }
 
-  private end(watched: Watched): RunEnd[] {
+  private end(watched: Watched): BackendCrash[] {
     watched.ended = true
     const ends = watched.runs.map(run => toEnd(run, watched.backend))
     watched.runs = []
@@ -150,6 +150,6 @@
   }
 }
 
-function toEnd({key, at}: BrokenRun, {incarnation}: WatchedBackend): RunEnd {
+function toEnd({key, at}: BrokenAttempt, {incarnation}: BackendIncarnation): BackendCrash {
   return {key, incarnation, at}
 }
--- a/src/quarantine/end-record.ts
+++ b/src/quarantine/end-record.ts
@@ -14,7 +14,7 @@
 import {getCallerOfKey, getContentOfKey} from "./request-key.js"
 
 /// A back end that ended while it ran a request. Monotonic milliseconds.
-export interface RunEnd {
+export interface BackendCrash {
   readonly key: string
   /// The incarnation that ended; see `getIncarnation`.
   readonly incarnation: string
@@ -38,7 +38,7 @@
 type Subject = string
 
 /// The record of one daemon. Times are monotonic milliseconds.
-export class EndRecord {
+export class CrashHistory {
   private readonly suspects = new Map<string, Ends>()
   private readonly subjectsByIncarnation = new Map<string, Set<string>>()
   private readonly endsByCaller = new Map<string, Ends>()
@@ -49,12 +49,12 @@
     /// When this process started: it does not know what was answered before.
     private readonly startedAt: number
   ) {
-    this.answers = new RecentAnswers(settings.answerMemoryMs, settings.maximumAnswered)
+    this.answers = new RecentAnswers(settings.answerMemoryMs, settings.maximumAnswers)
   }
 
   /// Adds an end. Returns whether it was not known and counts.
-  addEnd({key, incarnation, at}: RunEnd, now: number): boolean {
-    if (now - at > this.settings.memoryMs) return false
+  addCrash({key, incarnation, at}: BackendCrash, now: number): boolean {
+    if (now - at > this.settings.crashMemoryMs) return false
     this.addEndOf(getContentOfKey(key), incarnation, at)
     if (!this.addEndOf(key, incarnation, at)) return false
     this.addEndOfCaller(getCallerOfKey(key), incarnation, at)
@@ -70,11 +70,11 @@
 
   /// When the request was last answered; -Infinity when that is not known.
   getAnsweredAt(key: string): number {
-    return this.answers.getAt(key)
+    return this.answers.getAnsweredAt(key)
   }
 
   /// Ends that are known of a request, or of what it asks for.
-  countEnds(key: string): number {
+  countCrashes(key: string): number {
     return Math.max(this.count(key), this.count(getContentOfKey(key)))
   }
 
@@ -83,31 +83,31 @@
     const ownMs = this.getSubjectMs(key, this.getLimit(key, now), now)
     if (ownMs !== undefined || this.wasAnsweredLately(key, now)) return ownMs
     const content = getContentOfKey(key)
-    const {maximumEnds, maximumEndsOfAnswered} = this.settings
+    const {maximumCrashes: maximumEnds, maximumCrashesIfAnswered: maximumEndsOfAnswered} = this.settings
     const limit = this.wasAnsweredLately(content, now) ? maximumEndsOfAnswered : maximumEnds
     return this.getSubjectMs(content, limit, now)
   }
 
   /// Whether the request may run at one back end only: back ends end under its caller's requests, whichever
   /// they are, more often than these are answered, and this one was not answered lately.
-  isConfined(key: string, now: number): boolean {
+  isIsolated(key: string, now: number): boolean {
     return !this.wasAnsweredLately(key, now) && this.hasManyEnds(getCallerOfKey(key), now)
   }
 
   /// Whether an end of the request is worth comparing and keeping.
   isNotable(key: string, now: number): boolean {
-    return this.countEnds(key) >= NOTABLE_ENDS || this.hasManyEnds(getCallerOfKey(key), now)
+    return this.countCrashes(key) >= NOTABLE_ENDS || this.hasManyEnds(getCallerOfKey(key), now)
   }
 
   /// Ends of every request of which they are notable.
-  getNotableEnds(now: number): RunEnd[] {
+  getNotableCrashes(now: number): BackendCrash[] {
     return this.getKeys()
       .filter(key => this.isNotable(key, now))
-      .flatMap(key => this.getEndsOf(key))
+      .flatMap(key => this.getCrashes(key))
   }
 
   /// Ends of one request.
-  getEndsOf(key: string): RunEnd[] {
+  getCrashes(key: string): BackendCrash[] {
     return [...(this.suspects.get(key) ?? [])].map(([incarnation, at]) => ({key, incarnation, at}))
   }
 
@@ -120,7 +120,7 @@
 
   /// Forgets ends that count no more.
   removeOld(now: number): void {
-    const {memoryMs, callerMemoryMs} = this.settings
+    const {crashMemoryMs: memoryMs, callerMemoryMs} = this.settings
     for (const [key, ends] of this.suspects)
       for (const [incarnation, at] of ends) if (now - at >= memoryMs) this.removeEnd(key, ends, incarnation)
     for (const [caller, ends] of this.endsByCaller) {
@@ -138,14 +138,14 @@
   }
 
   private wasAnsweredLately(subject: Subject, now: number): boolean {
-    return now - this.answers.getAt(subject) < this.settings.answerMemoryMs
+    return now - this.answers.getAnsweredAt(subject) < this.settings.answerMemoryMs
   }
 
   /// How long the ends of a subject reach the limit. Milliseconds.
   private getSubjectMs(subject: Subject, limit: number, now: number): number | undefined {
     const ends = this.suspects.get(subject)
     if (!ends) return undefined
-    const {memoryMs, memoryOfAnsweredMs} = this.settings
+    const {crashMemoryMs: memoryMs, crashMemoryIfAnsweredMs: memoryOfAnsweredMs} = this.settings
     const countsFor = this.wasAnsweredLately(subject, now) ? memoryOfAnsweredMs : memoryMs
     const counting = [...ends]
       .filter(([incarnation, at]) => now - at < countsFor && !this.isExplained(subject, ends, incarnation))
@@ -155,7 +155,7 @@
   }
 
   private getLimit(key: string, now: number): number {
-    const {maximumEnds, maximumEndsOfAnswered} = this.settings
+    const {maximumCrashes: maximumEnds, maximumCrashesIfAnswered: maximumEndsOfAnswered} = this.settings
     if (this.wasAnsweredLately(key, now)) return maximumEndsOfAnswered
     return this.hasManyEnds(getCallerOfKey(key), now) ? 1 : maximumEnds
   }
@@ -163,11 +163,11 @@
   /// Whether back ends end under a caller's requests, whichever they are. Under those of a large caller many
   /// end by chance, beside many answers.
   private hasManyEnds(caller: string, now: number): boolean {
-    const {maximumEndsOfCaller, callerMemoryMs} = this.settings
+    const {maximumCrashesPerCaller: maximumEndsOfCaller, callerMemoryMs} = this.settings
     const ends = this.endsByCaller.get(caller)
     if (!ends || ends.size < maximumEndsOfCaller || now - this.startedAt < callerMemoryMs) return false
     const recent = [...ends.values()].filter(at => now - at < callerMemoryMs).length
-    return recent >= maximumEndsOfCaller && recent > this.answers.countOf(caller)
+    return recent >= maximumEndsOfCaller && recent > this.answers.countAnswers(caller)
   }
 
   /// Whether the back end ended under another request, beside this one: one that has more ends, and as many
@@ -177,14 +177,14 @@
     for (const other of this.subjectsByIncarnation.get(incarnation) ?? []) {
       if (getContentOfKey(other) === content) continue
       const otherEnds = this.count(other)
-      if (otherEnds > ends.size && otherEnds >= this.settings.maximumEnds) return true
+      if (otherEnds > ends.size && otherEnds >= this.settings.maximumCrashes) return true
     }
     return false
   }
 
   /// Returns whether the end was not known and counts.
   private addEndOf(subject: Subject, incarnation: string, at: number): boolean {
-    if (at <= this.answers.getAt(subject) + TOLD_LATE_MS) return false
+    if (at <= this.answers.getAnsweredAt(subject) + TOLD_LATE_MS) return false
     const ends = this.suspects.get(subject) ?? this.addSuspect(subject)
     const knownAt = ends?.get(incarnation)
     // Daemons notice one end at different moments; the latest counts, whichever was heard first.
--- a/src/quarantine/quarantine-archive.ts
+++ b/src/quarantine/quarantine-archive.ts
@@ -4,7 +4,7 @@
 import type {EffectSink} from "../shared/effect-sink.js"
 import {hashText} from "../shared/rendezvous-hash.js"
 import type {TableRequest, TableResult, TableRow} from "../contracts/table-service.js"
-import type {RunEnd} from "./end-record.js"
+import type {BackendCrash} from "./end-record.js"
 
 /// A call to the store.
 export interface QuarantineTable {
@@ -61,7 +61,7 @@
   }
 
   /// Writes an end, unless it stands there.
-  add({key, incarnation, at}: RunEnd, wallMs: number, now: number): void {
+  add({key, incarnation, at}: BackendCrash, wallMs: number, now: number): void {
     const row = getRowKey(key, incarnation)
     if (this.written.has(row)) return
     this.written.add(row)
@@ -71,7 +71,7 @@
   }
 
   /// Removes an end, if this daemon has written it.
-  remove({key, incarnation}: RunEnd): void {
+  remove({key, incarnation}: BackendCrash): void {
     const row = getRowKey(key, incarnation)
     if (this.written.delete(row)) this.enqueue({key: row, value: undefined})
   }
@@ -88,7 +88,7 @@
   }
 
   /// Takes the answer to a call. Returns ends that were read.
-  receive(result: TableResult, wallMs: number, now: number): RunEnd[] {
+  receive(result: TableResult, wallMs: number, now: number): BackendCrash[] {
     const call = this.inFlight
     this.inFlight = undefined
     switch (result.kind) {
@@ -108,10 +108,10 @@
     return []
   }
 
-  private applyRows(rows: readonly TableRow[], more: boolean, wallMs: number, now: number): RunEnd[] {
+  private applyRows(rows: readonly TableRow[], more: boolean, wallMs: number, now: number): BackendCrash[] {
     this.readAfter = more ? rows.at(-1)?.key : undefined
     this.reading = this.readAfter !== undefined
-    const ends: RunEnd[] = []
+    const ends: BackendCrash[] = []
     for (const row of rows) {
       const value = readEnd(row)
       const ageMs = Math.max(0, wallMs - (value?.wallMs ?? -Infinity))
--- a/src/quarantine/quarantine-manager.ts
+++ b/src/quarantine/quarantine-manager.ts
@@ -8,8 +8,8 @@
 import {hashText} from "../shared/rendezvous-hash.js"
 import type {Member} from "../membership/membership-messages.js"
 import type {TableResult} from "../contracts/table-service.js"
-import {BreakWatch, type BackendCheck, type CheckBackend, type WatchedBackend} from "./break-watch.js"
-import {EndRecord, type RunEnd} from "./end-record.js"
+import {CrashDetector, type BackendCheck, type CheckBackend, type BackendIncarnation} from "./break-watch.js"
+import {CrashHistory, type BackendCrash} from "./end-record.js"
 import {QuarantineArchive, type QuarantineTable} from "./quarantine-archive.js"
 import {MAXIMUM_FACTS, type QuarantineFacts, type QuarantineMessage} from "./quarantine-messages.js"
 import {getCallerOfKey} from "./request-key.js"
@@ -21,7 +21,7 @@
   | QuarantineTable
   | {readonly kind: "sendPeer"; readonly address: string; readonly message: QuarantineMessage}
   /// A back end ended while so many runs of this daemon were there.
-  | {readonly kind: "backendEnded"; readonly backend: WatchedBackend; readonly runs: number}
+  | {readonly kind: "backendEnded"; readonly backend: BackendIncarnation; readonly runs: number}
   /// Another daemon found that an incarnation of a back end has ended.
   | {readonly kind: "peerFoundEnd"; readonly incarnation: string}
   /// The request is refused from now on, or not any more.
@@ -36,7 +36,7 @@
   /// Whether this daemon is the one that looks after what all share in the store.
   isFirst(): boolean
   /// Whether a run that began before a moment still goes on at a back end.
-  hasOlderRun(backend: WatchedBackend, before: number): boolean
+  hasOlderAttempt(backend: BackendIncarnation, before: number): boolean
 }
 
 /// A daemon that starts asks others for what they know in these intervals, and so often. Milliseconds.
@@ -50,8 +50,8 @@
 
 /// The quarantine of one daemon. Times are monotonic milliseconds; `wallMs` is the time of day.
 export class QuarantineManager {
-  private readonly record: EndRecord
-  private readonly watch: BreakWatch
+  private readonly record: CrashHistory
+  private readonly watch: CrashDetector
   private readonly archive: QuarantineArchive
   private wallMs = 0
   private comparedAt = -Infinity
@@ -67,10 +67,11 @@
     private readonly emit: EffectSink<QuarantineEffect>,
     now: number
   ) {
-    const hasOlderRun = (backend: WatchedBackend, before: number) => context.hasOlderRun(backend, before)
-    this.record = new EndRecord(settings, now)
-    this.watch = new BreakWatch(hasOlderRun, emit)
-    this.archive = new QuarantineArchive(context.selfId, settings.memoryMs, emit, now)
+    const hasOlderRun = (backend: BackendIncarnation, before: number) =>
+      context.hasOlderAttempt(backend, before)
+    this.record = new CrashHistory(settings, now)
+    this.watch = new CrashDetector(hasOlderRun, emit)
+    this.archive = new QuarantineArchive(context.selfId, settings.crashMemoryMs, emit, now)
   }
 
   /// How long the request is still to be refused; undefined when it may run. Milliseconds.
@@ -82,13 +83,13 @@
 
   /// The caller for whom the request may run at one back end only, the same one for all of that caller's;
   /// undefined for most requests.
-  getConfinedCaller(key: string, now: number): string | undefined {
-    return this.record.isConfined(key, now) ? getCallerOfKey(key) : undefined
+  getIsolatedCaller(key: string, now: number): string | undefined {
+    return this.record.isIsolated(key, now) ? getCallerOfKey(key) : undefined
   }
 
   /// The connection of a run ended before its answer was whole.
-  addBreak(key: string, backend: WatchedBackend, startedAt: number, now: number): void {
-    this.applyOwnEnds(this.watch.addBreak(backend, {key, startedAt, at: now}), now)
+  addBrokenAttempt(key: string, backend: BackendIncarnation, startedAt: number, now: number): void {
+    this.applyOwnEnds(this.watch.addBrokenAttempt(backend, {key, startedAt, at: now}), now)
   }
 
   /// A back end gave a whole answer to the request, good or not: it outlived the run.
@@ -97,15 +98,15 @@
   }
 
   /// Takes the outcome of a check.
-  receiveCheck(backend: WatchedBackend, check: BackendCheck, now: number): void {
-    const ends = this.watch.receive(backend, check, now)
+  receiveCheck(backend: BackendIncarnation, check: BackendCheck, now: number): void {
+    const ends = this.watch.receiveCheck(backend, check, now)
     if (ends.length > 0) this.emit({kind: "backendEnded", backend, runs: ends.length})
     this.applyOwnEnds(ends, now)
   }
 
   /// The record of a back end went without its leave, or was written by a later start.
   removeBackend(incarnation: string, now: number): void {
-    this.applyOwnEnds(this.watch.receiveGone(incarnation), now)
+    this.applyOwnEnds(this.watch.onBackendGone(incarnation), now)
   }
 
   /// Takes a peer's message.
@@ -150,7 +151,7 @@
     return {...this.record.getFigures(now)}
   }
 
-  private applyOwnEnds(ends: readonly RunEnd[], now: number): void {
+  private applyOwnEnds(ends: readonly BackendCrash[], now: number): void {
     const news = ends.filter(end => this.addEnd(end, now))
     if (news.length === 0) return
     this.tell({ends: news.map(end => toEndFact(end, now)), answers: []})
@@ -161,26 +162,26 @@
   /// be gone.
   private keep(key: string, now: number): void {
     if (!this.record.isNotable(key, now)) return
-    for (const end of this.record.getEndsOf(key)) this.archive.add(end, this.wallMs, now)
+    for (const end of this.record.getCrashes(key)) this.archive.add(end, this.wallMs, now)
   }
 
-  private addEnd(end: RunEnd, now: number): boolean {
-    if (!this.record.addEnd(end, now)) return false
+  private addEnd(end: BackendCrash, now: number): boolean {
+    if (!this.record.addCrash(end, now)) return false
     const {key} = end
     if (!this.quarantined.has(key) && this.record.getQuarantineMs(key, now) !== undefined) {
       this.quarantined.add(key)
       const [oldest] = this.quarantined
       if (this.quarantined.size > this.settings.maximumSuspects) this.quarantined.delete(oldest)
-      this.emit({kind: "requestQuarantined", key, ends: this.record.countEnds(key)})
+      this.emit({kind: "requestQuarantined", key, ends: this.record.countCrashes(key)})
     }
     return true
   }
 
   /// Returns whether the answer struck out an end.
   private applyAnswer(key: string, at: number, now: number): boolean {
-    const known = this.record.isNotable(key, now) ? this.record.getEndsOf(key) : []
+    const known = this.record.isNotable(key, now) ? this.record.getCrashes(key) : []
     if (!this.record.addAnswer(key, at, now)) return false
-    const left = new Set(this.record.getEndsOf(key).map(({incarnation}) => incarnation))
+    const left = new Set(this.record.getCrashes(key).map(({incarnation}) => incarnation))
     for (const end of known) if (!left.has(end.incarnation)) this.archive.remove(end)
     if (this.record.getQuarantineMs(key, now) === undefined && this.quarantined.delete(key))
       this.emit({kind: "requestReleased", key})
@@ -215,7 +216,7 @@
   }
 
   private tell(facts: QuarantineFacts): void {
-    const addresses = this.isRelayed() ? this.pickPeers(this.settings.relayedPeers) : this.getPeers()
+    const addresses = this.isRelayed() ? this.pickPeers(this.settings.relayFanout) : this.getPeers()
     const message: QuarantineMessage = {kind: "quarantineNews", ...cut(facts)}
     for (const address of addresses) this.emit({kind: "sendPeer", address, message})
   }
@@ -245,19 +246,19 @@
   }
 
   private sendSync(address: string, reply: boolean, answers: QuarantineFacts["answers"], now: number): void {
-    const ends = this.record.getNotableEnds(now).map(end => toEndFact(end, now))
+    const ends = this.record.getNotableCrashes(now).map(end => toEndFact(end, now))
     const message: QuarantineMessage = {kind: "quarantineSync", reply, ...cut({ends, answers})}
     this.emit({kind: "sendPeer", address, message})
   }
 
   /// The same in whichever order the ends were learned; 0 without any.
   private getDigest(now: number): number {
-    const ends = this.record.getNotableEnds(now)
+    const ends = this.record.getNotableCrashes(now)
     return ends.reduce((sum, {key, incarnation}) => (sum + hashText(`${key}/${incarnation}`)) >>> 0, 0)
   }
 
   private isRelayed(): boolean {
-    return this.context.members().length - 1 > this.settings.directPeers
+    return this.context.members().length - 1 > this.settings.maximumDirectPeers
   }
 
   private getPeers(): string[] {
@@ -274,7 +275,7 @@
   }
 }
 
-function toEndFact({key, incarnation, at}: RunEnd, now: number): [string, string, number] {
+function toEndFact({key, incarnation, at}: BackendCrash, now: number): [string, string, number] {
   return [key, incarnation, Math.round(now - at)]
 }
 
--- a/src/quarantine/recent-answers.ts
+++ b/src/quarantine/recent-answers.ts
@@ -26,17 +26,17 @@
     const {answeredAt, countByCaller} = this.young
     const caller = getCallerOfKey(key)
     for (const subject of [key, getContentOfKey(key)])
-      answeredAt.set(subject, Math.max(at, this.getAt(subject)))
+      answeredAt.set(subject, Math.max(at, this.getAnsweredAt(subject)))
     countByCaller.set(caller, (countByCaller.get(caller) ?? 0) + 1)
   }
 
   /// When a request, or a content, was last answered; -Infinity when that is not known.
-  getAt(subject: string): number {
+  getAnsweredAt(subject: string): number {
     return this.young.answeredAt.get(subject) ?? this.old.answeredAt.get(subject) ?? -Infinity
   }
 
   /// Answers that a caller got in one to two generations.
-  countOf(caller: string): number {
+  countAnswers(caller: string): number {
     return (this.young.countByCaller.get(caller) ?? 0) + (this.old.countByCaller.get(caller) ?? 0)
   }
 
--- a/src/quotas/owner-ranking.ts
+++ b/src/quotas/owner-ranking.ts
@@ -9,7 +9,7 @@
   /// Active members, this daemon included; the same array as long as they are the same.
   readonly members: readonly Member[]
   /// Daemons that count, lost ones included.
-  readonly known: number
+  readonly knownCount: number
   /// Whether it has met the others, or there are none.
   readonly joined: boolean
 }
@@ -77,14 +77,14 @@
   }
 
   /// This process stood still until now: others may own what it owned.
-  resumeAfterPause(now: number): void {
+  onProcessResumed(now: number): void {
     this.setReturned(now)
     this.expectedSince.clear()
     this.lost.clear()
   }
 
   /// A message of a daemon has arrived.
-  hear(id: string, now: number): void {
+  onContact(id: string, now: number): void {
     this.heardAt.set(id, now)
     this.heardAnyAt = now
     this.expectedSince.delete(id)
@@ -92,7 +92,7 @@
   }
 
   /// A daemon was asked.
-  expect(id: string, now: number): void {
+  onAskSent(id: string, now: number): void {
     if (!this.expectedSince.has(id)) this.expectedSince.set(id, now)
     this.probedAt.set(id, now)
   }
@@ -104,7 +104,7 @@
   }
 
   /// For how long this daemon has owned all that it owns now. Milliseconds.
-  getSteadyMs(now: number): number {
+  getStableMs(now: number): number {
     return Math.max(0, now - Math.max(this.steadyFrom, this.fitFrom))
   }
 
@@ -115,20 +115,20 @@
 
   /// Whether this daemon hears others, or knows of none.
   isInContact(now: number): boolean {
-    const {known, joined} = this.getFleet()
+    const {knownCount: known, joined} = this.getFleet()
     return joined && (known <= 1 || now - this.heardAnyAt <= CONTACT_MS)
   }
 
   /// Part of a limit that an owner may grant.
   getShare(): number {
-    const {members, known} = this.getFleet()
+    const {members, knownCount: known} = this.getFleet()
     const share = members.length / Math.max(1, known)
     return share >= WHOLE_SHARE ? 1 : share
   }
 
   /// Daemons that share what may be spent without asking; undefined before this one knows them.
   countDaemons(): number | undefined {
-    const {members, known, joined} = this.getFleet()
+    const {members, knownCount: known, joined} = this.getFleet()
     return joined ? Math.max(members.length, known) : undefined
   }
 
@@ -156,14 +156,14 @@
   }
 
   /// Whether the member was not heard for so long that it should be asked whether it runs.
-  isDoubted(id: string, now: number): boolean {
+  isProbeNeeded(id: string, now: number): boolean {
     return now - (this.heardAt.get(id) ?? -Infinity) > SILENCE_MS && !this.expectedSince.has(id)
   }
 
   /// Members whose answer is outstanding and are to be asked again now. Lost ones too: without it an owner
   /// that was taken for lost and runs stood beside the one in its place for seconds, and 1.38 times of what
   /// is allowed was spent (virtual time, 72 daemons).
-  takeDoubted(now: number): Member[] {
+  pickProbes(now: number): Member[] {
     const due = [...this.expectedSince.keys()].filter(
       id => now - (this.probedAt.get(id) ?? -Infinity) >= PROBE_INTERVAL_MS
     )
--- a/src/quotas/quota-holder.ts
+++ b/src/quotas/quota-holder.ts
@@ -41,13 +41,13 @@
 }
 
 /// One tenant at one daemon. Times are monotonic milliseconds.
-export class QuotaHolder {
+export class QuotaClient {
   private readonly allowance: TokenBucket
   private waiting: QuotaNeed[] = []
   private open: OpenAsk | undefined
   private closed: OpenAsk[] = []
   /// Daemons that were asked in vain for those that wait now.
-  readonly tried = new Set<string>()
+  readonly triedOwners = new Set<string>()
   /// Requests of so many tokens or more are refused until then.
   private blockedUntil = -Infinity
   private blockedTokens = 0
@@ -106,7 +106,7 @@
   }
 
   /// Whether there is something to ask or to tell, and no ask is under way.
-  isDue(): boolean {
+  isAskDue(): boolean {
     return !this.open && (this.waiting.length > 0 || this.unreported !== 0)
   }
 
@@ -128,7 +128,7 @@
 
   /// Takes the owner's word. Returns what became of those that waited; undefined when nothing waits for this
   /// answer.
-  receive(answer: QuotaAnswer, fromId: string, now: number): Map<string, QuotaDecision> | undefined {
+  receiveAnswer(answer: QuotaAnswer, fromId: string, now: number): Map<string, QuotaDecision> | undefined {
     const late = this.takeClosed(answer.sequence)
     if (late) return this.receiveLate(late, answer, fromId, now)
     const {open} = this
@@ -136,7 +136,7 @@
     this.open = undefined
     if (answer.notOwner) {
       this.unreported += open.spent
-      this.tried.add(fromId)
+      this.triedOwners.add(fromId)
       return new Map()
     }
     return this.applyAnswer(open, answer, fromId, now)
@@ -148,7 +148,7 @@
     fromId: string,
     now: number
   ): Map<string, QuotaDecision> {
-    this.tried.clear()
+    this.triedOwners.clear()
     this.answeredAt = now
     this.answeredBy = fromId
     this.reserve = answer.reserve
@@ -181,24 +181,24 @@
 
   /// Ends an ask that nobody answers. What it told may have been debited: it is told again, unless that would
   /// credit twice.
-  closeLate(now: number): boolean {
+  closeOverdueAsk(now: number): boolean {
     const {open} = this
     if (!open || now - open.askedAt < (open.needs.length > 0 ? REASK_MS : ASK_TIMEOUT_MS)) return false
     this.closed = [...this.closed.filter(({askedAt}) => now - askedAt < CLOSED_MS), open]
     this.unreported += Math.max(0, open.spent)
-    this.tried.add(open.ownerId)
+    this.triedOwners.add(open.ownerId)
     this.open = undefined
     return true
   }
 
   /// Decides what can wait no longer, or all that waits when there is nobody to ask.
   /// `unfitMs` is how long it takes at least until there is an owner.
-  decideWithout(hasOwner: boolean, unfitMs: number, now: number): Map<string, QuotaDecision> {
+  decideLocally(hasOwner: boolean, unfitMs: number, now: number): Map<string, QuotaDecision> {
     const decided = new Map<string, QuotaDecision>()
     for (const need of this.waiting)
       if (!hasOwner || now >= need.decideBy) decided.set(need.requestId, this.decideAlone(need, unfitMs, now))
     if (decided.size > 0) this.waiting = this.waiting.filter(need => !decided.has(need.requestId))
-    if (this.waiting.length === 0) this.tried.clear()
+    if (this.waiting.length === 0) this.triedOwners.clear()
     return decided
   }
 
--- a/src/quotas/quota-manager.ts
+++ b/src/quotas/quota-manager.ts
@@ -5,7 +5,7 @@
 import type {RandomSource} from "../shared/random.js"
 import type {EffectSink} from "../shared/effect-sink.js"
 import {OwnerRanking, type FleetView} from "./owner-ranking.js"
-import {QuotaHolder, type QuotaNeed} from "./quota-holder.js"
+import {QuotaClient, type QuotaNeed} from "./quota-holder.js"
 import type {QuotaAnswer, QuotaAsk, QuotaHandover, QuotaMessage} from "./quota-messages.js"
 import {OwnedBucket} from "./quota-owner.js"
 import {getBucketLimit, getDebtTokens, type QuotaLimit, type QuotaSettings} from "./quota-settings.js"
@@ -29,7 +29,7 @@
 export class QuotaManager {
   private limits: ReadonlyMap<string, QuotaLimit> = new Map()
   private readonly ranking: OwnerRanking
-  private readonly holders = new Map<string, QuotaHolder>()
+  private readonly holders = new Map<string, QuotaClient>()
   private readonly owned = new Map<string, OwnedBucket>()
   /// Tenants of waiting requests.
   private readonly tenantOf = new Map<string, string>()
@@ -96,8 +96,8 @@
   }
 
   /// Any message of a daemon shows that it runs.
-  hear(fromId: string, now: number): void {
-    this.ranking.hear(fromId, now)
+  onContact(fromId: string, now: number): void {
+    this.ranking.onContact(fromId, now)
   }
 
   /// Takes a message about quotas.
@@ -117,15 +117,15 @@
 
   /// This process stood still until now. Others may own its buckets by now: what it has of them counts no
   /// more.
-  resumeAfterPause(now: number): void {
-    this.ranking.resumeAfterPause(now)
+  onProcessResumed(now: number): void {
+    this.ranking.onProcessResumed(now)
     this.owned.clear()
   }
 
   /// Advances timers.
   tick(now: number): void {
     if (!this.ranking.tick(now)) this.owned.clear()
-    for (const {id, address} of this.ranking.takeDoubted(now)) this.probe(id, address, now)
+    for (const {id, address} of this.ranking.pickProbes(now)) this.probe(id, address, now)
     const tells = now >= this.nextTellAt
     if (tells) this.nextTellAt = now + TELL_INTERVAL_MS
     for (const [tenant, holder] of this.holders) this.tickHolder(tenant, holder, tells, now)
@@ -148,15 +148,15 @@
     }
   }
 
-  private tickHolder(tenant: string, holder: QuotaHolder, tells: boolean, now: number): void {
-    const isLate = holder.closeLate(now)
-    this.tell(holder.decideWithout(true, 0, now))
-    if (holder.hasWaiting() ? isLate || holder.isDue() : tells && holder.isDue())
+  private tickHolder(tenant: string, holder: QuotaClient, tells: boolean, now: number): void {
+    const isLate = holder.closeOverdueAsk(now)
+    this.tell(holder.decideLocally(true, 0, now))
+    if (holder.hasWaiting() ? isLate || holder.isAskDue() : tells && holder.isAskDue())
       this.tell(this.ask(tenant, holder, now))
     if (holder.isIdle(now, IDLE_MS)) this.releaseHolder(tenant, holder)
   }
 
-  private releaseHolder(tenant: string, holder: QuotaHolder): void {
+  private releaseHolder(tenant: string, holder: QuotaClient): void {
     const decided = new Map<string, QuotaDecision>()
     for (const [requestId, name] of this.tenantOf)
       if (name === tenant) decided.set(requestId, {kind: "granted"})
@@ -182,27 +182,31 @@
   /// Asks whoever owns the bucket, or the daemon that is said to own it. Returns what is decided at once.
   private ask(
     tenant: string,
-    holder: QuotaHolder,
+    holder: QuotaClient,
     now: number,
     said?: DaemonPlace
   ): Map<string, QuotaDecision> {
-    if (!holder.isDue()) return new Map()
+    if (!holder.isAskDue()) return new Map()
     const owner = said ?? this.findUntried(tenant, holder, now)
-    if (!owner) return holder.decideWithout(false, this.ranking.getUnfitMs(now), now)
+    if (!owner) return holder.decideLocally(false, this.ranking.getUnfitMs(now), now)
     this.sequence += 1
     const ask = holder.createAsk(tenant, owner.id, this.sequence, now)
     if (owner.id === this.selfId)
-      return holder.receive(this.answer(this.selfId, ask, now), this.selfId, now) ?? new Map()
+      return holder.receiveAnswer(this.answer(this.selfId, ask, now), this.selfId, now) ?? new Map()
     this.send(owner.id, owner.address, ask, now)
     return new Map()
   }
 
-  private findUntried(tenant: string, {tried}: QuotaHolder, now: number): DaemonPlace | undefined {
+  private findUntried(
+    tenant: string,
+    {triedOwners: tried}: QuotaClient,
+    now: number
+  ): DaemonPlace | undefined {
     return tried.size < MAXIMUM_TRIES ? this.ranking.findOwner(tenant, now, tried) : undefined
   }
 
   private send(id: string, address: string, ask: QuotaAsk, now: number): void {
-    this.ranking.expect(id, now)
+    this.ranking.onAskSent(id, now)
     this.emit({kind: "sendPeer", address, message: ask})
   }
 
@@ -211,9 +215,9 @@
     const none = {granted: [], blockedMs: 0, blockedTokens: 0, retryAfterMs: 0, reserve: 0}
     const base = {kind: "quotaAnswer" as const, sequence, tenant, notOwner: false, unfitMs: 0, owner: null}
     const bucket = this.limits.has(tenant) ? this.findBucket(tenant, now) : undefined
-    if (bucket) return {...base, ...bucket.receive(fromId, ask, now)}
+    if (bucket) return {...base, ...bucket.receiveAsk(fromId, ask, now)}
     const owner = this.ranking.findBelievedOwner(tenant, now)
-    if (owner && this.ranking.isDoubted(owner.id, now)) this.probe(owner.id, owner.address, now)
+    if (owner && this.ranking.isProbeNeeded(owner.id, now)) this.probe(owner.id, owner.address, now)
     const unfitMs = this.ranking.getUnfitMs(now)
     return {...base, ...none, notOwner: true, unfitMs, owner: owner ? [owner.id, owner.address] : null}
   }
@@ -226,12 +230,13 @@
   private receiveAnswer(fromId: string, answer: QuotaAnswer, now: number): void {
     if (answer.notOwner && answer.unfitMs > 0) this.ranking.setUnfit(fromId, answer.unfitMs, now)
     const holder = this.holders.get(answer.tenant)
-    const decided = holder?.receive(answer, fromId, now)
+    const decided = holder?.receiveAnswer(answer, fromId, now)
     if (!holder || !decided) return
     this.tell(decided)
     if (!holder.hasWaiting()) return
     const [id, address] = answer.owner ?? []
-    const isNew = id !== undefined && address !== undefined && !holder.tried.has(id) && id !== this.selfId
+    const isNew =
+      id !== undefined && address !== undefined && !holder.triedOwners.has(id) && id !== this.selfId
     this.tell(this.ask(answer.tenant, holder, now, isNew ? {id, address} : undefined))
   }
 
@@ -257,19 +262,19 @@
     let bucket = this.owned.get(tenant)
     if (bucket) bucket.setLimit(limit, now)
     else {
-      const earned = (limit.ratePerSecond * this.ranking.getSteadyMs(now)) / 1000
+      const earned = (limit.ratePerSecond * this.ranking.getStableMs(now)) / 1000
       bucket = new OwnedBucket(limit, getDebtTokens(this.settings), handedLevel ?? earned, now)
       this.owned.set(tenant, bucket)
     }
     return bucket
   }
 
-  private getHolder(tenant: string, now: number): QuotaHolder | undefined {
+  private getHolder(tenant: string, now: number): QuotaClient | undefined {
     const limit = this.limits.get(tenant)
     if (!limit) return undefined
     let holder = this.holders.get(tenant)
     if (!holder) {
-      holder = new QuotaHolder(limit, this.settings, () => this.random.next(), now)
+      holder = new QuotaClient(limit, this.settings, () => this.random.next(), now)
       this.holders.set(tenant, holder)
     }
     const daemons = this.ranking.countDaemons()
--- a/src/quotas/quota-owner.ts
+++ b/src/quotas/quota-owner.ts
@@ -84,7 +84,7 @@
   }
 
   /// Grants needs in their order, as far as the bucket goes for each.
-  receive(
+  receiveAsk(
     daemonId: string,
     {needs, spent, priority}: Pick<QuotaAsk, "needs" | "spent" | "priority">,
     now: number
--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -16,7 +16,7 @@
   type PulleyledgeError,
 } from '../errors/index.js';
 import type { ServiceRow } from '../configuration/service-row.js';
-import type { OnceLedger, RecordedOutcome } from '../ledger/once-ledger.js';
+import type { AtMostOnceLedger, RecordedOutcome } from '../ledger/once-ledger.js';
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { RandomSource } from '../shared/random.js';
 import type { ApplicationCall, ApplicationEffect, ApplicationEvent } from './application-messages.js';
@@ -56,7 +56,7 @@
   private readonly retries = new RetryRule(RETRY_SETTINGS);
 
   constructor(
-    private readonly ledger: OnceLedger,
+    private readonly ledger: AtMostOnceLedger,
     random: RandomSource,
     private readonly emit: EffectSink<ApplicationEffect>,
     private readonly attemptListener: AttemptListener = new NoAttemptListener(),
@@ -242,7 +242,7 @@
     body: Uint8Array,
     now: number,
   ): void {
-    if (body.byteLength > MAXIMUM_RECORDED_BODY_BYTES) this.ledger.abandon(requestId);
+    if (body.byteLength > MAXIMUM_RECORDED_BODY_BYTES) this.ledger.abandonClaim(requestId);
     else
       this.ledger.recordOutcome(
         requestId,
@@ -272,7 +272,7 @@
   private settleClaim(session: CallSession, now: number): void {
     if (session.row.repeatable || session.stage === 'claiming') return;
     if (getNotRun(session) === 'true') this.ledger.releaseClaim(session.call.requestId, now);
-    else this.ledger.abandon(session.call.requestId);
+    else this.ledger.abandonClaim(session.call.requestId);
   }
 
   private fail(session: CallSession, error: PulleyledgeError): void {
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -79,7 +79,7 @@
 export type Settings = z.infer<typeof settingsSchema>;
 
 /** The settings of the state machine, out of the file's. */
-export function daemonSettingsOf(settings: Settings): CompletionDaemonSettings {
+export function getDaemonSettings(settings: Settings): CompletionDaemonSettings {
   return settings;
 }
 
--- a/src/shared/rendezvous-hash.ts
+++ b/src/shared/rendezvous-hash.ts
@@ -44,7 +44,7 @@
  * Place of `self` in the ranking for `key`: the number of candidates that go before it. Linear, without
  * sorting.
  */
-export function getRendezvousPlace(key: string, candidates: readonly string[], self: string): number {
+export function getRendezvousRank(key: string, candidates: readonly string[], self: string): number {
   const own = getRendezvousScore(key, self);
   let place = 0;
   for (const candidate of candidates) {
--- a/src/shared/suspension-watch.ts
+++ b/src/shared/suspension-watch.ts
@@ -12,7 +12,7 @@
 const NOTICEABLE_MS = 250;
 
 /** The watch of one process. */
-export class SuspensionWatch {
+export class SuspensionDetector {
   private offsetMs: number | undefined;
 
   /**
--- a/test/break-watch.test.ts
+++ b/test/break-watch.test.ts
@@ -1,6 +1,6 @@
 /** What shows that a back end ended under a run, and what does not. */
 import { expect } from 'chai';
-import { BreakWatch, type BackendCheck, type CheckBackend } from '../src/quarantine/break-watch.js';
+import { CrashDetector, type BackendCheck, type CheckBackend } from '../src/quarantine/break-watch.js';
 
 const BACKEND = { id: 'b1', incarnation: 'b1', address: '10.0.0.1:80' };
 
@@ -8,17 +8,17 @@
 class Watch {
   readonly checks: CheckBackend[] = [];
   hasOlderRun = false;
-  readonly watch = new BreakWatch(
+  readonly watch = new CrashDetector(
     () => this.hasOlderRun,
     (check) => this.checks.push(check),
   );
 
   breakOff(key: string, startedAt: number, at: number): string[] {
-    return this.watch.addBreak(BACKEND, { key, startedAt, at }).map((end) => end.key);
+    return this.watch.addBrokenAttempt(BACKEND, { key, startedAt, at }).map((end) => end.key);
   }
 
   answer(check: BackendCheck, now: number): string[] {
-    return this.watch.receive(BACKEND, check, now).map((end) => end.key);
+    return this.watch.receiveCheck(BACKEND, check, now).map((end) => end.key);
   }
 }
 
@@ -77,11 +77,11 @@
     const site = new Watch();
     site.breakOff('a', 0, 100);
     site.answer('unclear', 130);
-    expect(site.watch.receiveGone('b1').map(({ key }) => key)).to.deep.equal(['a']);
+    expect(site.watch.onBackendGone('b1').map(({ key }) => key)).to.deep.equal(['a']);
     const other = new Watch();
     other.breakOff('a', 0, 100);
     other.answer('unclear', 130);
     other.watch.tick(5200);
-    expect(other.watch.receiveGone('b1')).to.deep.equal([]);
+    expect(other.watch.onBackendGone('b1')).to.deep.equal([]);
   });
 });
--- a/test/caller-gone.test.ts
+++ b/test/caller-gone.test.ts
@@ -390,9 +390,9 @@
   resumeAfter: undefined,
 };
 const NO_STREAM: StreamSink = {
-  head: () => undefined,
-  events: () => undefined,
-  lastEventId: () => undefined,
+  writeHead: () => undefined,
+  writeEvents: () => undefined,
+  getLastEventId: () => undefined,
 };
 
 describe('connections to servers when callers leave', () => {
@@ -411,7 +411,7 @@
       const backend = makeLabBackend('s1', order.address);
       const start = { ...ATTEMPT, requestId: attemptId, attemptId, backend };
       const headers = ['X-Attempt-Id', attemptId];
-      const head = dialect.callerHead(headers);
+      const head = dialect.parseCallerHead(headers);
       const request = { method: 'POST', path: '/a/x', headers, head, body: Buffer.from('pay') };
       client.start(start, request, NO_STREAM, ({ kind }) => events.push(`${attemptId} ${kind}`));
     };
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -218,12 +218,12 @@
   it('the time of the fleet is the median of many clocks', () => {
     const clock = new FleetClock('self');
     expect(clock.getTime(0)).to.equal(undefined);
-    clock.setOwn(5_000_000, 1000);
+    clock.setLocalTime(5_000_000, 1000);
     expect(clock.getTime(1500)).to.equal(5_000_500);
-    for (let i = 0; i < 8; i += 1) clock.apply(`d${i}`, 1_000_000 + i, 1000);
+    for (let i = 0; i < 8; i += 1) clock.addSample(`d${i}`, 1_000_000 + i, 1000);
     expect(clock.getTime(1000)).to.equal(1_000_004);
-    expect(clock.getOwn(1000)).to.equal(5_000_000);
-    clock.setOwn(1_020_000, 20_000);
+    expect(clock.getLocalTime(1000)).to.equal(5_000_000);
+    clock.setLocalTime(1_020_000, 20_000);
     expect(clock.getTime(20_000)).to.equal(1_020_000);
   });
 
--- a/test/end-record.test.ts
+++ b/test/end-record.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { PlatformModel } from '../lab/platform-model.js';
 import type { TableResult } from '../src/contracts/table-service.js';
-import { EndRecord, type RunEnd } from '../src/quarantine/end-record.js';
+import { CrashHistory, type BackendCrash } from '../src/quarantine/end-record.js';
 import { QuarantineArchive, type QuarantineTable } from '../src/quarantine/quarantine-archive.js';
 import { DEFAULT_QUARANTINE_SETTINGS } from '../src/quarantine/quarantine-settings.js';
 import { makeRequestKey } from '../src/quarantine/request-key.js';
@@ -12,19 +12,19 @@
 const NOW = 100_000;
 const WALL_MS = 1_800_000_000_000;
 
-type Fact = ({ readonly kind: 'end' } & RunEnd) | { readonly kind: 'answer'; key: string; at: number };
+type Fact = ({ readonly kind: 'end' } & BackendCrash) | { readonly kind: 'answer'; key: string; at: number };
 
-function makeRecord(fields: Partial<typeof DEFAULT_QUARANTINE_SETTINGS> = {}): EndRecord {
-  return new EndRecord({ ...DEFAULT_QUARANTINE_SETTINGS, ...fields }, 0);
+function makeRecord(fields: Partial<typeof DEFAULT_QUARANTINE_SETTINGS> = {}): CrashHistory {
+  return new CrashHistory({ ...DEFAULT_QUARANTINE_SETTINGS, ...fields }, 0);
 }
 
-function apply(record: EndRecord, fact: Fact): void {
-  if (fact.kind === 'end') record.addEnd(fact, NOW);
+function apply(record: CrashHistory, fact: Fact): void {
+  if (fact.kind === 'end') record.addCrash(fact, NOW);
   else record.addAnswer(fact.key, fact.at, NOW);
 }
 
-function addEnds(record: EndRecord, key: string, count: number, at = NOW): void {
-  for (let i = 0; i < count; i += 1) record.addEnd({ key, incarnation: `${key} b${i}`, at }, NOW);
+function addEnds(record: CrashHistory, key: string, count: number, at = NOW): void {
+  for (let i = 0; i < count; i += 1) record.addCrash({ key, incarnation: `${key} b${i}`, at }, NOW);
 }
 
 describe('ends of back ends, by request', () => {
@@ -66,7 +66,7 @@
   });
 
   it('of many requests of one caller displace each other and nothing that is known of others', () => {
-    const record = makeRecord({ maximumSuspects: 100, maximumEndsOfCaller: 1000 });
+    const record = makeRecord({ maximumSuspects: 100, maximumCrashesPerCaller: 1000 });
     const proven = makeRequestKey('proven', '10.0.0.1');
     addEnds(record, proven, 3);
     for (let i = 0; i < 2000; i += 1) addEnds(record, makeRequestKey(`many ${i}`, '10.0.0.2'), 1 + (i % 3));
@@ -78,8 +78,8 @@
     const record = makeRecord();
     const key = makeRequestKey('x', '10.0.0.1');
     addEnds(record, key, 2, NOW);
-    record.addEnd({ key, incarnation: 'old', at: NOW - 60_000 }, NOW);
-    const { memoryMs } = DEFAULT_QUARANTINE_SETTINGS;
+    record.addCrash({ key, incarnation: 'old', at: NOW - 60_000 }, NOW);
+    const { crashMemoryMs: memoryMs } = DEFAULT_QUARANTINE_SETTINGS;
     expect(record.getQuarantineMs(key, NOW)).to.equal(memoryMs - 60_000);
     expect(record.getQuarantineMs(key, NOW + memoryMs - 60_000)).to.equal(undefined);
     record.removeOld(NOW + memoryMs);
@@ -90,9 +90,9 @@
     const record = makeRecord();
     const keys = Array.from({ length: 8 }, (_, i) => makeRequestKey(`x${i}`, 'tenant'));
     for (const key of keys) addEnds(record, key, 1);
-    expect(record.isConfined(keys[0], NOW)).to.equal(true);
+    expect(record.isIsolated(keys[0], NOW)).to.equal(true);
     for (let i = 0; i < 9; i += 1) record.addAnswer(makeRequestKey(`y${i}`, 'tenant'), NOW, NOW);
-    expect(record.isConfined(keys[0], NOW)).to.equal(false);
+    expect(record.isIsolated(keys[0], NOW)).to.equal(false);
   });
 });
 
@@ -100,7 +100,7 @@
   /** An archive before a table whose answers may be lost. */
   class Keeper {
     readonly calls: QuarantineTable[] = [];
-    readonly read: RunEnd[] = [];
+    readonly read: BackendCrash[] = [];
     readonly archive: QuarantineArchive;
 
     constructor(
--- a/test/forwarding-bytes.test.ts
+++ b/test/forwarding-bytes.test.ts
@@ -271,9 +271,9 @@
   it('is broken off, not answered a second time, when the request fails before the machine knew', async () => {
     const server = createServer((_request, response) => {
       const reply = new CallerReply(response, () => false, undefined);
-      reply.head(200, ['X-Own', '1'], true);
-      reply.events(Buffer.from('id: 1\n\n'), '1');
-      setTimeout(() => reply.own({ status: 504, failure: 'deadline', retryAfterMs: undefined }), 50);
+      reply.writeHead(200, ['X-Own', '1'], true);
+      reply.writeEvents(Buffer.from('id: 1\n\n'), '1');
+      setTimeout(() => reply.sendFailure({ status: 504, failure: 'deadline', retryAfterMs: undefined }), 50);
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const { port } = server.address() as AddressInfo;
--- a/test/forwarding-harness.ts
+++ b/test/forwarding-harness.ts
@@ -35,8 +35,8 @@
   return new PermitManager({
     selfId: 'daemon-1',
     random: new SeededRandom(SEED),
-    getFleet: () => ({ members: [], known: 1, joined: true }),
-    onSettled: () => undefined,
+    getFleet: () => ({ members: [], knownCount: 1, joined: true }),
+    onDecision: () => undefined,
     emit: () => undefined,
   });
 }
--- a/test/kv-index.test.ts
+++ b/test/kv-index.test.ts
@@ -168,7 +168,7 @@
   it('are parsed as the engine sends them', () => {
     const body =
       '{"epoch":240377,"next_token":3,"lost":false,"events":[[1,"+","","ee",52,"m"],[2,"-","","9f",0,"m"]]}';
-    expect(dialect.kvChanges(200, body)).to.deep.equal({
+    expect(dialect.parseKvChanges(200, body)).to.deep.equal({
       epoch: '240377',
       next: 3,
       lost: false,
@@ -188,11 +188,11 @@
       '{"epoch":1}',
       '{"epoch":1,"next_token":2,"events":[[1,"+","","a",-5,"m"]]}',
     ];
-    for (const body of bodies) expect(dialect.kvChanges(200, body)).to.equal(undefined);
-    expect(dialect.kvChanges(429, '{"epoch":1,"next_token":2,"events":[]}')).to.equal(undefined);
+    for (const body of bodies) expect(dialect.parseKvChanges(200, body)).to.equal(undefined);
+    expect(dialect.parseKvChanges(429, '{"epoch":1,"next_token":2,"events":[]}')).to.equal(undefined);
     fc.assert(
       fc.property(fc.json(), (body) => {
-        const answer = dialect.kvChanges(200, body);
+        const answer = dialect.parseKvChanges(200, body);
         if (answer) expect(answer.next).to.satisfy(Number.isFinite);
       }),
       { seed: SEED, numRuns: 200 },
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -52,7 +52,7 @@
   loseOwner(next: string): void {
     this.up.delete(this.owner);
     this.owner = next;
-    this.owners.get(next)?.applyMembership(this.now);
+    this.owners.get(next)?.onMembershipChanged(this.now);
   }
 
   handOver(next: string): void {
--- a/test/lost-back-ends.test.ts
+++ b/test/lost-back-ends.test.ts
@@ -48,6 +48,6 @@
     const roundTrips = new RoundTrips(DEFAULT_DISTANCE_SETTINGS.roundTripMs);
     for (let count = 0; count < 10; count += 1) roundTrips.addSample('r1', 'sameZone', 2);
     roundTrips.addSample('r1', 'sameZone', 3000);
-    expect(roundTrips.getMs('r1', 'sameZone')).to.be.lessThan(5);
+    expect(roundTrips.getRoundTripMs('r1', 'sameZone')).to.be.lessThan(5);
   });
 });
--- a/test/pace-book.test.ts
+++ b/test/pace-book.test.ts
@@ -2,9 +2,9 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import {
-  DEFAULT_PACE_BOOK_SETTINGS,
-  PaceBook,
-  type PaceBookSettings,
+  DEFAULT_PACE_TRACKER_SETTINGS,
+  PaceTracker,
+  type PaceTrackerSettings,
 } from '../src/forwarding/pace/pace-book.js';
 import { SeededRandom, type RandomSource } from '../src/shared/random.js';
 
@@ -19,7 +19,7 @@
   private now = 0;
 
   constructor(
-    readonly book: PaceBook,
+    readonly book: PaceTracker,
     private readonly random: RandomSource,
   ) {}
 
@@ -53,9 +53,9 @@
 
 function makeEngines(
   speeds: readonly number[],
-  settings: PaceBookSettings = DEFAULT_PACE_BOOK_SETTINGS,
+  settings: PaceTrackerSettings = DEFAULT_PACE_TRACKER_SETTINGS,
 ): Engines {
-  const engines = new Engines(new PaceBook(settings), new SeededRandom(SEED));
+  const engines = new Engines(new PaceTracker(settings), new SeededRandom(SEED));
   speeds.forEach((speed, index) => engines.speeds.set(`engine-${index}`, speed));
   return engines;
 }
@@ -103,10 +103,10 @@
     const engines = makeEngines(Array<number>(9).fill(1));
     engines.answer(40, 400);
     for (let step = 0; step < 5; step += 1)
-      for (const id of engines.speeds.keys()) engines.book.get(id).applyEvidence(12, 3);
+      for (const id of engines.speeds.keys()) engines.book.get(id).applySamples(12, 3);
     for (const id of engines.speeds.keys()) expect(engines.factor(id)).to.be.at.least(2);
     expect(engines.book.takeChanges()).to.deep.equal([]);
-    engines.book.get('engine-3').applyEvidence(800, 100);
+    engines.book.get('engine-3').applySamples(800, 100);
     expect(engines.book.takeChanges().map(({ id }) => id)).to.deep.equal(['engine-3']);
   });
 
@@ -148,22 +148,25 @@
   });
 
   it('makes the same of samples that other daemons took', () => {
-    const [teller, hearer] = [makeEngines(TWO_THIRDS_AVERAGE), new PaceBook(DEFAULT_PACE_BOOK_SETTINGS)];
+    const [teller, hearer] = [
+      makeEngines(TWO_THIRDS_AVERAGE),
+      new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS),
+    ];
     for (const id of teller.speeds.keys()) hearer.get(id);
     for (let step = 0; step < 40; step += 1) {
       teller.answer(1, 400);
-      hearer.applyEvidence(teller.book.takeEvidence());
+      hearer.applySamples(teller.book.takeSamples());
       hearer.tick((step + 1) * 400);
     }
     for (const id of teller.speeds.keys())
       expect(hearer.get(id).factor()).to.be.closeTo(teller.factor(id), 0.12);
-    expect(teller.book.takeEvidence()).to.deep.equal([]);
-    hearer.applyEvidence([['unknown', 3, 1]]);
+    expect(teller.book.takeSamples()).to.deep.equal([]);
+    hearer.applySamples([['unknown', 3, 1]]);
     expect(hearer.getFactors().map(({ id }) => id)).not.to.include('unknown');
   });
 
   it('is finite, positive and bounded whatever was measured or told', () => {
-    const { maximumRatio } = DEFAULT_PACE_BOOK_SETTINGS;
+    const { maximumRatio } = DEFAULT_PACE_TRACKER_SETTINGS;
     const figure = fc.oneof(
       fc.double(),
       fc.integer({ min: -10, max: 100_000 }),
@@ -172,12 +175,12 @@
     const step = fc.tuple(fc.constantFrom('sample', 'unanswered', 'told', 'tick'), figure, figure);
     fc.assert(
       fc.property(fc.array(step, { maxLength: 80 }), (steps) => {
-        const book = new PaceBook(DEFAULT_PACE_BOOK_SETTINGS);
+        const book = new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS);
         const pace = book.get('engine');
         for (const [kind, left, right] of steps) {
           if (kind === 'sample') pace.addSample(GROUP, left, right);
           else if (kind === 'unanswered') pace.addUnanswered(GROUP, left, right);
-          else if (kind === 'told') book.applyEvidence([['engine', left, right]]);
+          else if (kind === 'told') book.applySamples([['engine', left, right]]);
           else book.tick(left);
           expect(pace.factor()).to.be.within(1 / maximumRatio, maximumRatio);
         }
@@ -199,7 +202,7 @@
       [10, Infinity],
     ])
       engines.book.get('engine-0').addSample(GROUP, load, ms);
-    engines.book.applyEvidence([
+    engines.book.applySamples([
       ['engine-0', NaN, 1],
       ['engine-0', 1, NaN],
       ['engine-0', 5, 0],
--- a/test/policies.test.ts
+++ b/test/policies.test.ts
@@ -270,16 +270,16 @@
       first.tick(now);
       second.tick(now);
       await step();
-      expect(first.lease.current(now) && second.lease.current(now)).to.equal(undefined);
+      expect(first.lease.getHeldLease(now) && second.lease.getHeldLease(now)).to.equal(undefined);
     }
-    const epoch = first.lease.current(8000)?.epoch;
+    const epoch = first.lease.getHeldLease(8000)?.epoch;
     expect(epoch).to.equal(1);
     for (let now = 8100; now <= 24_000; now += 100) {
       second.tick(now);
       await step();
     }
-    expect(second.lease.current(24_000)?.epoch).to.equal(2);
-    expect(first.lease.current(24_000)).to.equal(undefined);
+    expect(second.lease.getHeldLease(24_000)?.epoch).to.equal(2);
+    expect(first.lease.getHeldLease(24_000)).to.equal(undefined);
   });
 
   it('resolves a lost answer by a retry with the same write id, and is valid from the first request', async () => {
@@ -288,15 +288,15 @@
     for (let now = 0; now <= 500; now += 100) {
       holder.tick(now);
       await step();
-      holder.losesAnswers = holder.lease.lastSeen() === undefined && now >= 0;
+      holder.losesAnswers = holder.lease.getLastObserved() === undefined && now >= 0;
     }
-    expect(holder.lease.current(500)).to.equal(undefined);
+    expect(holder.lease.getHeldLease(500)).to.equal(undefined);
     holder.losesAnswers = false;
     for (let now = 600; now <= 3000; now += 100) {
       holder.tick(now);
       await step();
     }
-    expect(holder.lease.current(3000)?.epoch).to.equal(1);
+    expect(holder.lease.getHeldLease(3000)?.epoch).to.equal(1);
     expect(platform.getRow('leases', 'cell')?.revision).to.be.at.most(2);
   });
 });
--- a/test/quota-requests.test.ts
+++ b/test/quota-requests.test.ts
@@ -180,7 +180,7 @@
   it('add both token numbers of a request and ignore invalid ones', () => {
     const dialect = new HttpDialect();
     const tokensOf = (value: string): number | undefined =>
-      dialect.callerHead(['X-Token-Usage', value]).usageTokens;
+      dialect.parseCallerHead(['X-Token-Usage', value]).usageTokens;
     expect(tokensOf('1460,80')).to.equal(1540);
     expect(tokensOf('1460')).to.equal(1460);
     for (const wrong of ['-5,3', 'many', '1,x']) expect(tokensOf(wrong)).to.equal(undefined);
--- a/test/quota-restarts.test.ts
+++ b/test/quota-restarts.test.ts
@@ -112,7 +112,8 @@
   it('never grant a request that alone would break the promise', () => {
     const limit = { ratePerSecond: 1000, burst: 1000 };
     const bucket = new OwnedBucket(limit, 38_000, 0, 0);
-    const decide = (tokens: number) => bucket.receive('d.1', { needs: [tokens], spent: 0 }, 600_000).granted;
+    const decide = (tokens: number) =>
+      bucket.receiveAsk('d.1', { needs: [tokens], spent: 0 }, 600_000).granted;
     expect(decide(300_000)).to.deep.equal([]);
     expect(decide(30_000)).to.deep.equal([0]);
   });
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -82,7 +82,7 @@
 describe('an owned bucket', () => {
   const limit = { ratePerSecond: 10_000, burst: 10_000 };
   const ask = (bucket: OwnedBucket, needs: number[], now: number): number[] =>
-    bucket.receive('d', { needs, spent: 0 }, now).granted;
+    bucket.receiveAsk('d', { needs, spent: 0 }, now).granted;
 
   it('lets a short request pass a long one that it cannot pay', () => {
     const bucket = new OwnedBucket(limit, 0, 0, 0);
--- a/test/ready-connections.test.ts
+++ b/test/ready-connections.test.ts
@@ -8,7 +8,7 @@
   type ForwardingSite,
 } from '../lab/forwarding-site.js';
 import { findHeader, ScriptedBackend } from '../lab/scripted-backend.js';
-import { checkPlatformSettings, processSettings } from '../platform/settings.js';
+import { checkPlatformSettings, createProcessSettings } from '../platform/settings.js';
 
 const LIMIT = 60;
 /** Longer than a connection must rest before it gives way. Milliseconds. */
@@ -156,13 +156,15 @@
 `;
 
   it('leave descriptors for as many requests at servers, and for files', () => {
-    const settings = processSettings(checkPlatformSettings(`${SETTINGS}[limits]\nmax_fds = 4100\n`));
+    const settings = createProcessSettings(checkPlatformSettings(`${SETTINGS}[limits]\nmax_fds = 4100\n`));
     expect(settings.maximumCallerConnections).to.equal(1755);
     expect(4100 - 200 - 2 * settings.maximumCallerConnections).to.be.greaterThan(300);
   });
 
   it('are not bounded where nothing is said of descriptors', () => {
-    expect(processSettings(checkPlatformSettings(SETTINGS)).maximumCallerConnections).to.equal(Infinity);
+    expect(createProcessSettings(checkPlatformSettings(SETTINGS)).maximumCallerConnections).to.equal(
+      Infinity,
+    );
   });
 });
 
--- a/test/real-process.test.ts
+++ b/test/real-process.test.ts
@@ -161,7 +161,7 @@
     expect(sum.whole).to.be.greaterThan(sum.sent / 3);
     expect(Math.max(...(await executions(site)))).to.equal(1);
     const statuses = await Promise.all(
-      site.daemons.map((daemon) => new OperatorClient(daemon.addresses.operator).status()),
+      site.daemons.map((daemon) => new OperatorClient(daemon.addresses.operator).getStatus()),
     );
     expect(
       statuses.flatMap((status) => status.leases).filter((lease) => lease.heldHere).length,
@@ -212,7 +212,7 @@
     expect(edited.code, edited.stderr).to.equal(0);
     await pause(5000);
     for (const daemon of site.daemons) {
-      const { services } = await new OperatorClient(daemon.addresses.operator).services();
+      const { services } = await new OperatorClient(daemon.addresses.operator).getServices();
       expect(services.find((entry) => entry.name === 'eligibility')?.row?.weight).to.equal(7);
     }
     const loser = await pulleyledge(
@@ -249,7 +249,7 @@
     await pause(1000);
     abort.abort();
     await site.waitFor(async () => {
-      const { requests, engines } = await new OperatorClient(site.daemons[0].addresses.operator).status();
+      const { requests, engines } = await new OperatorClient(site.daemons[0].addresses.operator).getStatus();
       const streams = engines.reduce((sum, engine) => sum + engine.streams, 0);
       if (requests.active > 0 || streams > 0)
         throw new Error(`${requests.active} requests, ${streams} streams`);
--- a/test/restarted-back-ends.test.ts
+++ b/test/restarted-back-ends.test.ts
@@ -27,7 +27,7 @@
     0,
   );
   records.forEach((value, i) =>
-    fleet.receive(
+    fleet.receiveReadResult(
       'backends',
       {
         kind: i === 0 ? 'snapshot' : 'changes',
@@ -64,7 +64,7 @@
     site.directory.put({ ...record, bornMs: BORN_MS });
     const after = site.directory.get(record.id);
     expect(after?.isEjected(20)).to.equal(false);
-    expect(after?.ownInFlight()).to.equal(0);
+    expect(after?.localInFlight()).to.equal(0);
     expect(before?.takesWork()).to.equal(false);
   });
 
--- a/test/run-quarantine.test.ts
+++ b/test/run-quarantine.test.ts
@@ -9,7 +9,7 @@
 import type { CompletionDaemonEffect } from '../src/daemon/completion-messages.js';
 import { parseServiceRow } from '../src/configuration/service-row.js';
 import type { EngineReport } from '../src/contracts/engine-protocol.js';
-import { OnceLedger } from '../src/ledger/once-ledger.js';
+import { AtMostOnceLedger } from '../src/ledger/once-ledger.js';
 import { QuarantinedError } from '../src/errors/index.js';
 import { ApplicationManager } from '../src/routing/application-manager.js';
 import type { ApplicationEffect } from '../src/routing/application-messages.js';
@@ -72,7 +72,11 @@
   it('is refused as not executed once it has crashed three servers, while other requests are sent', () => {
     const harness = new QuarantineHarness();
     const effects: ApplicationEffect[] = [];
-    const ledger = new OnceLedger('daemon-1', DEFAULT_COMPLETION_DAEMON_SETTINGS.ledger, () => undefined);
+    const ledger = new AtMostOnceLedger(
+      'daemon-1',
+      DEFAULT_COMPLETION_DAEMON_SETTINGS.ledger,
+      () => undefined,
+    );
     const random = new SeededRandom(2);
     const calls = new ApplicationManager(
       ledger,
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -72,9 +72,9 @@
     const address = await proxy.start();
     near.send(address, ping());
     await delay(FOUND_MS);
-    const before = near.connectionsMade();
+    const before = near.getConnectionsMade();
     await sendFor(address, FOUND_MS);
-    expect(near.connectionsMade()).to.equal(before);
+    expect(near.getConnectionsMade()).to.equal(before);
   });
 });
 
--- a/test/stage-regions.test.ts
+++ b/test/stage-regions.test.ts
@@ -188,14 +188,14 @@
       ['north-1', 'decode'],
     ]);
     for (const [index, ratio] of [1, 1, 1.4, 1, 0.8, 1].entries())
-      views[index].pace.applyEvidence(ratio * 100, 100);
+      views[index].pace.applySamples(ratio * 100, 100);
     expect(findRequestedEngines(views)[0]).to.equal('north-1/2');
     const spare = makeViews([
       ['north-1', 'prefill'],
       ...Array<[string, EngineStage]>(5).fill(['north-1', 'decode']),
     ]);
     for (const [index, ratio] of [1, 1, 1.4, 1, 0.8, 1].entries())
-      spare[index].pace.applyEvidence(ratio * 100, 100);
+      spare[index].pace.applySamples(ratio * 100, 100);
     expect(findRequestedEngines(spare)[0]).to.equal('north-1/4');
   });
 });
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -8,7 +8,7 @@
 import { PlatformModel } from '../lab/platform-model.js';
 import { ForwardingFleet } from '../simulation/forwarding-fleet.js';
 import { CellLease, DEFAULT_LEASE_SETTINGS, type LeaseEffect } from '../src/lease/cell-lease.js';
-import { SuspensionWatch } from '../src/shared/suspension-watch.js';
+import { SuspensionDetector } from '../src/shared/suspension-watch.js';
 
 const SEED = 20261203;
 const WALL_MS = 1_800_000_000_000;
@@ -44,7 +44,7 @@
   }
 
   holds(): boolean {
-    return this.lease.current(this.now()) !== undefined;
+    return this.lease.getHeldLease(this.now()) !== undefined;
   }
 
   private perform(effect: LeaseEffect): void {
@@ -75,7 +75,7 @@
     const step = fc.record({ ms: fc.nat(5000), suspendedMs: fc.nat(20_000), setBackMs: fc.nat(5000) });
     fc.assert(
       fc.property(fc.array(step), (steps) => {
-        const watch = new SuspensionWatch();
+        const watch = new SuspensionDetector();
         let [steady, wall] = [0, WALL_MS];
         watch.observe(steady, wall);
         for (const { ms, suspendedMs, setBackMs } of steps) {
@@ -103,7 +103,7 @@
     }
     expect(second.holds()).to.equal(true);
     expect(first.holds(), 'by its monotonic clock alone').to.equal(true);
-    first.lease.resumeAfterSuspension();
+    first.lease.onMachineSuspended();
     expect(first.holds()).to.equal(false);
     first.delaysAnswers = false;
     first.deliverAnswers();
@@ -129,7 +129,7 @@
     }
     second.behindMs += SUSPENDED_MS;
     now(SUSPENDED_MS);
-    second.lease.resumeAfterSuspension();
+    second.lease.onMachineSuspended();
     second.deliverAnswers();
     expect(second.holds()).to.equal(false);
   });
--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -147,7 +147,7 @@
             once: false,
             ...fields,
           };
-          const headers = dialect.requestHeaders(
+          const headers = dialect.createRequestHeaders(
             [keyName, KEY, tenantName, 'claimed', 'X-Model', 'm'],
             start,
           );
@@ -163,9 +163,9 @@
   });
 
   it('a key header that occurs twice counts as no key', () => {
-    expect(dialect.callerHead(['X-Api-Key', KEY]).keyDigest).to.equal(digestKey(KEY));
-    expect(dialect.callerHead(['X-Api-Key', KEY, 'x-api-key', OTHER_KEY]).keyDigest).to.equal(undefined);
-    expect(dialect.callerHead([]).keyDigest).to.equal(undefined);
+    expect(dialect.parseCallerHead(['X-Api-Key', KEY]).keyDigest).to.equal(digestKey(KEY));
+    expect(dialect.parseCallerHead(['X-Api-Key', KEY, 'x-api-key', OTHER_KEY]).keyDigest).to.equal(undefined);
+    expect(dialect.parseCallerHead([]).keyDigest).to.equal(undefined);
   });
 
   it('the keys of a configuration are parsed into digests, and parse errors reveal no key', () => {
