--- a/lab/engine-model.ts
+++ b/lab/engine-model.ts
@@ -1,6 +1,6 @@
 /**
  * An emulated model engine as a pure state machine: continuous batching in steps, a prefix cache, roles,
- * fenced orders, lagging load reports. The HTTP stand-in runs it in real time, the simulator in virtual time.
+ * fenced orders, delayed load reports. The HTTP stand-in runs it in real time, the simulator in virtual time.
  */
 import type {
   EngineAssignment,
@@ -12,7 +12,7 @@
 } from '../src/contracts/engine-protocol.js';
 import { getCapability, type EngineModelSettings } from './engine-model-settings.js';
 
-/** Work given to an engine. */
+/** An attempt of a request, or its prefill alone, for an engine to execute. */
 export interface EngineWork {
   readonly attemptId: string;
   readonly stage: 'prefill' | 'generate';
@@ -23,13 +23,13 @@
   readonly prefixKey: string;
   readonly maximumTokens: number;
   readonly priority: number;
-  /** The first token to make. */
+  /** Index of the first token to generate. */
   readonly offset: number;
   /** True when the KV cache comes from another engine. */
   readonly imported: boolean;
 }
 
-/** What a step made. */
+/** An output of a step. */
 export type EngineOutput =
   | { readonly kind: 'tokens'; readonly attemptId: string; readonly offset: number; readonly count: number }
   | { readonly kind: 'prefilled'; readonly attemptId: string; readonly handle: string }
@@ -38,8 +38,8 @@
 interface Stream {
   readonly work: EngineWork;
   readonly order: number;
-  prefillLeft: number;
-  /** The stream joins the batch no earlier than this, while its cache is on its way. */
+  remainingPrefill: number;
+  /** The stream joins the batch no earlier than this, while its KV cache is being transferred. */
   readyAt: number;
   nextOffset: number;
 }
@@ -56,7 +56,7 @@
   readonly waitingPrefillTokens: number;
 }
 
-/** Streams that an engine takes beyond those it runs. */
+/** Streams that an engine accepts beyond those in its batch. */
 const QUEUE_ALLOWANCE = 32;
 const CACHE_SMOOTHING = 0.1;
 
@@ -74,9 +74,9 @@
   private orderCount = 0;
   private cachedShare = 0;
   private snapshots: LoadSnapshot[] = [{ at: -Infinity, streams: 0, waitingPrefillTokens: 0 }];
-  /** Steps take this many times longer; a fault to inject. */
+  /** Factor on the duration of steps; a fault to inject. */
   slowFactor = 1;
-  /** Changes of role or model begun. */
+  /** Number of changes of role or model started. */
   changes = 0;
 
   constructor(
@@ -84,57 +84,57 @@
     private assignment: EngineAssignment,
   ) {}
 
-  /** Streams on the engine. */
+  /** Number of streams on the engine, queued ones included. */
   getStreamCount(): number {
     return this.streams.size;
   }
 
-  /** The role, model and phase at present. */
+  /** The current assignment (role, model and adapters), phase, and fence. */
   getState(): { assignment: EngineAssignment; phase: EnginePhase; epoch: number; sequence: number } {
     return { assignment: this.assignment, phase: this.phase, epoch: this.epoch, sequence: this.sequence };
   }
 
-  /** The machine will go away: no new work from now on. */
+  /** Sets the phase to leaving: the engine accepts no new work. */
   setLeaving(): void {
     this.phase = 'leaving';
   }
 
-  /** Takes work, or says why not; refused work was not begun. */
+  /** Accepts work, or returns why it refuses it; refused work has not been executed. */
   start(work: EngineWork, now: number): EngineRefusal | undefined {
-    const refusal = this.refusalFor(work);
+    const refusal = this.findRefusal(work);
     if (refusal) return refusal;
     const cached = this.prefixes.has(work.prefixKey)
       ? Math.floor(work.promptTokens * this.settings.cachedShare)
       : 0;
     if (!work.imported) this.cachedShare += CACHE_SMOOTHING * (cached / work.promptTokens - this.cachedShare);
-    this.rememberPrefix(work.prefixKey);
-    const prefillLeft = work.imported ? 0 : Math.max(1, work.promptTokens + work.offset - cached);
+    this.addPrefix(work.prefixKey);
+    const remainingPrefill = work.imported ? 0 : Math.max(1, work.promptTokens + work.offset - cached);
     const readyAt = work.imported ? now + work.promptTokens * this.settings.kvTransferMsPerToken : now;
     this.orderCount += 1;
     this.streams.set(work.attemptId, {
       work,
       order: this.orderCount,
-      prefillLeft,
+      remainingPrefill,
       readyAt,
       nextOffset: work.offset,
     });
-    this.snapshot(now);
-    this.beginStep(now);
+    this.addSnapshot(now);
+    this.startStep(now);
     return undefined;
   }
 
-  /** Drops work. */
+  /** Drops a stream. */
   cancel(attemptId: string, now: number): void {
     this.streams.delete(attemptId);
-    this.snapshot(now);
+    this.addSnapshot(now);
   }
 
-  /** Whether a cache exported under this handle is still here. */
+  /** Whether a KV cache exported under this handle is still stored. */
   hasKv(handle: string, now: number): boolean {
     return (this.kv.get(handle) ?? -Infinity) > now;
   }
 
-  /** When something happens next, if nothing new comes. */
+  /** The time of the next event without new input; undefined when there is none. */
   getNextEventAt(): number | undefined {
     const times = [this.step?.endsAt, this.changeEndsAt, this.adapterLoad?.endsAt].filter(
       (time) => time !== undefined,
@@ -143,7 +143,7 @@
     return times.length === 0 ? undefined : Math.min(...times);
   }
 
-  /** Advances to `now` and returns what was made. */
+  /** Advances to `now` and returns the outputs of the steps until then. */
   advance(now: number): EngineOutput[] {
     const outputs: EngineOutput[] = [];
     if (this.changeEndsAt !== undefined && now >= this.changeEndsAt) {
@@ -158,47 +158,50 @@
       const step = this.step;
       this.step = undefined;
       this.finishStep(step, outputs);
-      this.beginStep(step.endsAt);
+      this.startStep(step.endsAt);
     }
-    if (!this.step) this.beginStep(now);
-    this.snapshot(now);
+    if (!this.step) this.startStep(now);
+    this.addSnapshot(now);
     return outputs;
   }
 
-  /** Answers a control request. The fence is here: what it refuses has no effect. */
+  /** Applies a control request. Fencing is enforced here: a fenced request has no effect. */
   applyControlRequest(request: EngineControlRequest, now: number): EngineControlResult {
-    if (request.kind === 'report') return { kind: 'report', report: this.report(now) };
-    if (request.epoch < this.epoch) return this.fenced();
+    if (request.kind === 'report') return { kind: 'report', report: this.makeReport(now) };
+    if (request.epoch < this.epoch) return this.makeFencedResult();
     if (request.kind === 'seal') {
       if (request.epoch > this.epoch) this.sequence = 0;
       this.epoch = request.epoch;
-      return { kind: 'report', report: this.report(now) };
+      return { kind: 'report', report: this.makeReport(now) };
     }
-    if (request.epoch !== this.epoch || now > request.expiresAtClockMs) return this.fenced();
-    if (request.sequence === this.sequence) return { kind: 'report', report: this.report(now) };
-    if (request.sequence !== this.sequence + 1) return this.fenced();
-    return this.obey(request, now);
+    if (request.epoch !== this.epoch || now > request.expiresAtClockMs) return this.makeFencedResult();
+    if (request.sequence === this.sequence) return { kind: 'report', report: this.makeReport(now) };
+    if (request.sequence !== this.sequence + 1) return this.makeFencedResult();
+    return this.applyOrder(request, now);
   }
 
-  private obey(request: Extract<EngineControlRequest, { kind: 'order' }>, now: number): EngineControlResult {
+  private applyOrder(
+    request: Extract<EngineControlRequest, { kind: 'order' }>,
+    now: number,
+  ): EngineControlResult {
     const { action } = request;
-    const hot = action.kind === 'change' && this.isHot(action.assignment);
+    const adapterOnly = action.kind === 'change' && this.isAdapterChange(action.assignment);
     const applicable =
       (action.kind === 'drain' && this.phase === 'active') ||
       (action.kind === 'resume' && this.phase === 'draining') ||
       (action.kind === 'change' &&
-        ((this.phase === 'draining' && this.streams.size === 0) || (hot && this.phase === 'active')));
-    if (!applicable) return { kind: 'notApplicable', report: this.report(now) };
+        ((this.phase === 'draining' && this.streams.size === 0) || (adapterOnly && this.phase === 'active')));
+    if (!applicable) return { kind: 'notApplicable', report: this.makeReport(now) };
     this.sequence = request.sequence;
     if (action.kind === 'drain') this.phase = 'draining';
     if (action.kind === 'resume') this.phase = 'active';
-    if (action.kind === 'change' && hot) {
+    if (action.kind === 'change' && adapterOnly) {
       this.adapterLoad = { assignment: action.assignment, endsAt: now + this.settings.adapterLoadMs };
-    } else if (action.kind === 'change') this.beginChange(action.assignment, now);
-    return { kind: 'report', report: this.report(now) };
+    } else if (action.kind === 'change') this.startChange(action.assignment, now);
+    return { kind: 'report', report: this.makeReport(now) };
   }
 
-  private beginChange(assignment: EngineAssignment, now: number): void {
+  private startChange(assignment: EngineAssignment, now: number): void {
     const sameModel =
       assignment.model === this.assignment.model && assignment.version === this.assignment.version;
     const duration = sameModel ? this.settings.roleChangeMs : this.settings.modelLoadMs;
@@ -209,17 +212,17 @@
     if (!sameModel) this.prefixes.clear();
   }
 
-  private isHot(target: EngineAssignment): boolean {
+  private isAdapterChange(target: EngineAssignment): boolean {
     const { role, model, version, adapters } = this.assignment;
     const same = role === target.role && model === target.model && version === target.version;
     return same && adapters.every((adapter) => target.adapters.includes(adapter));
   }
 
-  private fenced(): EngineControlResult {
+  private makeFencedResult(): EngineControlResult {
     return { kind: 'fenced', epoch: this.epoch, sequence: this.sequence };
   }
 
-  private refusalFor(work: EngineWork): EngineRefusal | undefined {
+  private findRefusal(work: EngineWork): EngineRefusal | undefined {
     if (this.phase !== 'active') return this.phase;
     const { assignment } = this;
     const adapterMissing = work.adapter !== '' && !assignment.adapters.includes(work.adapter);
@@ -230,7 +233,7 @@
     return undefined;
   }
 
-  private rememberPrefix(prefixKey: string): void {
+  private addPrefix(prefixKey: string): void {
     this.prefixes.delete(prefixKey);
     this.prefixes.set(prefixKey, true);
     if (this.prefixes.size <= this.settings.cachedPrefixes) return;
@@ -238,7 +241,7 @@
     if (!oldest.done) this.prefixes.delete(oldest.value);
   }
 
-  private beginStep(now: number): void {
+  private startStep(now: number): void {
     if (this.step || this.streams.size === 0) return;
     const { role } = this.assignment;
     const ready = [...this.streams.values()].filter((stream) => stream.readyAt <= now);
@@ -248,12 +251,12 @@
     const prefill = new Map<Stream, number>();
     let chunk = this.settings.prefillChunk[role];
     for (const stream of running) {
-      if (stream.prefillLeft === 0 || chunk === 0) continue;
-      const share = Math.min(stream.prefillLeft, chunk);
+      if (stream.remainingPrefill === 0 || chunk === 0) continue;
+      const share = Math.min(stream.remainingPrefill, chunk);
       prefill.set(stream, share);
       chunk -= share;
     }
-    const decode = running.filter((stream) => stream.prefillLeft === 0);
+    const decode = running.filter((stream) => stream.remainingPrefill === 0);
     const promptTokens = this.settings.prefillChunk[role] - chunk;
     const { stepBaseMs, stepPerStreamMs, stepPerPromptTokenMs } = this.settings;
     const duration = stepBaseMs + decode.length * stepPerStreamMs + promptTokens * stepPerPromptTokenMs;
@@ -263,12 +266,12 @@
   private finishStep(step: Step, outputs: EngineOutput[]): void {
     for (const [stream, tokens] of step.prefill) {
       if (!this.isLive(stream)) continue;
-      stream.prefillLeft -= tokens;
-      if (stream.prefillLeft > 0) continue;
+      stream.remainingPrefill -= tokens;
+      if (stream.remainingPrefill > 0) continue;
       if (stream.work.stage === 'prefill') this.exportKv(stream, step.endsAt, outputs);
-      else this.makeToken(stream, outputs);
+      else this.addToken(stream, outputs);
     }
-    for (const stream of step.decode) if (this.isLive(stream)) this.makeToken(stream, outputs);
+    for (const stream of step.decode) if (this.isLive(stream)) this.addToken(stream, outputs);
   }
 
   private isLive(stream: Stream): boolean {
@@ -283,7 +286,7 @@
     outputs.push({ kind: 'prefilled', attemptId, handle: attemptId });
   }
 
-  private makeToken(stream: Stream, outputs: EngineOutput[]): void {
+  private addToken(stream: Stream, outputs: EngineOutput[]): void {
     const { attemptId, maximumTokens } = stream.work;
     outputs.push({ kind: 'tokens', attemptId, offset: stream.nextOffset, count: 1 });
     stream.nextOffset += 1;
@@ -292,15 +295,15 @@
     outputs.push({ kind: 'end', attemptId, tokens: stream.nextOffset });
   }
 
-  private report(now: number): EngineReport {
-    this.snapshot(now);
-    const lagged = this.laggedLoad(now);
+  private makeReport(now: number): EngineReport {
+    this.addSnapshot(now);
+    const load = this.findLaggedLoad(now);
     return {
       assignment: this.assignment,
       phase: this.phase,
-      streams: lagged.streams,
+      streams: load.streams,
       maximumStreams: this.settings.maximumStreams[this.assignment.role],
-      waitingPrefillTokens: lagged.waitingPrefillTokens,
+      waitingPrefillTokens: load.waitingPrefillTokens,
       cachedShare: this.cachedShare,
       capability: getCapability(this.settings),
       clockMs: now,
@@ -309,7 +312,7 @@
     };
   }
 
-  private laggedLoad(now: number): LoadSnapshot {
+  private findLaggedLoad(now: number): LoadSnapshot {
     const due = now - this.settings.reportLagMs;
     for (let index = this.snapshots.length - 1; index >= 0; index -= 1) {
       if (this.snapshots[index].at <= due) return this.snapshots[index];
@@ -317,11 +320,11 @@
     return this.snapshots[0];
   }
 
-  private snapshot(now: number): void {
+  private addSnapshot(now: number): void {
     const last = this.snapshots[this.snapshots.length - 1];
     if (now - last.at < this.settings.reportLagMs / 4) return;
     let waitingPrefillTokens = 0;
-    for (const stream of this.streams.values()) waitingPrefillTokens += stream.prefillLeft;
+    for (const stream of this.streams.values()) waitingPrefillTokens += stream.remainingPrefill;
     this.snapshots.push({ at: now, streams: this.streams.size, waitingPrefillTokens });
     if (this.snapshots.length > 16) this.snapshots = this.snapshots.slice(-8);
   }
@@ -343,8 +346,8 @@
 ];
 
 /**
- * The text of a token: it depends on the prompt and the position alone, so that a resumed answer goes on
- * rightly.
+ * The text of a token. It depends only on the prompt and the position, so that a resumed answer continues with the
+ * right text.
  */
 export function formatToken(promptHash: number, offset: number): string {
   const mixed = Math.imul(promptHash ^ (offset + 1), 2654435761) >>> 0;
--- a/lab/load-generator.ts
+++ b/lab/load-generator.ts
@@ -9,7 +9,7 @@
 import { formatToken } from './engine-model.js';
 import { findFailedConnection } from './sent-requests.js';
 
-/** What is sent of one service during a phase. */
+/** Load of completions for one service during a phase. Rates a second, targets in milliseconds. */
 export interface LoadClass {
   readonly service: string;
   readonly perSecond: number;
@@ -19,13 +19,13 @@
   readonly betweenTokensTargetMs: number;
 }
 
-/** Application calls of one service during a phase. */
+/** Load of application calls for one service during a phase. */
 interface CallClass {
   readonly service: string;
   readonly perSecond: number;
 }
 
-/** A stretch of constant load. */
+/** A period of constant load. */
 export interface LoadPhase {
   readonly seconds: number;
   readonly classes: readonly LoadClass[];
@@ -38,16 +38,16 @@
   complete = 0;
   withinTargets = 0;
   readonly refused = new Map<string, number>();
-  /** Answers that broke off with a typed error. */
+  /** Streams that ended without the final event, for example with a typed error. */
   broken = 0;
-  /** Answers that looked whole but were not right. Must stay 0. */
+  /** Answers that ended as complete but had the wrong text. Must stay 0. */
   wrong = 0;
   /** Requests without any HTTP answer. */
   unanswered = 0;
   readonly firstToken: Histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 120_000 });
   readonly betweenTokens: Histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 120_000 });
 
-  /** Counts a request without any HTTP answer, and tells its reason on standard error. */
+  /** Counts a request without any HTTP answer, and logs the error on standard error. */
   addUnanswered(error: unknown): void {
     this.unanswered += 1;
     const { code = 'unknown', message } = error as Error & { code?: string };
@@ -61,9 +61,9 @@
 }
 
 const CHARACTERS_PER_TOKEN = 4;
-const ATTEMPTS_TO_CONNECT = 6;
+const MAXIMUM_RECONNECTS = 6;
 
-/** Makes a prompt of the given length; its start is the same for all prompts of a service. */
+/** Makes a prompt of the given length; all prompts of a service have the same prefix. */
 function makePrompt(service: string, tokens: number, serial: number): string {
   const length = tokens * CHARACTERS_PER_TOKEN;
   const head = `[${service}] ${'shared instructions of the service. '.repeat(8)}`;
@@ -72,7 +72,7 @@
   return (head + body).slice(0, Math.max(1, length - tail.length)) + tail;
 }
 
-/** The load generator. */
+/** Sends the load of each phase and collects the results by service. */
 export class LoadGenerator {
   readonly results = new Map<string, ServiceResult>();
   private readonly agent = new Agent({
@@ -81,23 +81,23 @@
     headersTimeout: 0,
     bodyTimeout: 0,
   });
-  private readonly running = new Set<Promise<void>>();
+  private readonly inFlight = new Set<Promise<void>>();
   private serial = 0;
 
-  /** @param callers caller addresses of daemons; one that refuses connections is passed over */
+  /** @param callers caller addresses of daemons; one that refuses connections is skipped */
   constructor(
     private readonly callers: readonly string[],
     private readonly random: RandomSource,
   ) {}
 
-  /** Runs the phases, then waits for the last answers. */
+  /** Runs the phases in order, then waits for the last answers. */
   async run(phases: readonly LoadPhase[]): Promise<void> {
     for (const phase of phases) await this.runPhase(phase);
-    while (this.running.size > 0) await Promise.all([...this.running]);
+    while (this.inFlight.size > 0) await Promise.all([...this.inFlight]);
     await this.agent.close();
   }
 
-  /** The result of a service. */
+  /** The result of a service; a new one if it has none yet. */
   getResult(service: string): ServiceResult {
     let result = this.results.get(service);
     if (!result) {
@@ -112,14 +112,16 @@
     const endsAt = startedAt + phase.seconds * 1000;
     const arrivals = [
       ...phase.classes.map((load) =>
-        this.arrivals(load.perSecond, startedAt, endsAt, (dueAt) => this.complete(load, dueAt)),
+        this.sendArrivals(load.perSecond, startedAt, endsAt, (dueAt) => this.sendCompletion(load, dueAt)),
+      ),
+      ...phase.calls.map((call) =>
+        this.sendArrivals(call.perSecond, startedAt, endsAt, () => this.sendCall(call)),
       ),
-      ...phase.calls.map((call) => this.arrivals(call.perSecond, startedAt, endsAt, () => this.call(call))),
     ];
     await Promise.all(arrivals);
   }
 
-  private async arrivals(
+  private async sendArrivals(
     perSecond: number,
     startedAt: number,
     endsAt: number,
@@ -133,14 +135,14 @@
       const wait = dueAt - performance.now();
       if (wait > 0) await new Promise((resolve) => setTimeout(resolve, wait));
       const running = send(dueAt);
-      this.running.add(running);
-      void running.finally(() => this.running.delete(running));
+      this.inFlight.add(running);
+      void running.finally(() => this.inFlight.delete(running));
     }
-    const rest = endsAt - performance.now();
-    if (rest > 0) await new Promise((resolve) => setTimeout(resolve, rest));
+    const remainingMs = endsAt - performance.now();
+    if (remainingMs > 0) await new Promise((resolve) => setTimeout(resolve, remainingMs));
   }
 
-  private async complete(load: LoadClass, dueAt: number): Promise<void> {
+  private async sendCompletion(load: LoadClass, dueAt: number): Promise<void> {
     const result = this.getResult(load.service);
     result.sent += 1;
     this.serial += 1;
@@ -149,7 +151,7 @@
     try {
       const response = await this.send('/v1/completions', body, {});
       if (response.statusCode !== 200) {
-        result.addRefusal(problemCode(await response.body.text()));
+        result.addRefusal(parseProblemCode(await response.body.text()));
         return;
       }
       await this.readAnswer(response.body, prompt, load, dueAt, result);
@@ -181,7 +183,7 @@
     const expected = Array.from({ length: load.outputTokens }, (_, index) =>
       formatToken(promptHash, index),
     ).join('');
-    if (streamText(received) !== expected) {
+    if (parseStreamText(received) !== expected) {
       result.wrong += 1;
       return;
     }
@@ -194,7 +196,7 @@
       result.withinTargets += 1;
   }
 
-  private async call(call: CallClass): Promise<void> {
+  private async sendCall(call: CallClass): Promise<void> {
     const result = this.getResult(call.service);
     result.sent += 1;
     this.serial += 1;
@@ -207,14 +209,14 @@
       if (response.statusCode === 200) {
         result.complete += 1;
         result.withinTargets += 1;
-      } else result.addRefusal(problemCode(text));
+      } else result.addRefusal(parseProblemCode(text));
     } catch (error) {
       result.addUnanswered(error);
     }
   }
 
   /**
-   * Sends to the daemons in turn; a daemon that cannot be connected to is passed over, as a balancer would.
+   * Sends to a random daemon. If the connection fails, tries the next ones in order, as a load balancer would.
    */
   private async send(
     path: string,
@@ -233,14 +235,14 @@
         });
       } catch (error) {
         const { code } = error as { code?: string };
-        const unsent = code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT';
-        if (!unsent || attempt >= ATTEMPTS_TO_CONNECT) throw error;
+        const notSent = code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT';
+        if (!notSent || attempt >= MAXIMUM_RECONNECTS) throw error;
       }
     }
   }
 }
 
-function streamText(received: string): string {
+function parseStreamText(received: string): string {
   let text = '';
   for (const block of received.split('\n\n')) {
     if (!block.startsWith('data: {')) continue;
@@ -250,7 +252,7 @@
   return text;
 }
 
-function problemCode(text: string): string {
+function parseProblemCode(text: string): string {
   try {
     const { type } = JSON.parse(text) as { type: string };
     return type.slice(type.lastIndexOf(':') + 1);
--- a/lab/platform-model.ts
+++ b/lab/platform-model.ts
@@ -1,12 +1,12 @@
-/** The platform's table service and machine list as a pure state machine, with faults to inject. */
+/** The platform's table service and machine list as a pure state machine with injected faults. */
 import type { Machine, MachineListing } from '../src/contracts/machine-list.js';
 import type { TableRequest, TableResult, TableRow } from '../src/contracts/table-service.js';
 
-/** Faults of the platform. */
+/** Faults to inject into the platform; the fields are also the body of `/faults`. */
 export interface PlatformFaults {
-  /** No request takes effect and none is answered. */
+  /** Requests have no effect and get no answer. */
   down: boolean;
-  /** Requests take effect but their answers are lost, with this chance. */
+  /** Probability with which a request has its effect but its answer is lost. */
   loseAnswers: number;
   /** Extra delay of each answer. Milliseconds. */
   slowMs: number;
@@ -14,14 +14,14 @@
 
 type Commit = Extract<TableRequest, { kind: 'commit' }>;
 
-const REMEMBERED_WRITES = 100_000;
+const MAXIMUM_STORED_OUTCOMES = 100_000;
 
 interface RateLimit {
   readonly perSecond: number;
   readonly burst: number;
 }
 
-/** Default limit of the table service: transactions a second, and how many may come at once. */
+/** Default rate limit of the table service: transactions a second, and the size of a burst. */
 const DEFAULT_TABLE_RATE: RateLimit = { perSecond: 200, burst: 100 };
 
 /** The emulated platform. */
@@ -44,10 +44,10 @@
     this.tokens = rate.burst;
   }
 
-  /** Carries out a table request, or undefined when the platform is down. */
+  /** Applies a table request and returns its result; undefined when the platform is down. */
   applyTableRequest(request: TableRequest, now: number): TableResult | undefined {
     if (this.faults.down) return undefined;
-    if (!this.takeToken(now))
+    if (!this.removeToken(now))
       return { kind: 'rateLimited', retryAfterMs: Math.ceil(1000 / this.rate.perSecond) * 10 };
     switch (request.kind) {
       case 'read':
@@ -61,24 +61,27 @@
     }
   }
 
-  /** A row, for tests. */
+  /** Returns a row without counting against the rate limit; for tests. */
   getRow(table: string, key: string): TableRow | undefined {
     return this.rows.get(`${table}/${key}`);
   }
 
-  /** Announces a machine; the list shows it after its lag. */
+  /** Adds a machine to the list at once, or changes a known one after the list's delay. */
   setMachine(machine: Machine, now: number): void {
     const known = this.machines.get(machine.id);
     const visibleAt = known ? now + this.machineLagMs : now;
     if (known && now < known.visibleAt) this.machines.set(machine.id, { machine, visibleAt });
-    else if (known) this.pending.push({ machine, visibleAt });
+    else if (known) this.pendingMachines.push({ machine, visibleAt });
     else this.machines.set(machine.id, { machine, visibleAt });
   }
 
-  /** The list: all cells, the engines of the cells asked for, and every application server. */
+  /**
+   * The machine list: all cells, the engines of the requested cells, and every application server. Undefined when the
+   * platform is down.
+   */
   listMachines(cells: readonly string[], now: number): MachineListing | undefined {
     if (this.faults.down) return undefined;
-    this.applyPending(now);
+    this.applyPendingMachines(now);
     const all = [...this.machines.values()].map((entry) => entry.machine);
     const zones = new Map(
       all.filter((machine) => machine.kind === 'engine').map((machine) => [machine.cell, machine.zone]),
@@ -90,14 +93,14 @@
     };
   }
 
-  private pending: { machine: Machine; visibleAt: number }[] = [];
+  private pendingMachines: { machine: Machine; visibleAt: number }[] = [];
 
-  private applyPending(now: number): void {
-    for (const { machine, visibleAt } of this.pending) {
+  private applyPendingMachines(now: number): void {
+    for (const { machine, visibleAt } of this.pendingMachines) {
       if (visibleAt <= now && this.machines.has(machine.id))
         this.machines.set(machine.id, { machine, visibleAt });
     }
-    this.pending = this.pending.filter((entry) => entry.visibleAt > now);
+    this.pendingMachines = this.pendingMachines.filter((entry) => entry.visibleAt > now);
   }
 
   private commit(writeId: string, request: Commit, now: number): TableResult {
@@ -105,7 +108,7 @@
     if (earlier) return earlier;
     const result = this.apply(request, now);
     this.outcomes.set(writeId, result);
-    if (this.outcomes.size > REMEMBERED_WRITES) {
+    if (this.outcomes.size > MAXIMUM_STORED_OUTCOMES) {
       const oldest = this.outcomes.keys().next();
       if (!oldest.done) this.outcomes.delete(oldest.value);
     }
@@ -141,7 +144,7 @@
     return { kind: 'changes', revision: this.lastChange.get(table) ?? 0, rows };
   }
 
-  private takeToken(now: number): boolean {
+  private removeToken(now: number): boolean {
     const refill = ((now - this.refilledAt) / 1000) * this.rate.perSecond;
     this.tokens = Math.min(this.rate.burst, this.tokens + Math.max(0, refill));
     this.refilledAt = now;
--- a/lab/platform-server.ts
+++ b/lab/platform-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP stand-in of the platform: table service, machine list, and a page to set faults. */
+/** An HTTP stand-in for the platform: table service, machine list, and a path to set faults. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Machine } from '../src/contracts/machine-list.js';
 import type { TableRequest } from '../src/contracts/table-service.js';
@@ -6,7 +6,7 @@
 import { readLabJson, sendLabJson } from './lab-http.js';
 import { LabServer } from './lab-server.js';
 
-/** One platform process. */
+/** One platform: its HTTP server and its model. */
 export class PlatformServer extends LabServer {
   readonly model = new PlatformModel();
 
@@ -20,7 +20,7 @@
       this.model.setMachine(body as Machine, performance.now());
       sendLabJson(response, 200, {});
     } else if (message.url === '/v1/table') {
-      this.table(body as TableRequest, response);
+      this.onTableRequest(body as TableRequest, response);
     } else if (message.url === '/v1/machines') {
       const listing = this.model.listMachines((body as { cells: string[] }).cells, performance.now());
       if (listing) sendLabJson(response, 200, listing);
@@ -30,11 +30,11 @@
     }
   }
 
-  private table(request: TableRequest, response: ServerResponse): void {
+  private onTableRequest(request: TableRequest, response: ServerResponse): void {
     const { faults } = this.model;
     const result = this.model.applyTableRequest(request, performance.now());
-    const lost = Math.random() < faults.loseAnswers;
-    if (!result || lost) {
+    const isAnswerLost = Math.random() < faults.loseAnswers;
+    if (!result || isAnswerLost) {
       response.destroy();
       return;
     }
--- a/lab/site-profiles.ts
+++ b/lab/site-profiles.ts
@@ -1,36 +1,37 @@
-/** The users' sites as the brief gives them: zones, machines, delays, services and mixes. */
+/** The users' sites: zones, numbers of machines, delays, services and workloads. */
 import { parseServiceRow, type ServiceRow } from '../src/configuration/service-row.js';
 import { ValidationError } from '../src/errors/index.js';
 
-/** One kind of completion that callers send. */
+/** A service's completions with their mean lengths. */
 export interface WorkloadClass {
   readonly service: string;
-  /** Mean prompt and output lengths. Tokens. */
+  /** Mean lengths of prompt and output. Tokens. */
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
 
-/** A site. */
+/** A site's topology, services and typical completions. */
 export interface SiteProfile {
   readonly name: string;
   readonly zones: readonly string[];
-  /** Model servers and application servers in the site, spread over the zones in turn. */
+  /** Numbers of model engines and application servers, assigned to the zones round-robin. */
   readonly engines: number;
   readonly applications: number;
   /** One-way delay between zones. Milliseconds. */
   readonly zoneDelayMs: number;
   readonly model: string;
   readonly services: readonly ServiceRow[];
-  /** Long work with few output tokens, and short work. */
+  /** Completions with long prompts and few output tokens, and those with short prompts. */
   readonly longWork: WorkloadClass;
   readonly shortWork: WorkloadClass;
   /**
-   * What a role change costs this site, beyond the engine time; the one setting in which the sites differ.
+   * Cost of a role change at this site, in addition to the engine time, as seconds; the only setting in which the
+   * sites differ.
    */
   readonly roleChangeCostSeconds: number;
 }
 
-function row(value: Partial<ServiceRow> & { name: string }): ServiceRow {
+function makeService(value: Partial<ServiceRow> & { name: string }): ServiceRow {
   return parseServiceRow(value);
 }
 
@@ -42,7 +43,7 @@
   zoneDelayMs: 1.5,
   model: 'underwriting',
   services: [
-    row({
+    makeService({
       name: 'risk-grade',
       model: 'underwriting',
       adapter: 'grading',
@@ -51,7 +52,7 @@
       firstTokenTargetMs: 2500,
       maximumWaitMs: 2000,
     }),
-    row({
+    makeService({
       name: 'crop-eligibility',
       model: 'underwriting',
       weight: 1,
@@ -59,8 +60,8 @@
       firstTokenTargetMs: 1000,
       maximumWaitMs: 800,
     }),
-    row({ name: 'payment-notice', kind: 'application', repeatable: false }),
-    row({ name: 'quote-receipt', kind: 'application', repeatable: false }),
+    makeService({ name: 'payment-notice', kind: 'application', repeatable: false }),
+    makeService({ name: 'quote-receipt', kind: 'application', repeatable: false }),
   ],
   longWork: { service: 'risk-grade', promptTokens: 6000, outputTokens: 40 },
   shortWork: { service: 'crop-eligibility', promptTokens: 250, outputTokens: 180 },
@@ -75,7 +76,7 @@
   zoneDelayMs: 0.5,
   model: 'quoting',
   services: [
-    row({
+    makeService({
       name: 'policy-review',
       model: 'quoting',
       adapter: 'wording',
@@ -84,7 +85,7 @@
       firstTokenTargetMs: 2500,
       maximumWaitMs: 2000,
     }),
-    row({
+    makeService({
       name: 'eligibility',
       model: 'quoting',
       weight: 1,
@@ -92,8 +93,8 @@
       firstTokenTargetMs: 1000,
       maximumWaitMs: 800,
     }),
-    row({ name: 'document-fetch', kind: 'application', repeatable: true }),
-    row({ name: 'confirmation', kind: 'application', repeatable: false }),
+    makeService({ name: 'document-fetch', kind: 'application', repeatable: true }),
+    makeService({ name: 'confirmation', kind: 'application', repeatable: false }),
   ],
   longWork: { service: 'policy-review', promptTokens: 4000, outputTokens: 120 },
   shortWork: { service: 'eligibility', promptTokens: 200, outputTokens: 160 },
@@ -107,8 +108,8 @@
 };
 
 /**
- * A site by name.
- * @throws ValidationError naming the known sites.
+ * Returns the profile of a site by its name.
+ * @throws ValidationError with the names of the known sites.
  */
 export function getSiteProfile(name: string): SiteProfile {
   const profile = SITE_PROFILES[name];
--- a/lab/soak/caller-load.ts
+++ b/lab/soak/caller-load.ts
@@ -1,55 +1,54 @@
-/// Callers of a soak: an open loop of requests to every daemon through its proxy, and what came back, byte
-/// for byte.
+/// Callers of a soak: an open-loop load to every daemon through its proxy, and a record of each answer's bytes.
 import {request as sendRequest, Agent, type ClientRequest, type IncomingMessage} from "node:http"
 import {setTimeout as wait} from "node:timers/promises"
 import type {CallerRecord, SoakRecord} from "./soak-record.js"
 import {SOAK_TENANTS, UNKNOWN_KEY, type CallerRoute} from "./soak-routes.js"
 
-/// A daemon as callers reach it.
+/// A daemon and the address of its proxy, which callers use.
 export interface CallerTarget {
   readonly daemon: string
   readonly address: string
 }
 
-/// Callers hang up so long after the time-out. Milliseconds.
-const GIVE_UP_AFTER_MS = 4000
-const GIVE_UP_SHARE = 0.03
-/// Part of the requests with a key that nobody knows, and part without any.
+/// Callers close the connection this long after the route's time-out. Milliseconds.
+const CALLER_GRACE_MS = 4000
+const ABANDON_SHARE = 0.03
+/// Share of the requests with an unknown key, and share without a key.
 const UNKNOWN_KEY_SHARE = 0.03
 const KEYLESS_SHARE = 0.03
 const KEYS = SOAK_TENANTS.flatMap(({keys}) => keys)
 
-/// The callers.
+/// Sends the requests and writes each one, with its answer, to the record.
 export class CallerLoad {
   private readonly agent = new Agent({keepAlive: true, maxSockets: 64})
   private running = true
   private count = 0
-  private readonly open = new Set<Promise<void>>()
+  private readonly inFlight = new Set<Promise<void>>()
 
   constructor(
     private readonly record: SoakRecord,
     private readonly targets: readonly CallerTarget[],
     private readonly routes: readonly CallerRoute[],
     private readonly random: () => number,
-    /// Whether callers use a daemon now.
+    /// Whether callers send requests to a daemon at present.
     private readonly isUsed: (target: CallerTarget) => boolean = () => true
   ) {}
 
-  /// Sends so many requests a second until `stop`.
+  /// Sends requests at this mean rate until `stop`, then waits for the open ones.
   async run(perSecond: number): Promise<void> {
     while (this.running) {
       await wait((1000 / perSecond) * (0.5 + this.random()))
       const target = this.pickTarget()
       const route = this.routes[Math.floor(this.random() * this.routes.length)]
-      const sent = this.send(target, route).finally(() => this.open.delete(sent))
-      this.open.add(sent)
+      const sent = this.send(target, route).finally(() => this.inFlight.delete(sent))
+      this.inFlight.add(sent)
     }
-    await Promise.all(this.open)
+    await Promise.all(this.inFlight)
     this.agent.destroy()
   }
 
-  /// Sends one request that ends its back end again and again, with about this pause, to any daemon until
-  /// `stop`. It has a generator of its own.
+  /// Sends a request that crashes its back end to random daemons until `stop`, at about this interval. It draws
+  /// from its own generator of random numbers.
   async sendRepeatedly(
     body: string,
     route: CallerRoute,
@@ -60,24 +59,25 @@
       await wait(pauseMs * (0.5 + random()))
       if (!this.running) return
       const target = this.targets[Math.floor(random() * this.targets.length)]
-      const sent = this.send(target, route, body).finally(() => this.open.delete(sent))
-      this.open.add(sent)
+      const sent = this.send(target, route, body).finally(() => this.inFlight.delete(sent))
+      this.inFlight.add(sent)
     }
   }
 
-  /// Sends nothing more.
+  /// Stops sending; requests in flight continue.
   stop(): void {
     this.running = false
   }
 
-  /// Any daemon that is used; when none is, one that is not there.
+  /// A random daemon among those in use; among all of them, which do not run then, when none is in use.
   private pickTarget(): CallerTarget {
     const used = this.targets.filter(this.isUsed)
     const targets = used.length > 0 ? used : this.targets
     return targets[Math.floor(this.random() * targets.length)]
   }
 
-  /// A request with a body of its own ends its back end; its caller shows its first key and waits.
+  /// Sends one request. With `crashingBody` the request crashes its back end; its caller always uses the first
+  /// key and never gives up early.
   private send(target: CallerTarget, route: CallerRoute, crashingBody?: string): Promise<void> {
     this.count += 1
     const id = `q${this.count}`
@@ -109,14 +109,14 @@
         method: "POST",
         headers: this.getHeaders(id, key, route)
       })
-      const patienceMs =
-        crashingBody === undefined ? this.getPatience(call, route) : route.timeoutMs + GIVE_UP_AFTER_MS
-      const timer = setTimeout(() => request.destroy(), patienceMs)
+      const callerTimeoutMs =
+        crashingBody === undefined ? this.getCallerTimeout(call, route) : route.timeoutMs + CALLER_GRACE_MS
+      const timer = setTimeout(() => request.destroy(), callerTimeoutMs)
       request.on("response", response => this.receive(call, response, end))
       request.on("error", end)
       request.on("close", end)
       request.end(crashingBody ?? `body of ${id}`)
-      this.watch(request)
+      this.setNoDelay(request)
     })
   }
 
@@ -134,21 +134,22 @@
       "X-Deadline-Ms": String(route.timeoutMs)
     }
     if (key !== undefined) headers["X-Api-Key"] = key
-    // Some claim to be somebody else.
+    // Some callers forge the tenant header; the daemon must not trust it.
     if (this.random() < KEYLESS_SHARE) headers["X-Tenant"] = SOAK_TENANTS[0].name
     if (route.prompt) {
-      const {shared, unique: own, subjects} = route.prompt
+      const {shared, unique, subjects} = route.prompt
       const subject = Math.floor(this.random() * subjects)
       headers["X-Model"] = "m"
-      headers["X-Token-Usage"] = `${shared + own},60`
-      headers["X-Prefix-Hash"] = `s${route.name}${subject}:${shared},${id}:${own}`
+      headers["X-Token-Usage"] = `${shared + unique},60`
+      headers["X-Prefix-Hash"] = `s${route.name}${subject}:${shared},${id}:${unique}`
     }
     return headers
   }
 
-  /// Most wait for the answer; a few leave early, which is no broken promise of anybody's.
-  private getPatience(call: CallerRecord, route: CallerRoute): number {
-    if (this.random() >= GIVE_UP_SHARE) return route.timeoutMs + GIVE_UP_AFTER_MS
+  /// How long the caller waits, in milliseconds. Most wait past the time-out; a few give up early, and their
+  /// missing answers count as no broken promise.
+  private getCallerTimeout(call: CallerRecord, route: CallerRoute): number {
+    if (this.random() >= ABANDON_SHARE) return route.timeoutMs + CALLER_GRACE_MS
     call.endedAt = call.sentAt
     return this.random() * route.timeoutMs * 0.2
   }
@@ -169,7 +170,7 @@
     })
   }
 
-  private watch(request: ClientRequest): void {
+  private setNoDelay(request: ClientRequest): void {
     request.on("socket", socket => socket.setNoDelay(true))
   }
 }
--- a/lab/soak/duty-stand-in.ts
+++ b/lab/soak/duty-stand-in.ts
@@ -1,6 +1,6 @@
-/// A stand-in for the platform's side of the duties, after its published pages: usage reports and orders of
-/// servers, with fences and what can go wrong with calls. Each daemon has a port of its own, which tells
-/// whose call it is whatever name it bears.
+/// A stand-in for the platform's side of the duties, written from its published pages: usage reports and orders
+/// of servers, with fencing tokens and injected faults. Each daemon calls a port of its own, which identifies
+/// the caller whatever name is in the call.
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from "node:http"
 import type {AddressInfo} from "node:net"
 import * as z from "zod"
@@ -8,13 +8,13 @@
 import {DutyModel} from "../duty-model.js"
 import {parseBody, readBody, STATUS_MALFORMED, STATUS_UNKNOWN, StrayCalls} from "./stray-calls.js"
 
-/// How the platform treats the calls of all daemons.
-export type DutyTreatment = "serves" | "refuses" | "silent" | "losesAnswers" | "appliesLate"
+/// What the platform does with the calls of all daemons: "serves" is correct, the others are faults.
+export type DutyBehavior = "serves" | "refuses" | "silent" | "losesAnswers" | "appliesLate"
 
 const STATUS_OK = 200
 const STATUS_CONFLICT = 409
 const STATUS_BUSY = 503
-const LATE_MS = 1500
+const APPLY_DELAY_MS = 1500
 
 const usageSchema = z.object({window_id: z.number(), counts: z.record(z.string(), z.number())})
 const scaleSchema = z.object({
@@ -27,10 +27,10 @@
 const USAGE_PATH = "/usage"
 const SCALE_PATH = "/scale"
 
-/// The platform.
+/// The HTTP servers of the stand-in, with the model that checks the calls.
 export class DutyStandIn {
   readonly strayCalls = new StrayCalls("duties")
-  treatment: DutyTreatment = "serves"
+  behavior: DutyBehavior = "serves"
   readonly model: DutyModel
   /// When a report was last accepted. Monotonic milliseconds.
   lastReportAt = -Infinity
@@ -59,24 +59,25 @@
   private async onRequest(daemon: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request)
     if (body === undefined) return
-    const {treatment} = this
+    const {behavior} = this
     const url = request.url ?? ""
     if (url !== USAGE_PATH && url !== SCALE_PATH)
       return this.strayCalls.reject(STATUS_UNKNOWN, daemon, request, response)
-    if (treatment === "silent") return
-    if (treatment === "refuses") return answer(response, STATUS_BUSY)
-    const call = parseCall(url, body)
+    if (behavior === "silent") return
+    if (behavior === "refuses") return sendAnswer(response, STATUS_BUSY)
+    const call = decodeCall(url, body)
     if (!call) return this.strayCalls.reject(STATUS_MALFORMED, daemon, request, response)
     const holder = String(request.headers["x-lease-holder"])
     const fence = Number(request.headers["x-fencing-token"])
-    if (treatment === "appliesLate") setTimeout(() => this.take(daemon, call, {holder, fence}), LATE_MS)
+    if (behavior === "appliesLate")
+      setTimeout(() => this.apply(daemon, call, {holder, fence}), APPLY_DELAY_MS)
     else {
-      const status = this.take(daemon, call, {holder, fence})
-      if (treatment === "serves") answer(response, status)
+      const status = this.apply(daemon, call, {holder, fence})
+      if (behavior === "serves") sendAnswer(response, status)
     }
   }
 
-  private take(daemon: string, call: DutyCall, authority: DutyAuthority): number {
+  private apply(daemon: string, call: DutyCall, authority: DutyAuthority): number {
     const now = performance.now()
     const result = this.model.apply(daemon, call, authority, now)
     if (result.kind !== "accepted") return STATUS_CONFLICT
@@ -85,8 +86,8 @@
   }
 }
 
-/// The call of this address; undefined when the body isn't one.
-function parseCall(url: string, body: string): DutyCall | undefined {
+/// Decodes the call to this path; undefined when the body is invalid.
+function decodeCall(url: string, body: string): DutyCall | undefined {
   if (url === USAGE_PATH) {
     const usage = parseBody(usageSchema, body)
     return usage && {kind: "reportUsage", window: usage.window_id, counts: usage.counts}
@@ -95,7 +96,7 @@
   return scale && {kind: "orderServers", ...scale}
 }
 
-function answer(response: ServerResponse, status: number): void {
+function sendAnswer(response: ServerResponse, status: number): void {
   response.writeHead(status, {"Content-Type": "application/json"})
   response.end("{}")
 }
--- a/lab/soak/fault-proxy.ts
+++ b/lab/soak/fault-proxy.ts
@@ -1,24 +1,24 @@
-/// A loopback proxy that harms the connections that go through it.
+/// A TCP proxy on loopback that injects faults into the connections through it.
 import {connect, createServer, type AddressInfo, type Server, type Socket} from "node:net"
 
-/// What the proxy does to bytes: passes them, holds them for a while, drops those of one direction (the
-/// connection stays open) or of both.
+/// What the proxy does with bytes: forwards them, forwards them after a delay, or drops those to the target
+/// ("cutForth"), to the client ("cutBack") or both ("silent") while the connection stays open.
 export type LinkState = "open" | "delayed" | "cutForth" | "cutBack" | "silent"
 
-const FORTH = "forth"
-const BACK = "back"
+const TO_TARGET = "toTarget"
+const TO_CLIENT = "toClient"
 
-/// One proxy before one address.
+/// A proxy for one target address.
 export class FaultProxy {
   private state: LinkState = "open"
   private delayMs = 0
-  private made = 0
+  private connectionCount = 0
   private readonly sockets = new Set<Socket>()
-  /// Connections that pass nothing any more, whatever the state.
+  /// Sockets whose bytes are dropped whatever the state.
   private readonly silenced = new WeakSet<Socket>()
   private readonly server: Server
 
-  /// `getTarget` gives the address behind it now; undefined where nobody listens.
+  /// `getTarget` returns the current target address; undefined when nothing listens there.
   constructor(private readonly getTarget: () => string | undefined) {
     this.server = createServer(socket => this.accept(socket))
   }
@@ -29,20 +29,20 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /// Sets what happens to bytes from now on.
+  /// Sets the state for all connections. `delayMs` applies to "delayed".
   setState(state: LinkState, delayMs = 0): void {
     this.state = state
     this.delayMs = delayMs
   }
 
-  /// Silences the connections that are open now, for good and without a reset; new ones work.
+  /// Drops all further bytes of the connections that are open at present, without a reset; new connections work.
   silenceOpenConnections(): void {
     for (const socket of this.sockets) this.silenced.add(socket)
   }
 
-  /// Connections that have come through it so far.
+  /// Number of connections accepted so far.
   getConnectionCount(): number {
-    return this.made
+    return this.connectionCount
   }
 
   /// Resets every connection.
@@ -50,57 +50,59 @@
     for (const socket of this.sockets) socket.resetAndDestroy()
   }
 
-  /// Closes everything.
+  /// Stops listening and closes every connection.
   close(): void {
     this.server.close()
     for (const socket of this.sockets) socket.destroy()
   }
 
-  private accept(near: Socket): void {
-    this.made += 1
+  private accept(client: Socket): void {
+    this.connectionCount += 1
     const target = this.getTarget()
     if (target === undefined) {
-      // At once, as the system refuses it: a daemon judges by some 30 ms whether anybody listens.
-      near.on("error", () => undefined)
-      near.resetAndDestroy()
+      // Reset at once, as the operating system refuses a connection: a daemon takes one that fails within about
+      // 30 ms as a sign that nothing listens.
+      client.on("error", () => undefined)
+      client.resetAndDestroy()
       return
     }
     const [host, port] = target.split(":")
-    const far = connect({host, port: Number(port)})
-    for (const socket of [near, far]) {
+    const upstream = connect({host, port: Number(port)})
+    for (const socket of [client, upstream]) {
       this.sockets.add(socket)
       socket.setNoDelay(true)
       socket.on("error", () => undefined)
       socket.on("close", hadError => {
         this.sockets.delete(socket)
         if (this.silenced.has(socket)) return
-        const other = socket === near ? far : near
+        const other = socket === client ? upstream : client
         if (hadError) other.resetAndDestroy()
         else other.end()
       })
     }
-    this.pass(near, far, FORTH)
-    this.pass(far, near, BACK)
+    this.forward(client, upstream, TO_TARGET)
+    this.forward(upstream, client, TO_CLIENT)
   }
 
-  private pass(from: Socket, to: Socket, direction: typeof FORTH | typeof BACK): void {
+  private forward(from: Socket, to: Socket, direction: typeof TO_TARGET | typeof TO_CLIENT): void {
     from.on("data", (bytes: Buffer) => {
-      if (this.isCut(direction, from)) return
+      if (this.isDropped(direction, from)) return
       const write = () => void (to.writable && to.write(bytes))
       if (this.state === "delayed") setTimeout(write, this.delayMs)
       else write()
     })
     from.on("end", () => {
-      if (this.isCut(direction, from)) return
+      if (this.isDropped(direction, from)) return
       if (this.state === "delayed") setTimeout(() => to.end(), this.delayMs)
       else to.end()
     })
   }
 
-  private isCut(direction: typeof FORTH | typeof BACK, from: Socket): boolean {
+  private isDropped(direction: typeof TO_TARGET | typeof TO_CLIENT, from: Socket): boolean {
     if (this.state === "silent" || this.silenced.has(from)) return true
     return (
-      (this.state === "cutForth" && direction === FORTH) || (this.state === "cutBack" && direction === BACK)
+      (this.state === "cutForth" && direction === TO_TARGET) ||
+      (this.state === "cutBack" && direction === TO_CLIENT)
     )
   }
 }
--- a/lab/soak/faults.ts
+++ b/lab/soak/faults.ts
@@ -1,22 +1,22 @@
-/// Faults that a soak injects from outside. Each begins, lasts and ends; what it disturbs is said to the
-/// record.
+/// Faults that a soak injects from outside the daemons. Each has a start, a duration and an end; the soak records
+/// what it disturbs in between.
 import type {BackendBehavior} from "./backend-stand-in.js"
 import type {LinkState} from "./fault-proxy.js"
 import {PLANNED_STOP} from "./disturbance.js"
-import type {DutyTreatment} from "./duty-stand-in.js"
+import type {DutyBehavior} from "./duty-stand-in.js"
 import {findTenant} from "./soak-routes.js"
 import type {SoakSite} from "./soak-site.js"
-import type {StoreTreatment} from "./store-stand-in.js"
+import type {StoreBehavior} from "./store-stand-in.js"
 
-/// One fault. `start` and `stop` return when the change is made.
+/// One fault. `start` and `stop` resolve once the change has been made. Durations are milliseconds.
 export abstract class Fault {
   constructor(readonly durationMs: number) {}
 
-  /// Its name with what it strikes, for the log of a soak.
+  /// Its name with its target, for the log of a soak.
   abstract getName(): string
-  /// Daemons whose promises with a time bound are suspended meanwhile; "*" for all.
+  /// Daemons whose promises with a time bound are suspended during the fault; "*" for all.
   abstract getDisturbedDaemons(): readonly string[]
-  /// Whether back ends or the way to them are harmed.
+  /// Whether back ends or the connections to them are affected.
   affectsBackends(): boolean {
     return false
   }
@@ -24,13 +24,13 @@
   abstract stop(site: SoakSite): Promise<void> | void
 }
 
-/// A daemon's process is killed and started again.
+/// Daemons are killed and started again.
 export class KillFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly daemons: readonly string[]
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `kill ${this.daemons.join(" ")}`
@@ -46,13 +46,13 @@
   }
 }
 
-/// A daemon's process stands still.
+/// A daemon's process is paused.
 export class PauseFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly daemon: string
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `pause ${this.daemon}`
@@ -68,7 +68,7 @@
   }
 }
 
-/// A daemon is stopped in good order and started again.
+/// A daemon is stopped with SIGTERM and started again.
 export class RestartFault extends Fault {
   constructor(private readonly daemon: string) {
     super(0)
@@ -90,13 +90,13 @@
   }
 }
 
-/// The settings file is written anew, rightly or not, and the process is told.
+/// A daemon is signalled to reload an invalid settings file, and at the end a valid one.
 export class ReloadFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly daemon: string
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `reload ${this.daemon}`
@@ -112,14 +112,14 @@
   }
 }
 
-/// A link is harmed.
+/// A proxy delays, drops or resets the connections of a link.
 export class LinkFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly link: string,
     private readonly state: LinkState | "reset"
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `link ${this.link} ${this.state}`
@@ -138,37 +138,37 @@
   stop(site: SoakSite): void {
     const proxy = site.getProxy(this.link)
     proxy?.setState("open")
-    // Bytes were lost: the connections that carried them are not whole any more.
+    // Bytes were dropped, so the streams of the open connections are corrupt.
     if (this.state !== "delayed") proxy?.resetAll()
   }
 }
 
 const DELAY_MS = 120
 
-/// The store treats some daemons badly.
+/// The store is faulty for some daemons.
 export class StoreFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly daemons: readonly string[],
-    private readonly treatment: StoreTreatment
+    private readonly behavior: StoreBehavior
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
-    return `store ${this.treatment} ${this.daemons.join(" ")}`
+    return `store ${this.behavior} ${this.daemons.join(" ")}`
   }
   getDisturbedDaemons(): readonly string[] {
     return this.daemons
   }
   start(site: SoakSite): void {
-    for (const name of this.daemons) site.store.setTreatment(name, this.treatment)
+    for (const name of this.daemons) site.store.setBehavior(name, this.behavior)
   }
   stop(site: SoakSite): void {
-    for (const name of this.daemons) site.store.setTreatment(name, "serves")
+    for (const name of this.daemons) site.store.setBehavior(name, "serves")
   }
 }
 
-/// The store forgets what has changed.
+/// The store drops its history of changes.
 export class HistoryFault extends Fault {
   constructor() {
     super(0)
@@ -188,11 +188,11 @@
 /// A back end misbehaves.
 export class BackendFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly place: number,
     private readonly behavior: BackendBehavior
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `back end ${this.place} ${this.behavior}`
@@ -211,13 +211,13 @@
   }
 }
 
-/// A back end crashes and comes back as another incarnation.
+/// A back end stops without draining and is replaced by a new incarnation.
 export class CrashFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly place: number
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `crash of back end ${this.place}`
@@ -236,13 +236,13 @@
   }
 }
 
-/// A back end says that it leaves, serves on, leaves, and another takes its place.
+/// A back end drains while it continues to serve, then stops and is replaced by a new incarnation.
 export class ReplaceFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly place: number
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `replacement of back end ${this.place}`
@@ -262,13 +262,13 @@
   }
 }
 
-/// The operator takes a key away, and gives it back when the fault is over.
+/// The operator revokes an API key, and restores it at the end of the fault.
 export class KeyFault extends Fault {
   constructor(
-    lastsMs: number,
+    durationMs: number,
     private readonly key: string
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
     return `revoke of ${findTenant(this.key)}'s key ${this.key.slice(-1)}`
@@ -284,29 +284,29 @@
   }
 }
 
-/// The platform treats calls of the duties in some way.
+/// The platform is faulty for the calls of the duties.
 export class DutyFault extends Fault {
   constructor(
-    lastsMs: number,
-    private readonly treatment: DutyTreatment
+    durationMs: number,
+    private readonly behavior: DutyBehavior
   ) {
-    super(lastsMs)
+    super(durationMs)
   }
   getName(): string {
-    return `duties: platform ${this.treatment}`
+    return `duties: platform ${this.behavior}`
   }
   getDisturbedDaemons(): readonly string[] {
     return []
   }
   start(site: SoakSite): void {
-    site.duties.treatment = this.treatment
+    site.duties.behavior = this.behavior
   }
   stop(site: SoakSite): void {
-    site.duties.treatment = "serves"
+    site.duties.behavior = "serves"
   }
 }
 
-/// The operator moves a route to the other service.
+/// The operator moves a route to the other plain service.
 export class ConfigurationFault extends Fault {
   constructor() {
     super(0)
--- a/lab/soak/store-stand-in.ts
+++ b/lab/soak/store-stand-in.ts
@@ -1,13 +1,13 @@
-/// A stand-in for the platform's store, after its published pages: rows under conditions, feeds, and what can
-/// go wrong with them for some of its callers. Each caller has a port of its own, so that the store can treat
-/// it apart.
+/// A stand-in for the platform's table store, written from its published pages: conditional transactions, feeds
+/// of changes, and injected faults for some of its callers. Each caller has a port of its own, so that faults can
+/// be set for one caller.
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from "node:http"
 import type {AddressInfo} from "node:net"
 import * as z from "zod"
 import {parseBody, readBody, STATUS_MALFORMED, STATUS_UNKNOWN, StrayCalls} from "./stray-calls.js"
 
-/// How the store treats one caller.
-export type StoreTreatment =
+/// What the store does with the calls of one caller: "serves" is correct, the others are faults.
+export type StoreBehavior =
   "serves" | "refuses" | "throttles" | "silent" | "slow" | "losesAnswers" | "appliesLate"
 
 const STATUS_OK = 200
@@ -17,7 +17,7 @@
 const STATUS_BUSY = 503
 const ANSWER_MS = 4
 const SLOW_MS = 250
-const LATE_MS = 1500
+const APPLY_DELAY_MS = 1500
 
 const keySchema = z.object({table: z.string(), part: z.string(), key: z.string()})
 const transactionSchema = z.object({
@@ -41,16 +41,16 @@
 const TRANSACTION_PATH = "/v1/rows-tx"
 const PATHS = [FEED_PATH, GET_PATH, TRANSACTION_PATH]
 
-/// The store.
+/// The rows, their history of changes, and the HTTP servers.
 export class StoreStandIn {
   readonly strayCalls = new StrayCalls("store")
   private readonly rows = new Map<string, Row>()
   private history: Row[] = []
   private historyFrom = 0
   private version = 0
-  private readonly treatments = new Map<string, StoreTreatment>()
+  private readonly behaviors = new Map<string, StoreBehavior>()
   private readonly servers: Server[] = []
-  private readonly waiting = new Set<() => void>()
+  private readonly pendingPolls = new Set<() => void>()
 
   /// Opens a port for a caller and returns the address.
   async open(caller: string): Promise<string> {
@@ -60,17 +60,17 @@
     return `127.0.0.1:${(server.address() as AddressInfo).port}`
   }
 
-  /// Sets how a caller is treated from now on.
-  setTreatment(caller: string, treatment: StoreTreatment): void {
-    this.treatments.set(caller, treatment)
+  /// Sets a caller's behavior for the calls from now on.
+  setBehavior(caller: string, behavior: StoreBehavior): void {
+    this.behaviors.set(caller, behavior)
   }
 
-  /// Writes as the operator or a server: JSON, without a condition.
+  /// Writes a row as the operator or a back end does: JSON, without a condition.
   write(table: string, key: string, value: object): void {
     this.apply([{table, part: "", key, value: Buffer.from(JSON.stringify(value)).toString("base64")}], [])
   }
 
-  /// The JSON of a row; undefined when there is none.
+  /// The decoded JSON of a row; undefined when there is no such row.
   read(table: string, key: string): unknown {
     const value = this.rows.get(`${table}/${key}`)?.value
     return value === undefined ? undefined : JSON.parse(Buffer.from(value, "base64").toString("utf8"))
@@ -81,7 +81,7 @@
     this.apply([], [{table, part: "", key}])
   }
 
-  /// Forgets what has changed so far.
+  /// Drops the history of changes: feeds from an earlier version get the status 410.
   forgetHistory(): void {
     this.history = []
     this.historyFrom = this.version
@@ -98,28 +98,28 @@
   private async onRequest(caller: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request)
     if (body === undefined) return
-    const treatment = this.treatments.get(caller) ?? "serves"
-    // Like the platform's, it takes a plus sign for itself and not for a space.
+    const behavior = this.behaviors.get(caller) ?? "serves"
+    // The platform decodes a plus sign as itself and not as a space.
     const url = new URL((request.url ?? "/").replaceAll("+", "%2B"), "http://store")
-    const answer = (status: number, value: object) => this.answer(response, treatment, status, value)
+    const answer = (status: number, value: object) => this.answer(response, behavior, status, value)
     if (!PATHS.includes(url.pathname))
       return this.strayCalls.reject(STATUS_UNKNOWN, caller, request, response)
-    if (treatment === "silent") return
-    if (treatment === "refuses") return answer(STATUS_BUSY, {})
-    if (treatment === "throttles") return answer(STATUS_THROTTLED, {})
+    if (behavior === "silent") return
+    if (behavior === "refuses") return answer(STATUS_BUSY, {})
+    if (behavior === "throttles") return answer(STATUS_THROTTLED, {})
     if (url.pathname === FEED_PATH) return this.onFeed(url, answer)
     if (url.pathname === GET_PATH) return answer(STATUS_OK, this.getRows(url))
     const transaction = parseBody(transactionSchema, body)
     if (!transaction) return this.strayCalls.reject(STATUS_MALFORMED, caller, request, response)
-    if (treatment === "appliesLate") setTimeout(() => this.transact(transaction), LATE_MS)
+    if (behavior === "appliesLate") setTimeout(() => this.applyTransaction(transaction), APPLY_DELAY_MS)
     else {
-      const result = this.transact(transaction)
-      if (treatment !== "losesAnswers") answer(result.status, result.body)
+      const result = this.applyTransaction(transaction)
+      if (behavior !== "losesAnswers") answer(result.status, result.body)
     }
   }
 
-  private answer(response: ServerResponse, treatment: StoreTreatment, status: number, value: object): void {
-    const delayMs = treatment === "slow" ? SLOW_MS : ANSWER_MS
+  private answer(response: ServerResponse, behavior: StoreBehavior, status: number, value: object): void {
+    const delayMs = behavior === "slow" ? SLOW_MS : ANSWER_MS
     setTimeout(() => {
       response.writeHead(status, {"Content-Type": "application/json"})
       response.end(JSON.stringify(value))
@@ -135,11 +135,11 @@
       const rows = this.history.filter(row => row.table === table && row.ver > after)
       if (rows.length === 0 && performance.now() < until) return
       clearTimeout(timer)
-      this.waiting.delete(poll)
+      this.pendingPolls.delete(poll)
       answer(STATUS_OK, {rows, ver: this.version, now_ms: Math.round(performance.now())})
     }
     const timer = setTimeout(poll, Number(url.searchParams.get("wait_ms")) + 1)
-    this.waiting.add(poll)
+    this.pendingPolls.add(poll)
     poll()
   }
 
@@ -151,12 +151,12 @@
     return {rows, more: false, ver: this.version, now_ms: Math.round(performance.now())}
   }
 
-  private transact(transaction: Transaction): {status: number; body: object} {
-    const stands = transaction.expected_count.map(
+  private applyTransaction(transaction: Transaction): {status: number; body: object} {
+    const currentRows = transaction.expected_count.map(
       ({table, part, key}) => this.rows.get(`${table}/${key}`) ?? {table, part, key, ver: 0}
     )
-    const held = transaction.expected_count.every(({ver}, i) => stands[i].ver === ver)
-    if (!held) return {status: STATUS_CONFLICT, body: {rows: stands, ver: this.version}}
+    const matches = transaction.expected_count.every(({ver}, i) => currentRows[i].ver === ver)
+    if (!matches) return {status: STATUS_CONFLICT, body: {rows: currentRows, ver: this.version}}
     this.apply(transaction.put, transaction.remove)
     return {status: STATUS_OK, body: {ver: this.version}}
   }
@@ -166,7 +166,7 @@
     const ver = this.version
     for (const row of put) this.applyRow({...row, ver})
     for (const row of remove) this.applyRow({...row, ver, gone: true})
-    for (const poll of [...this.waiting]) poll()
+    for (const poll of [...this.pendingPolls]) poll()
   }
 
   private applyRow(row: Row): void {
--- a/test/signal-hunt.test.ts
+++ b/test/signal-hunt.test.ts
@@ -109,7 +109,7 @@
       signalled.finish();
       await Promise.all(signalling);
       const results = [...load.results.values()];
-      const count = (key: 'unanswered' | 'broken' | 'wrong' | 'sent' | 'whole'): number =>
+      const count = (key: 'unanswered' | 'broken' | 'wrong' | 'sent' | 'complete'): number =>
         results.reduce((sum, result) => sum + result[key], 0);
       const failures = {
         unanswered: count('unanswered'),
@@ -120,6 +120,6 @@
       expect(new Set(signalled.exits)).to.deep.equal(new Set([0]));
       const unexpectedExits = signalled.site.daemons.map(({ child }) => child.signalCode ?? child.exitCode);
       expect(new Set(unexpectedExits)).to.deep.equal(new Set([null]));
-      expect(count('whole')).to.be.greaterThan(count('sent') / 2);
+      expect(count('complete')).to.be.greaterThan(count('sent') / 2);
     });
 });
