--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -96,7 +96,7 @@
 
   private request(): void {
     const { fleet } = this;
-    const nodes = fleet.nodes.filter((node) => !node.down && !node.frozen);
+    const nodes = fleet.nodes.filter((node) => !node.down && !node.paused);
     if (nodes.length === 0) return;
     const node = nodes[this.random.below(nodes.length)];
     const tenant = TENANTS[this.random.below(TENANTS.length)];
@@ -108,7 +108,7 @@
     const window = Math.floor((WALL_START_MS + fleet.time.now()) / WINDOW_MS);
     const counts = this.truth.get(window) ?? new Map<string, number>();
     this.truth.set(window, counts.set(tenant.name, (counts.get(tenant.name) ?? 0) + 1));
-    fleet.time.after(20, () => fleet.endAttempt(attempt, { kind: 'whole', status: 200 }));
+    fleet.time.after(20, () => fleet.sendAttemptEvent(attempt, { kind: 'whole', status: 200 }));
   }
 }
 
@@ -141,7 +141,7 @@
   it('a holder that is killed, frozen or turned away by the store costs no report', () => {
     const harms: ((node: FleetNode) => void)[] = [
       (node) => (node.down = true),
-      (node) => (node.frozen = true),
+      (node) => (node.paused = true),
       (node) => (node.access = 'refuses'),
       (node) => (node.access = 'silent'),
     ];
@@ -195,11 +195,11 @@
             site.loadUntil(site.fleet.time.now() + afterMs, 20);
             const node = victim === undefined ? site.holder() : site.fleet.nodes[victim];
             node.access = treatment;
-            node.frozen = frozen;
+            node.paused = frozen;
           }
           for (const node of site.fleet.nodes) {
             node.access = 'serves';
-            node.frozen = false;
+            node.paused = false;
           }
           const calmFrom = site.fleet.time.now() + 5000;
           site.loadUntil(calmFrom + 15_000, 20);
--- a/test/load-relay.test.ts
+++ b/test/load-relay.test.ts
@@ -134,8 +134,8 @@
     const fleet = settledFleet(66);
     load(fleet, fleet.nodes.slice(0, 30), 30);
     for (const attempt of fleet.attempts.slice())
-      if (attempt.backendId === 'a') fleet.endAttempt(attempt, { kind: 'broken', reason: 'reset' });
-      else fleet.endAttempt(attempt, { kind: 'whole', status: 200 });
+      if (attempt.backendId === 'a') fleet.sendAttemptEvent(attempt, { kind: 'broken', reason: 'reset' });
+      else fleet.sendAttemptEvent(attempt, { kind: 'whole', status: 200 });
     fleet.time.runUntil(fleet.time.now() + KNOWN_MS);
     expect(load(fleet, fleet.nodes.slice(30), 36).get('a') ?? 0).to.equal(0);
   });
@@ -145,8 +145,8 @@
     load(fleet, fleet.nodes, 200);
     const own = fleet.nodes[0];
     for (const attempt of fleet.attempts.slice())
-      if (attempt.node === own) fleet.endAttempt(attempt, { kind: 'broken', reason: 'reset' });
-      else fleet.endAttempt(attempt, { kind: 'whole', status: 200 });
+      if (attempt.node === own) fleet.sendAttemptEvent(attempt, { kind: 'broken', reason: 'reset' });
+      else fleet.sendAttemptEvent(attempt, { kind: 'whole', status: 200 });
     fleet.time.runUntil(fleet.time.now() + KNOWN_MS);
     expect([...load(fleet, fleet.nodes.slice(1), 60).keys()].sort()).to.deep.equal(['a', 'b']);
   });
--- a/test/names.test.ts
+++ b/test/names.test.ts
@@ -11,7 +11,7 @@
 import { configurationSchema, readConfiguration, readServer, serverSchema } from '../platform/records.js';
 import { checkPlatformSettings, platformSettingsSchema, processSettings } from '../platform/settings.js';
 import { siteProfile } from '../lab/site-profiles.js';
-import { optionsForSite } from '../simulation/site-options.js';
+import { createSiteOptions } from '../simulation/site-options.js';
 import { SimulatedSite } from '../simulation/simulated-site.js';
 import { peerMessageSchema } from '../src/adapters/peer-codec.js';
 import { serviceRowSchema } from '../src/configuration/service-row.js';
@@ -170,7 +170,7 @@
   });
 
   it('the status document', () => {
-    const site = new SimulatedSite(optionsForSite(siteProfile('cundinamarca'), 1));
+    const site = new SimulatedSite(createSiteOptions(siteProfile('cundinamarca'), 1));
     site.time.runUntil(8000);
     pin('status', listNames(site.daemons[0].daemon.status(8000)));
   });
