--- a/simulation/backend-links.ts
+++ b/simulation/backend-links.ts
@@ -14,7 +14,7 @@
 type AttemptEvent = Extract<CompletionDaemonEvent, { kind: 'attemptEvent' }>['event'];
 type EngineWork = Parameters<SimulatedEngine['start']>[0];
 
-const NO_ANSWER_MS = 1500;
+const CALL_TIMEOUT_MS = 1500;
 const CONNECT_TIMEOUT_MS = 1000;
 const PLATFORM: Endpoint = { name: 'platform', zone: 'platform', region: 'main' };
 
@@ -37,9 +37,12 @@
   constructor(private readonly site: LinkedSite) {}
 
   /** Asks the table service. */
-  askTable(node: DaemonNode, effect: Extract<CompletionDaemonEffect, { kind: 'tableRequest' }>): void {
+  sendTableRequest(
+    node: DaemonNode,
+    effect: Extract<CompletionDaemonEffect, { kind: 'tableRequest' }>,
+  ): void {
     const { tag, request } = effect;
-    this.askPlatform(
+    this.callPlatform(
       node,
       () => this.site.platform.table(request, this.site.time.now()),
       (result) =>
@@ -52,8 +55,8 @@
   }
 
   /** Reads the machine list. */
-  askMachines(node: DaemonNode, cells: readonly string[]): void {
-    this.askPlatform(
+  readMachines(node: DaemonNode, cells: readonly string[]): void {
+    this.callPlatform(
       node,
       () => this.site.platform.listMachines(cells, this.site.time.now()),
       (listing) => this.site.deliver(node, { kind: 'machineListing', listing }),
@@ -61,7 +64,7 @@
   }
 
   /** A call to the platform: the answer may be lost after the effect, and a lost one shows as a time-out. */
-  private askPlatform<Answer>(
+  private callPlatform<Answer>(
     node: DaemonNode,
     call: () => Answer | undefined,
     done: (answer: Answer | undefined) => void,
@@ -73,7 +76,7 @@
       answered = true;
       done(answer);
     };
-    this.site.time.after(NO_ANSWER_MS, () => finish(undefined));
+    this.site.time.after(CALL_TIMEOUT_MS, () => finish(undefined));
     this.site.network.send(node, PLATFORM, () => {
       const answer = call();
       const { faults } = this.site.platform;
@@ -83,7 +86,10 @@
   }
 
   /** Sends a control request to an engine. */
-  controlEngine(node: DaemonNode, effect: Extract<CompletionDaemonEffect, { kind: 'engineControl' }>): void {
+  sendEngineControl(
+    node: DaemonNode,
+    effect: Extract<CompletionDaemonEffect, { kind: 'engineControl' }>,
+  ): void {
     const { purpose, cell, engineId, request } = effect;
     const engine = this.site.engines.get(engineId);
     const { starts } = node;
@@ -94,24 +100,24 @@
       this.site.deliver(node, event);
     };
     const noAnswer = { kind: 'noAnswer', reason: 'no answer' } as const;
-    this.site.time.after(NO_ANSWER_MS, () =>
+    this.site.time.after(CALL_TIMEOUT_MS, () =>
       finish({ kind: 'engineControlResult', purpose, cell, engineId, result: noAnswer }),
     );
     if (!engine) return;
     const { id } = node;
     const arrive = (): void => {
       if (!engine.alive) return;
-      const result = engine.control(request, id, this.tableEpoch(cell));
+      const result = engine.control(request, id, this.getTableEpoch(cell));
       this.site.network.send(engine, node, () =>
         finish({ kind: 'engineControlResult', purpose, cell, engineId, result }),
       );
     };
-    const slept =
+    const controlDelayMs =
       request.kind === 'order' ? (this.site.controlDelayMs.get(node) ?? 0) * this.site.random.next() : 0;
-    this.site.time.after(slept, () => this.site.network.send(node, engine, arrive));
+    this.site.time.after(controlDelayMs, () => this.site.network.send(node, engine, arrive));
   }
 
-  private tableEpoch(cell: string): number {
+  private getTableEpoch(cell: string): number {
     return (this.site.platform.peek('leases', cell)?.value as LeaseValue | undefined)?.epoch ?? 0;
   }
 
@@ -122,20 +128,20 @@
     const engine = this.site.engines.get(start.engineId);
     if (!engine || !engine.alive || !network.isConnected(node, engine)) {
       const delay = engine && !engine.alive ? network.getDelay(node, engine) : CONNECT_TIMEOUT_MS;
-      this.tellLater(node, start, { kind: 'unreachable', reason: 'refused' }, delay);
+      this.deliverLater(node, start, { kind: 'unreachable', reason: 'refused' }, delay);
       return;
     }
-    const back = this.createWayBack(node, engine, start);
+    const sink = this.createAttemptSink(node, engine, start);
     time.after(network.getDelay(node, engine), () => {
       if (engine.alive && network.isConnected(node, engine)) {
         const { requestId, request } = start;
-        engine.start(describeWork(start), requestId, hashText(request.prompt.text), back);
-      } else this.breakLater(node, start);
+        engine.start(createEngineWork(start), requestId, hashText(request.prompt.text), sink);
+      } else this.deliverBreakLater(node, start);
     });
   }
 
   /** Carries an engine's events to the life of the daemon that started the attempt, in order. */
-  private createWayBack(node: DaemonNode, engine: SimulatedEngine, start: AttemptStart): AttemptSink {
+  private createAttemptSink(node: DaemonNode, engine: SimulatedEngine, start: AttemptStart): AttemptSink {
     const { requestId, attemptId } = start;
     const { starts } = node;
     let channel: ReturnType<SimulatedNetwork['createChannel']> | undefined;
@@ -147,17 +153,17 @@
           this.site.deliver(node, { kind: 'attemptEvent', requestId, attemptId, event });
       });
       // A stream that cannot reach its daemon breaks there when the connection times out.
-      if (!sent) this.breakLater(node, start);
+      if (!sent) this.deliverBreakLater(node, start);
       return sent;
     };
   }
 
-  private breakLater(node: DaemonNode, start: AttemptStart): void {
-    this.tellLater(node, start, { kind: 'broken', reason: 'connection lost' }, CONNECT_TIMEOUT_MS);
+  private deliverBreakLater(node: DaemonNode, start: AttemptStart): void {
+    this.deliverLater(node, start, { kind: 'broken', reason: 'connection lost' }, CONNECT_TIMEOUT_MS);
   }
 
   /** Tells the daemon what its own side finds out about an attempt, unless it has ended by then. */
-  private tellLater(
+  private deliverLater(
     node: DaemonNode,
     { requestId, attemptId }: AttemptStart,
     event: AttemptEvent,
@@ -182,7 +188,7 @@
       if (node.starts === starts)
         this.site.deliver(node, { kind: 'applicationEvent', requestId, attemptId, event });
     };
-    const broken = (): void =>
+    const deliverBreak = (): void =>
       this.site.time.after(CONNECT_TIMEOUT_MS, () => deliver({ kind: 'broken', reason: 'connection lost' }));
     if (!server || !server.alive || !this.site.network.isConnected(node, server)) {
       this.site.time.after(CONNECT_TIMEOUT_MS, () => deliver({ kind: 'unreachable', reason: 'refused' }));
@@ -190,19 +196,19 @@
     }
     this.site.time.after(this.site.network.getDelay(node, server), () => {
       if (!server.alive || !this.site.network.isConnected(node, server)) {
-        broken();
+        deliverBreak();
         return;
       }
       server.call(requestId, (event) => {
         const sent = this.site.network.send(server, node, () => deliver(event));
-        if (!sent) broken();
+        if (!sent) deliverBreak();
       });
     });
   }
 }
 
 /** The work of an attempt as an engine takes it. */
-function describeWork({ attemptId, stage, row, request, offset, kv }: AttemptStart): EngineWork {
+function createEngineWork({ attemptId, stage, row, request, offset, kv }: AttemptStart): EngineWork {
   return {
     attemptId,
     stage,
--- a/simulation/drawn-faults.ts
+++ b/simulation/drawn-faults.ts
@@ -3,14 +3,14 @@
 import { FAULT_KINDS, type Fault } from './simulated-faults.js';
 
 /** Faults begin once the site has come up and its load runs, and while load still comes. Milliseconds. */
-const EARLIEST_MS = 7000;
-const LATEST_MS = 45_000;
+const EARLIEST_START_MS = 7000;
+const LATEST_START_MS = 45_000;
 /** The first fault of a run comes again so much later. Milliseconds. */
 const REPEAT_AFTER_MS = 9000;
 
 const fault: fc.Arbitrary<Fault> = fc.record({
   kind: fc.constantFrom(...FAULT_KINDS),
-  atMs: fc.integer({ min: EARLIEST_MS, max: LATEST_MS }),
+  atMs: fc.integer({ min: EARLIEST_START_MS, max: LATEST_START_MS }),
   durationMs: fc.integer({ min: 1000, max: 20_000 }),
   target: fc.nat({ max: 12 }),
 });
--- a/simulation/fault-run.ts
+++ b/simulation/fault-run.ts
@@ -34,7 +34,7 @@
 /** Load starts when the site has had time to come up. Milliseconds. */
 const WARM_UP_MS = 6000;
 const SETTLE_MS = 90_000;
-const SHIFT_MS = 20_000;
+const LOAD_PHASE_MS = 20_000;
 
 /** Runs a site under load and the given faults. */
 export function runFaults(options: FaultRunOptions): FaultRunResult {
@@ -44,10 +44,16 @@
   const workload = new Workload(site, profile.services, options.seed + 1);
   new FaultInjector(site, workload).schedule(options.faults);
   site.time.runUntil(WARM_UP_MS);
-  const heavy = (atMs: number): boolean => Math.floor(atMs / SHIFT_MS) % 2 === 0;
+  const isLongWorkPhase = (atMs: number): boolean => Math.floor(atMs / LOAD_PHASE_MS) % 2 === 0;
   const { engines } = profile;
-  workload.addCompletions({ ...profile.longWork, perSecond: (atMs) => engines * (heavy(atMs) ? 0.6 : 0.1) });
-  workload.addCompletions({ ...profile.shortWork, perSecond: (atMs) => engines * (heavy(atMs) ? 0.5 : 3) });
+  workload.addCompletions({
+    ...profile.longWork,
+    perSecond: (atMs) => engines * (isLongWorkPhase(atMs) ? 0.6 : 0.1),
+  });
+  workload.addCompletions({
+    ...profile.shortWork,
+    perSecond: (atMs) => engines * (isLongWorkPhase(atMs) ? 0.5 : 3),
+  });
   for (const row of profile.services.filter((service) => service.kind === 'application')) {
     workload.addCalls({ service: row.name, perSecond: 3, retryChance: 0.7 });
   }
--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -25,11 +25,11 @@
 /** The true time of day when a simulation begins: the start of a window of any usual length. */
 export const WALL_START_MS = 1_800_000_000_000;
 const STORE_MS = 4;
-const STATUS_BUSY = 503;
+const STATUS_UNAVAILABLE = 503;
 const TABLE_TIMEOUT_MS = 1000;
 /** A write that is carried out late is, so long after it was sent. Milliseconds. */
 const LATE_WRITE_MS = 2500;
-const REJECTED_PAUSE_MS = 300;
+const RETRY_AFTER_MS = 300;
 const DUTY_MS = 4;
 /** Ample for every fleet: the rate of the store is not what is tested here. */
 const TABLE_RATE = { perSecond: 10_000, burst: 10_000 };
@@ -70,7 +70,7 @@
   private readonly nodesByAddress = new Map<string, FleetNode>();
   private readonly records = new Map<string, StoredRecord>();
   private readonly log: StoredRecord[] = [];
-  private readonly waiting = new Set<WaitingRead>();
+  private readonly waitingReads = new Set<WaitingRead>();
   private revision = 0;
 
   constructor(
@@ -85,7 +85,7 @@
     this.random = new SeededRandom(seed);
     this.seeds = ['10.0.0.0:1', '10.0.0.1:1', '10.0.0.2:1'].slice(0, count);
     for (let index = 0; index < count; index += 1) {
-      const zone = `zone-${index % this.countZones()}`;
+      const zone = `zone-${index % this.getZoneCount()}`;
       const place = { id: `daemon-${index}.0`, address: `10.0.0.${index}:1`, zone };
       const node: FleetNode = {
         ...place,
@@ -147,7 +147,7 @@
     return `region-${Number(zone.slice('zone-'.length)) % this.regions}`;
   }
 
-  private countZones(): number {
+  private getZoneCount(): number {
     return this.regions === 1 ? 3 : 2 * this.regions;
   }
 
@@ -159,7 +159,7 @@
     if (written.value === undefined) this.records.delete(key);
     else this.records.set(key, written);
     this.log.push(written);
-    for (const waiting of [...this.waiting]) waiting.answer();
+    for (const waiting of [...this.waitingReads]) waiting.answer();
     return this.revision;
   }
 
@@ -270,12 +270,12 @@
         this.callDuty(node, effect.call, effect.authority);
         break;
       default:
-        this.note(node, effect);
+        this.recordEffect(node, effect);
     }
   }
 
   /** Keeps what tests look at: answers of a daemon's own, configurations in force and states of back ends. */
-  private note(node: FleetNode, effect: ForwardingEffect): void {
+  private recordEffect(node: FleetNode, effect: ForwardingEffect): void {
     if (effect.kind === 'replyFailure') {
       const { requestId, status, retryAfterMs } = effect;
       node.refusals.push({ requestId, status, retryAfterMs, at: this.time.now() });
@@ -312,15 +312,15 @@
     request: TableRequest,
     toEvent: (result: TableResult) => ForwardingEvent,
   ): void {
-    const give = (result: TableResult, delayMs: number): void =>
+    const reply = (result: TableResult, delayMs: number): void =>
       this.time.after(delayMs, () => this.handle(node, toEvent(result)));
     const perform = (): TableResult =>
       this.table.table(request, this.time.now()) ?? { kind: 'noAnswer', reason: 'down' };
-    if (node.access === 'refuses') give({ kind: 'rateLimited', retryAfterMs: REJECTED_PAUSE_MS }, STORE_MS);
-    else if (node.access === 'serves') this.time.after(STORE_MS / 2, () => give(perform(), STORE_MS / 2));
+    if (node.access === 'refuses') reply({ kind: 'rateLimited', retryAfterMs: RETRY_AFTER_MS }, STORE_MS);
+    else if (node.access === 'serves') this.time.after(STORE_MS / 2, () => reply(perform(), STORE_MS / 2));
     else {
       if (node.access === 'appliesLate') this.time.after(LATE_WRITE_MS, perform);
-      give({ kind: 'noAnswer', reason: 'TimeoutError' }, TABLE_TIMEOUT_MS);
+      reply({ kind: 'noAnswer', reason: 'TimeoutError' }, TABLE_TIMEOUT_MS);
     }
   }
 
@@ -343,24 +343,24 @@
   private read(node: FleetNode, read: RecordRead): void {
     node.reads += 1;
     const { collection } = read;
-    const give = (result: RecordReadResult, delayMs: number): void =>
+    const reply = (result: RecordReadResult, delayMs: number): void =>
       this.time.after(delayMs, () => this.handle(node, { kind: 'recordsRead', collection, result }));
     if (node.access === 'refuses') {
-      give({ kind: 'rejected', status: STATUS_BUSY }, STORE_MS);
+      reply({ kind: 'rejected', status: STATUS_UNAVAILABLE }, STORE_MS);
     } else if (node.silentConnections.delete(collection) || node.access !== 'serves') {
-      const heldMs = read.after === undefined ? 0 : read.waitMs;
-      give({ kind: 'noAnswer', reason: 'TimeoutError' }, heldMs + read.answerMs);
+      const waitedMs = read.after === undefined ? 0 : read.waitMs;
+      reply({ kind: 'noAnswer', reason: 'TimeoutError' }, waitedMs + read.answerMs);
     } else if (read.after === undefined) {
       const records = [...this.records.values()].filter((record) => record.collection === collection);
-      give({ kind: 'snapshot', revision: this.revision, records, storeMs: this.time.now() }, STORE_MS);
-    } else this.feed(node, read, read.after, give);
+      reply({ kind: 'snapshot', revision: this.revision, records, storeMs: this.time.now() }, STORE_MS);
+    } else this.readChanges(node, read, read.after, reply);
   }
 
-  private feed(
+  private readChanges(
     node: FleetNode,
     read: RecordRead,
     after: number,
-    give: (result: RecordReadResult, delayMs: number) => void,
+    reply: (result: RecordReadResult, delayMs: number) => void,
   ): void {
     const changes = (): StoredRecord[] =>
       this.log.filter((record) => record.collection === read.collection && record.revision > after);
@@ -371,13 +371,13 @@
       answer: () => {
         if (waiting.done || (changes().length === 0 && this.time.now() < until)) return;
         waiting.done = true;
-        this.waiting.delete(waiting);
+        this.waitingReads.delete(waiting);
         const storeMs = this.time.now();
-        give({ kind: 'changes', revision: this.revision, records: changes(), storeMs }, STORE_MS);
+        reply({ kind: 'changes', revision: this.revision, records: changes(), storeMs }, STORE_MS);
       },
     };
     const until = this.time.now() + read.waitMs;
-    this.waiting.add(waiting);
+    this.waitingReads.add(waiting);
     this.time.after(read.waitMs, waiting.answer);
     waiting.answer();
   }
--- a/simulation/idle-cost.ts
+++ b/simulation/idle-cost.ts
@@ -23,7 +23,7 @@
   },
 });
 
-function makeFleet(daemons: number, engines: number): ForwardingFleet {
+function createFleet(daemons: number, engines: number): ForwardingFleet {
   const fleet = new ForwardingFleet(daemons, SEED);
   const value = labConfiguration(1, [labRoute({})]);
   fleet.write({ collection: 'configuration', revision: 0, value });
@@ -51,7 +51,7 @@
 }
 
 for (const size of cli.flags.sizes.split(',').map(Number)) {
-  const fleet = makeFleet(size, cli.flags.engines);
+  const fleet = createFleet(size, cli.flags.engines);
   const startedAt = getProcessorMs();
   fleet.time.runUntil(JOIN_MS);
   const joinedAt = getProcessorMs();
--- a/simulation/monitor.ts
+++ b/simulation/monitor.ts
@@ -29,7 +29,7 @@
 export class Monitor {
   readonly violations: Violation[] = [];
   /** Requests whose work an engine or server began. */
-  private readonly begun = new Map<string, number>();
+  private readonly startedWork = new Map<string, number>();
   /** The key of each call that may run once, told by the workload. */
   private readonly onceKeys = new Map<string, string>();
   private readonly executions = new Map<string, number>();
@@ -50,17 +50,17 @@
 
   /** A back end began work of a request. */
   onWorkStarted(requestId: string): void {
-    this.begun.set(requestId, (this.begun.get(requestId) ?? 0) + 1);
+    this.startedWork.set(requestId, (this.startedWork.get(requestId) ?? 0) + 1);
   }
 
   /** New work arrived at a back end, whether or not it took it. */
   onWorkArrived(backend: string): void {
     const since = this.leavingSince.get(backend);
     if (since === undefined) return;
-    const late = this.now() - since;
-    this.worstLeavingMs = Math.max(this.worstLeavingMs, late);
-    if (late > this.limits.leavingMs)
-      this.addViolation('leaving-gets-no-work', `${backend} got work after ${Math.round(late)} ms`);
+    const lateByMs = this.now() - since;
+    this.worstLeavingMs = Math.max(this.worstLeavingMs, lateByMs);
+    if (lateByMs > this.limits.leavingMs)
+      this.addViolation('leaving-gets-no-work', `${backend} got work after ${Math.round(lateByMs)} ms`);
   }
 
   /** A back end announced that it leaves. */
@@ -77,10 +77,10 @@
         `${engine} accepted epoch ${epoch} of ${holder}; the table has ${tableEpoch}`,
       );
     }
-    const goesBack =
+    const isOutOfOrder =
       last &&
       (epoch < last.epoch || (epoch === last.epoch && (sequence <= last.sequence || holder !== last.holder)));
-    if (goesBack)
+    if (isOutOfOrder)
       this.addViolation(
         'no-conflicting-orders',
         `${engine}: ${epoch}/${sequence} of ${holder} after ${last.epoch}/${last.sequence} of ${last.holder}`,
@@ -101,9 +101,10 @@
 
   /** A request was answered with a failure. */
   onFailureAnswered(requestId: string, notRun: NotRun, code: string): void {
-    const begun = (this.begun.get(requestId) ?? 0) > 0;
-    if (notRun === 'true' && begun) this.addViolation('not-run-is-true', `${requestId} (${code}) had begun`);
-    if (notRun === 'false' && !begun)
+    const started = (this.startedWork.get(requestId) ?? 0) > 0;
+    if (notRun === 'true' && started)
+      this.addViolation('not-run-is-true', `${requestId} (${code}) had begun`);
+    if (notRun === 'false' && !started)
       this.addViolation('not-run-is-true', `${requestId} (${code}) said it ran, and had not begun`);
   }
 
--- a/simulation/quota-fleet.ts
+++ b/simulation/quota-fleet.ts
@@ -6,11 +6,11 @@
 import { VirtualTime } from './virtual-time.js';
 
 export const TICK_MS = 40;
-const CHATTER_MS = 300;
+const GOSSIP_INTERVAL_MS = 300;
 /** A lost daemon is noticed after so long, a new one at most after so long. Milliseconds. */
-const NOTICE_MS = 5600;
-const JOIN_MS = 1500;
-const PAUSE_MS = 250;
+const FAILURE_DETECTION_MS = 5600;
+const MAXIMUM_JOIN_MS = 1500;
+const PAUSE_DETECTION_MS = 250;
 
 /** One daemon. */
 export interface QuotaNode {
@@ -45,7 +45,7 @@
   networkMs = 1.5;
   private limits: ReadonlyMap<string, QuotaLimit>;
   private readonly random: SeededRandom;
-  private readonly open = new Map<string, { node: QuotaNode; tenant: string; tokens: number }>();
+  private readonly openRequests = new Map<string, { node: QuotaNode; tenant: string; tokens: number }>();
   private requests = 0;
   private starts = 0;
 
@@ -58,10 +58,10 @@
     this.random = new SeededRandom(seed);
     this.limits = limits;
     for (let index = 0; index < count; index += 1) this.nodes.push(this.createNode(index));
-    const members = this.nodes.map((node) => memberOf(node));
+    const members = this.nodes.map((node) => createMember(node));
     for (const node of this.nodes) {
       node.members = members;
-      this.begin(node);
+      this.startNode(node);
     }
   }
 
@@ -70,7 +70,7 @@
     for (const node of nodes) {
       node.down = true;
       const { id } = node;
-      this.time.after(NOTICE_MS, () => this.forget(id));
+      this.time.after(FAILURE_DETECTION_MS, () => this.removeMember(id));
       this.time.after(downMs, () => this.restart(node));
     }
   }
@@ -79,14 +79,14 @@
   partition(node: QuotaNode, forMs: number): void {
     node.partitioned = true;
     const { id } = node;
-    this.time.after(NOTICE_MS, () => {
+    this.time.after(FAILURE_DETECTION_MS, () => {
       if (!node.partitioned || node.id !== id) return;
-      this.forget(id);
+      this.removeMember(id);
       node.members = node.members.filter((member) => member.id === node.id);
     });
     this.time.after(forMs, () => {
       node.partitioned = false;
-      this.meet(node);
+      this.addToMembers(node);
     });
   }
 
@@ -123,29 +123,29 @@
         { requestId: id, tokens, decideBy: this.time.now() + waitMs },
         this.time.now(),
       );
-      this.open.set(id, { node, tenant, tokens });
-      if (decision) this.decide(id, decision);
+      this.openRequests.set(id, { node, tenant, tokens });
+      if (decision) this.receiveDecision(id, decision);
     });
     return id;
   }
 
   /** The caller of a request that waits leaves. */
   cancelRequest(id: string): void {
-    const open = this.open.get(id);
+    const open = this.openRequests.get(id);
     if (!open) return;
-    this.open.delete(id);
+    this.openRequests.delete(id);
     open.node.manager.remove(id);
   }
 
   /** The most tokens of a tenant within any window. */
   getWorstWindow(tenant: string, windowMs: number, from = -Infinity): number {
-    const own = this.arrivals.filter((arrival) => arrival.tenant === tenant && arrival.at >= from);
+    const ofTenant = this.arrivals.filter((arrival) => arrival.tenant === tenant && arrival.at >= from);
     let first = 0;
     let sum = 0;
     let worst = 0;
-    for (const { at, tokens } of own) {
+    for (const { at, tokens } of ofTenant) {
       sum += tokens;
-      while (own[first].at <= at - windowMs) sum -= own[first++].tokens;
+      while (ofTenant[first].at <= at - windowMs) sum -= ofTenant[first++].tokens;
       worst = Math.max(worst, sum);
     }
     return worst;
@@ -179,7 +179,7 @@
     );
   }
 
-  private begin(node: QuotaNode): void {
+  private startNode(node: QuotaNode): void {
     const { id } = node;
     node.manager.setLimits(this.limits, this.time.now());
     node.tickedAt = this.time.now();
@@ -188,7 +188,7 @@
       if (!node.paused) this.tickNode(node);
       this.time.after(TICK_MS, tick);
     };
-    const chatter = (): void => {
+    const gossip = (): void => {
       if (node.id !== id || node.down) return;
       const others = this.nodes.filter((other) => other !== node);
       const peer = others[Math.floor(this.random.next() * others.length)];
@@ -196,16 +196,16 @@
         [node, peer],
         [peer, node],
       ])
-        this.pass(from, to, () => to.manager.onContact(from.id, this.time.now()));
-      this.time.after(CHATTER_MS, chatter);
+        this.send(from, to, () => to.manager.onContact(from.id, this.time.now()));
+      this.time.after(GOSSIP_INTERVAL_MS, gossip);
     };
     this.time.after(this.random.next() * TICK_MS, tick);
-    this.time.after(this.random.next() * CHATTER_MS, chatter);
+    this.time.after(this.random.next() * GOSSIP_INTERVAL_MS, gossip);
   }
 
   private tickNode(node: QuotaNode): void {
     const now = this.time.now();
-    if (now - node.tickedAt > PAUSE_MS) node.manager.onProcessResumed(now);
+    if (now - node.tickedAt > PAUSE_DETECTION_MS) node.manager.onProcessResumed(now);
     node.tickedAt = now;
     node.manager.tick(now);
   }
@@ -214,44 +214,49 @@
     this.starts += 1;
     node.id = `daemon-${node.index}.${this.starts}`;
     node.down = false;
-    node.members = [memberOf(node)];
+    node.members = [createMember(node)];
     node.manager = this.createManager(node);
-    this.begin(node);
-    this.time.after(200, () => this.meet(node));
+    this.startNode(node);
+    this.time.after(200, () => this.addToMembers(node));
   }
 
-  private meet(node: QuotaNode): void {
-    const own = memberOf(node);
+  private addToMembers(node: QuotaNode): void {
+    const self = createMember(node);
     const up = this.nodes.filter((other) => !other.down && !other.partitioned);
-    node.members = up.map((other) => memberOf(other));
+    node.members = up.map((other) => createMember(other));
     for (const other of up) {
-      this.time.after(this.random.next() * JOIN_MS, () => {
-        if (!other.down && !node.down && node.id === own.id && !other.members.some(({ id }) => id === own.id))
-          other.members = [...other.members, own];
+      this.time.after(this.random.next() * MAXIMUM_JOIN_MS, () => {
+        if (
+          !other.down &&
+          !node.down &&
+          node.id === self.id &&
+          !other.members.some(({ id }) => id === self.id)
+        )
+          other.members = [...other.members, self];
       });
     }
   }
 
-  private forget(id: string): void {
+  private removeMember(id: string): void {
     for (const node of this.nodes)
       node.members = node.members.filter((member) => member.id !== id || id === node.id);
   }
 
   private perform(node: QuotaNode, effect: QuotaEffect): void {
     if (effect.kind === 'decide') {
-      this.decide(effect.requestId, effect.decision);
+      this.receiveDecision(effect.requestId, effect.decision);
       return;
     }
     this.messageCount += 1;
-    const target = this.nodes.find((other) => addressOf(other) === effect.address) as QuotaNode;
+    const target = this.nodes.find((other) => getAddress(other) === effect.address) as QuotaNode;
     const { id } = node;
-    this.pass(node, target, () => {
+    this.send(node, target, () => {
       target.manager.onContact(id, this.time.now());
-      target.manager.receive(id, addressOf(node), effect.message, this.time.now());
+      target.manager.receive(id, getAddress(node), effect.message, this.time.now());
     });
   }
 
-  private pass(from: QuotaNode, to: QuotaNode, run: () => void): void {
+  private send(from: QuotaNode, to: QuotaNode, run: () => void): void {
     const isLost = from.partitioned || from.down || from.paused || this.random.next() < this.lossRate;
     if (isLost && from !== to) return;
     const { id } = to;
@@ -266,15 +271,15 @@
     else run();
   }
 
-  private decide(
+  private receiveDecision(
     id: string,
     decision:
       | { kind: 'granted' }
       | { kind: 'refused'; retryAfterMs: number; fields: Readonly<Record<string, unknown>> },
   ): void {
-    const open = this.open.get(id);
+    const open = this.openRequests.get(id);
     if (!open) return;
-    this.open.delete(id);
+    this.openRequests.delete(id);
     const arrival = { tenant: open.tenant, node: open.node.index, at: this.time.now(), tokens: open.tokens };
     if (decision.kind === 'granted') this.arrivals.push(arrival);
     else
@@ -282,14 +287,14 @@
   }
 }
 
-function addressOf({ index }: QuotaNode): string {
+function getAddress({ index }: QuotaNode): string {
   return `10.0.0.${index}:1`;
 }
 
-function memberOf(node: QuotaNode): Member {
+function createMember(node: QuotaNode): Member {
   return {
     id: node.id,
-    address: addressOf(node),
+    address: getAddress(node),
     zone: 'zone-a',
     region: 'main',
     incarnation: 0,
--- a/simulation/signal-site.ts
+++ b/simulation/signal-site.ts
@@ -11,24 +11,24 @@
 /** The rule: in any window a back end gets so many times its limit, and so many requests more, from those it told. */
 const WINDOW_MS = 4000;
 const ALLOWED_FACTOR = 1.5;
-const ALLOWED_MORE = 5;
+const ALLOWED_EXTRA = 5;
 /** The rule counts from so long after a back end first named its limit. Milliseconds. */
-const CONTACT_MS = 3000;
+const LIMIT_SPREAD_MS = 3000;
 /** A daemon counts as told so long after it passed on such an answer. Milliseconds. */
-const TOLD_MS = 500;
+const LIMIT_KNOWN_AFTER_MS = 500;
 /**
  * Requests that callers send so long after a daemon passed on that a back end leaves must not reach it from there.
  * Milliseconds.
  */
-const DRAIN_MS = 2000;
+const LEAVING_GRACE_MS = 2000;
 /** Requests that come sooner than this after a back end has asked to back off may have been on their way. Milliseconds. */
-const BACK_OFF_FROM_MS = 500;
+const BACK_OFF_GRACE_MS = 500;
 /** Until all daemons know each other and the store's records. Milliseconds. */
-const SETTLED_MS = 6000;
+const WARM_UP_MS = 6000;
 /** Work of a back end, and the pause between looks at the callers. Milliseconds. */
-const LEAST_WORK_MS = 15;
-const MORE_WORK_MS = 30;
-const STEP_MS = 5;
+const MINIMUM_WORK_MS = 15;
+const WORK_SPREAD_MS = 30;
+const ARRIVAL_STEP_MS = 5;
 
 /** One request that reached a back end. */
 interface SiteArrival {
@@ -36,12 +36,12 @@
   readonly node: FleetNode;
   readonly at: number;
   readonly path: string;
-  /** The daemon's life that sent it. */
-  readonly life: string;
+  /** The daemon's pair that sent it. */
+  readonly pair: string;
   /** When the caller sent the request. */
   readonly sentAt: number;
   /** The daemon had been told of the limit when it sent the request. */
-  readonly told: boolean;
+  readonly knewLimit: boolean;
 }
 
 /** A request that a daemon answered itself. */
@@ -71,17 +71,17 @@
   private readonly random: SeededRandom;
   /** Requests a second, by back end. */
   private readonly limits = new Map<string, number>();
-  private readonly firstNamedAt = new Map<string, number>();
-  private readonly largest = new Map<string, number>();
-  /** When each life of a daemon passed on an answer of a back end with a limit. */
-  private readonly toldAt = new Map<string, number>();
+  private readonly firstAdvertisedAt = new Map<string, number>();
+  private readonly largestLimits = new Map<string, number>();
+  /** When each pair of a daemon passed on an answer of a back end with a limit. */
+  private readonly limitForwardedAt = new Map<string, number>();
   private readonly leaving = new Set<string>();
-  /** When each life of a daemon passed on that a back end leaves. */
-  private readonly toldLeavingAt = new Map<string, number>();
+  /** When each pair of a daemon passed on that a back end leaves. */
+  private readonly leavingForwardedAt = new Map<string, number>();
   /** Part of the requests that a back end turns away, and for how long it asks daemons to back off. */
   private readonly backOffs = new Map<string, { share: number; backOffMs: number }>();
-  private readonly backOffSpans: { life: string; from: number; until: number }[] = [];
-  private readonly open = new Map<string, { path: string; at: number }>();
+  private readonly backOffSpans: { pair: string; from: number; until: number }[] = [];
+  private readonly openRequests = new Map<string, { path: string; at: number }>();
   private requests = 0;
 
   constructor(private readonly options: SignalSiteOptions) {
@@ -91,7 +91,7 @@
     this.fleet.write({ collection: 'configuration', revision: 0, value: labConfiguration(1, routes) });
     for (let index = 0; index < backends; index += 1) this.writeBackend(index, 'ready');
     this.fleet.onAttempt = (node, start) => this.onAttempt(node, start);
-    this.fleet.time.runUntil(SETTLED_MS);
+    this.fleet.time.runUntil(WARM_UP_MS);
   }
 
   /** Writes the record of a back end, or removes it. */
@@ -124,8 +124,8 @@
       return;
     }
     this.limits.set(backendId, perSecond);
-    this.largest.set(backendId, Math.max(perSecond, this.largest.get(backendId) ?? 0));
-    if (!this.firstNamedAt.has(backendId)) this.firstNamedAt.set(backendId, this.fleet.time.now());
+    this.largestLimits.set(backendId, Math.max(perSecond, this.largestLimits.get(backendId) ?? 0));
+    if (!this.firstAdvertisedAt.has(backendId)) this.firstAdvertisedAt.set(backendId, this.fleet.time.now());
   }
 
   /** Whether a back end says from now on that it leaves. */
@@ -142,15 +142,15 @@
   /** Requests that reached a back end too late after the daemon that sent them had passed on that it leaves. */
   findSentAfterLeaving(): SiteArrival[] {
     return this.arrivals.filter(
-      ({ life, sentAt }) => sentAt > (this.toldLeavingAt.get(life) ?? Infinity) + DRAIN_MS,
+      ({ pair, sentAt }) => sentAt > (this.leavingForwardedAt.get(pair) ?? Infinity) + LEAVING_GRACE_MS,
     );
   }
 
   /** The most requests that a daemon sent to a back end in a time for which that had asked it to back off. */
   findMostDuringBackOff(): number {
-    const counts = this.backOffSpans.map(({ life, from, until }) => {
+    const counts = this.backOffSpans.map(({ pair, from, until }) => {
       const within = this.arrivals.filter(
-        (arrival) => arrival.life === life && arrival.at >= from + BACK_OFF_FROM_MS && arrival.at < until,
+        (arrival) => arrival.pair === pair && arrival.at >= from + BACK_OFF_GRACE_MS && arrival.at < until,
       );
       return within.length;
     });
@@ -162,8 +162,8 @@
     const until = this.fleet.time.now() + forMs;
     const step = (): void => {
       for (const [path, perSecond] of Object.entries(ratesByPath))
-        if (this.random.next() < (perSecond * STEP_MS) / 1000) this.submit(path, fields);
-      if (this.fleet.time.now() < until) this.fleet.time.after(STEP_MS, step);
+        if (this.random.next() < (perSecond * ARRIVAL_STEP_MS) / 1000) this.submit(path, fields);
+      if (this.fleet.time.now() < until) this.fleet.time.after(ARRIVAL_STEP_MS, step);
     };
     step();
   }
@@ -203,11 +203,12 @@
   /** The worst window of a back end, and what is allowed, over the daemons that it had told and that ran on. */
   findWorstWindow(
     backendId: string,
-    excused: ReadonlySet<FleetNode> = new Set(),
+    exempt: ReadonlySet<FleetNode> = new Set(),
   ): { seen: number; allowed: number } {
-    const from = (this.firstNamedAt.get(backendId) ?? Infinity) + CONTACT_MS;
+    const from = (this.firstAdvertisedAt.get(backendId) ?? Infinity) + LIMIT_SPREAD_MS;
     const counted = this.arrivals.filter(
-      ({ backendId: id, node, at, told }) => id === backendId && told && at >= from && !excused.has(node),
+      ({ backendId: id, node, at, knewLimit }) =>
+        id === backendId && knewLimit && at >= from && !exempt.has(node),
     );
     let first = 0;
     let seen = 0;
@@ -215,15 +216,15 @@
       while (counted[first].at <= at - WINDOW_MS) first += 1;
       seen = Math.max(seen, last - first + 1);
     });
-    const perSecond = this.largest.get(backendId) ?? 0;
-    return { seen, allowed: (ALLOWED_FACTOR * perSecond * WINDOW_MS) / 1000 + ALLOWED_MORE };
+    const perSecond = this.largestLimits.get(backendId) ?? 0;
+    return { seen, allowed: (ALLOWED_FACTOR * perSecond * WINDOW_MS) / 1000 + ALLOWED_EXTRA };
   }
 
   /** Requests that daemons answered themselves. */
   findRefusals(): SiteRefusal[] {
     return this.fleet.nodes.flatMap(({ refusals }) =>
       refusals.map(({ requestId, status, retryAfterMs, at }) => {
-        const { path = '', at: sentAt = at } = this.open.get(requestId) ?? {};
+        const { path = '', at: sentAt = at } = this.openRequests.get(requestId) ?? {};
         return { path, status, heldMs: at - sentAt, retryAfterMs };
       }),
     );
@@ -235,31 +236,36 @@
     const node = running[Math.floor(this.random.next() * running.length)];
     this.requests += 1;
     const id = `r${this.requests}`;
-    this.open.set(id, { path, at: this.fleet.time.now() });
+    this.openRequests.set(id, { path, at: this.fleet.time.now() });
     this.fleet.submit(node, id, path, fields);
   }
 
   private onAttempt(node: FleetNode, start: AttemptStart): void {
     const { fleet } = this;
-    const life = `${node.id} ${start.backend.id}`;
-    const told = fleet.time.now() - (this.toldAt.get(life) ?? Infinity) >= TOLD_MS;
-    const { path = '', at: sentAt = fleet.time.now() } = this.open.get(start.requestId) ?? {};
+    const pair = `${node.id} ${start.backend.id}`;
+    const knewLimit =
+      fleet.time.now() - (this.limitForwardedAt.get(pair) ?? Infinity) >= LIMIT_KNOWN_AFTER_MS;
+    const { path = '', at: sentAt = fleet.time.now() } = this.openRequests.get(start.requestId) ?? {};
     fleet.time.after(fleet.networkMs, () => {
       const at = fleet.time.now();
-      this.arrivals.push({ backendId: start.backend.id, node, life, at, path, sentAt, told });
-      if (this.turnsAway(node, start, life)) return;
-      const workMs = LEAST_WORK_MS + this.random.next() * MORE_WORK_MS;
-      fleet.time.after(workMs, () => this.answer(node, start, life));
+      this.arrivals.push({ backendId: start.backend.id, node, pair, at, path, sentAt, knewLimit });
+      if (this.sendRejection(node, start, pair)) return;
+      const workMs = MINIMUM_WORK_MS + this.random.next() * WORK_SPREAD_MS;
+      fleet.time.after(workMs, () => this.answer(node, start, pair));
     });
   }
 
   /** Turns a request away, if the back end does so with this one. */
-  private turnsAway(node: FleetNode, { requestId, attemptId, backend }: AttemptStart, life: string): boolean {
+  private sendRejection(
+    node: FleetNode,
+    { requestId, attemptId, backend }: AttemptStart,
+    pair: string,
+  ): boolean {
     const { fleet } = this;
     const { share, backOffMs } = this.backOffs.get(backend.id) ?? { share: 0, backOffMs: 0 };
     if (this.random.next() >= share) return false;
     const answeredAt = fleet.time.now();
-    this.backOffSpans.push({ life, from: answeredAt, until: answeredAt + backOffMs });
+    this.backOffSpans.push({ pair, from: answeredAt, until: answeredAt + backOffMs });
     const signals = {
       requestsPerSecond: undefined,
       isLeaving: this.leaving.has(backend.id),
@@ -268,7 +274,7 @@
     };
     const event = { kind: 'notExecuted', status: 503, wrongIncarnation: false, signals } as const;
     fleet.time.after(fleet.networkMs, () => {
-      if (`${node.id} ${backend.id}` === life)
+      if (`${node.id} ${backend.id}` === pair)
         fleet.handle(node, { kind: 'attempt', requestId, attemptId, event });
     });
     return true;
@@ -277,7 +283,7 @@
   private answer(
     node: FleetNode,
     { requestId, attemptId, backend, prefillOnly }: AttemptStart,
-    life: string,
+    pair: string,
   ): void {
     const { fleet } = this;
     const requestsPerSecond = this.limits.get(backend.id);
@@ -287,12 +293,14 @@
       ? { kind: 'prefilled', handle: attemptId, signals }
       : { kind: 'whole', status: 200, signals };
     fleet.time.after(fleet.networkMs, () => {
-      if (`${node.id} ${backend.id}` !== life) return;
+      if (`${node.id} ${backend.id}` !== pair) return;
       fleet.handle(node, { kind: 'attempt', requestId, attemptId, event });
-      if (requestsPerSecond !== undefined && !this.toldAt.has(life)) this.toldAt.set(life, fleet.time.now());
-      if (isLeaving && !this.toldLeavingAt.has(life)) this.toldLeavingAt.set(life, fleet.time.now());
+      if (requestsPerSecond !== undefined && !this.limitForwardedAt.has(pair))
+        this.limitForwardedAt.set(pair, fleet.time.now());
+      if (isLeaving && !this.leavingForwardedAt.has(pair))
+        this.leavingForwardedAt.set(pair, fleet.time.now());
       if (prefillOnly) return;
-      const { path = '' } = this.open.get(requestId) ?? {};
+      const { path = '' } = this.openRequests.get(requestId) ?? {};
       this.served.set(path, (this.served.get(path) ?? 0) + 1);
     });
   }
--- a/simulation/simulated-engine.ts
+++ b/simulation/simulated-engine.ts
@@ -48,12 +48,12 @@
   private readonly time: VirtualTime;
   private readonly monitor: Monitor;
   private readonly settings: EngineModelSettings;
-  private readonly firstAssignment: EngineAssignment;
+  private readonly initialAssignment: EngineAssignment;
   private readonly attempts = new Map<string, OpenAttempt>();
   private wakeAt = Infinity;
   private generation = 0;
   /** Role changes before the last crash. */
-  private pastChanges = 0;
+  private changesBeforeCrash = 0;
 
   constructor({ name, address, zone, region, cell, assignment, ...parts }: SimulatedEngineOptions) {
     this.name = name;
@@ -64,13 +64,13 @@
     this.time = parts.time;
     this.monitor = parts.monitor;
     this.settings = parts.settings;
-    this.firstAssignment = assignment;
+    this.initialAssignment = assignment;
     this.model = new EngineModel(parts.settings, assignment);
   }
 
   /** Changes of role or model so far. */
   getChangeCount(): number {
-    return this.pastChanges + this.model.changes;
+    return this.changesBeforeCrash + this.model.changes;
   }
 
   /** Takes an attempt. */
@@ -102,8 +102,8 @@
       const accepted = result.kind === 'report' && after.sequence !== before.sequence;
       if (accepted)
         this.monitor.onOrderAccepted(this.name, holder, request.epoch, request.sequence, tableEpoch);
-      const begins = before.phase !== 'changing' && after.phase === 'changing';
-      if (begins) this.monitor.onChangeStarted(this.name, streams);
+      const hasStarted = before.phase !== 'changing' && after.phase === 'changing';
+      if (hasStarted) this.monitor.onChangeStarted(this.name, streams);
     }
     this.schedule();
     return result;
@@ -114,7 +114,7 @@
     this.alive = false;
     this.generation += 1;
     this.wakeAt = Infinity;
-    this.pastChanges += this.model.changes;
+    this.changesBeforeCrash += this.model.changes;
     for (const attempt of this.attempts.values()) attempt.sink({ kind: 'broken', reason: 'engine crashed' });
     this.attempts.clear();
   }
@@ -122,7 +122,7 @@
   /** The process starts anew with what the machine was first set up for. */
   restart(): void {
     this.alive = true;
-    this.model = new EngineModel(this.settings, this.firstAssignment);
+    this.model = new EngineModel(this.settings, this.initialAssignment);
     this.monitor.onEngineRestarted(this.name);
   }
 
--- a/simulation/simulated-faults.ts
+++ b/simulation/simulated-faults.ts
@@ -61,7 +61,7 @@
 const RACING_WEIGHTS = 50;
 
 /** What a fault harms, and what it may use to do so. */
-interface FaultScene {
+interface FaultContext {
   readonly site: SimulatedSite;
   readonly workload: Workload;
   readonly fault: Fault;
@@ -74,7 +74,7 @@
 }
 
 /** Begins a fault. Returns what ends it, or undefined where nothing is to be ended. */
-type Injection = (scene: FaultScene) => (() => unknown) | undefined;
+type Injection = (context: FaultContext) => (() => unknown) | undefined;
 
 const INJECTIONS: Readonly<Record<FaultKind, Injection>> = {
   'kill-daemon': ({ site, workload, daemon }) => {
@@ -87,22 +87,22 @@
     site.pause(daemon);
     return () => site.resume(daemon);
   },
-  'cut-daemon': cutting(
+  'cut-daemon': createPartitionFault(
     ({ daemon }) =>
       (from, to) =>
         from === daemon || to === daemon,
   ),
-  'cut-daemon-inbound': cutting(
+  'cut-daemon-inbound': createPartitionFault(
     ({ daemon }) =>
       (_from, to) =>
         to === daemon,
   ),
-  'cut-from-platform': cutting(
+  'cut-from-platform': createPartitionFault(
     ({ daemon }) =>
       (from, to) =>
         (from === daemon && to.name === 'platform') || (to === daemon && from.name === 'platform'),
   ),
-  'cut-zone': cutting(
+  'cut-zone': createPartitionFault(
     ({ daemon }) =>
       (from, to) =>
         from.zone !== to.zone && (from.zone === daemon.zone || to.zone === daemon.zone),
@@ -140,8 +140,8 @@
     site.controlDelayMs.set(daemon, fault.durationMs);
     return () => site.controlDelayMs.delete(daemon);
   },
-  'operators-race': (scene) => {
-    raceOperators(scene);
+  'operators-race': (context) => {
+    raceOperators(context);
     return undefined;
   },
   'messages-duplicated': ({ site: { network } }) => {
@@ -154,8 +154,8 @@
   },
 };
 
-function cutting(makeCut: (scene: FaultScene) => Partition): Injection {
-  return (scene) => scene.site.network.addPartition(makeCut(scene));
+function createPartitionFault(createPartition: (context: FaultContext) => Partition): Injection {
+  return (context) => context.site.network.addPartition(createPartition(context));
 }
 
 function crash(target: SimulatedEngine | SimulatedApplication | undefined): (() => void) | undefined {
@@ -165,7 +165,7 @@
 }
 
 /** Several operators edit the same row at once, each from what its daemon showed. */
-function raceOperators({ site, fault: { target }, nextEdit }: FaultScene): void {
+function raceOperators({ site, fault: { target }, nextEdit }: FaultContext): void {
   for (let operator = 0; operator < RACING_OPERATORS; operator += 1) {
     const node = site.daemons[(target + operator) % site.daemons.length];
     const services = node.alive ? node.daemon.status(site.time.now()).services : [];
@@ -190,14 +190,14 @@
   /** Schedules faults. */
   schedule(faults: readonly Fault[]): void {
     const { time } = this.site;
-    for (const fault of faults) time.after(fault.atMs - time.now(), () => this.begin(fault));
+    for (const fault of faults) time.after(fault.atMs - time.now(), () => this.start(fault));
   }
 
-  private begin(fault: Fault): void {
+  private start(fault: Fault): void {
     const { site, workload } = this;
     const engines = [...site.engines.values()];
     const servers = [...site.applications.values()];
-    const end = INJECTIONS[fault.kind]({
+    const stop = INJECTIONS[fault.kind]({
       site,
       workload,
       fault,
@@ -206,6 +206,6 @@
       server: servers[fault.target % Math.max(1, servers.length)],
       nextEdit: () => (this.editCount += 1),
     });
-    if (end) site.time.after(fault.durationMs, end);
+    if (stop) site.time.after(fault.durationMs, stop);
   }
 }
--- a/simulation/simulated-network.ts
+++ b/simulation/simulated-network.ts
@@ -23,7 +23,7 @@
 
 /** The simulated network. */
 export class SimulatedNetwork {
-  private readonly cuts = new Set<Partition>();
+  private readonly partitions = new Set<Partition>();
   /** Chance that a message between daemons arrives twice. */
   duplicateChance = 0;
   /** Extra random delay, which reorders messages. Milliseconds. */
@@ -37,13 +37,13 @@
 
   /** Loses what `cut` says until the returned function is called. */
   addPartition(partition: Partition): () => void {
-    this.cuts.add(partition);
-    return () => this.cuts.delete(partition);
+    this.partitions.add(partition);
+    return () => this.partitions.delete(partition);
   }
 
   /** Whether messages get through now. */
   isConnected(from: Endpoint, to: Endpoint): boolean {
-    for (const partition of this.cuts) if (partition(from, to)) return false;
+    for (const partition of this.partitions) if (partition(from, to)) return false;
     return true;
   }
 
--- a/simulation/simulated-site.ts
+++ b/simulation/simulated-site.ts
@@ -23,7 +23,7 @@
 export type { DaemonNode } from './daemon-node.js';
 
 /** Where an engine stands. */
-interface EnginePlace {
+interface EngineLocation {
   readonly zone: string;
   readonly region: string;
   readonly cell: string;
@@ -34,7 +34,7 @@
 export interface SimulationOptions {
   readonly seed: number;
   readonly daemons: readonly { readonly zone: string; readonly region: string }[];
-  readonly engines: readonly EnginePlace[];
+  readonly engines: readonly EngineLocation[];
   readonly applications: readonly { readonly zone: string; readonly region: string }[];
   readonly services: readonly ServiceRow[];
   readonly network?: Partial<NetworkSettings>;
@@ -50,7 +50,7 @@
  * What the daemons promise: no new work so long after a back end leaves, an edit in force so long after it.
  * Milliseconds.
  */
-const PROMISES = { leavingMs: 5000, configurationMs: 20_000 };
+const LIMITS = { leavingMs: 5000, configurationMs: 20_000 };
 
 /** Handles effects that answer callers and operators. */
 type ReplyHandler = (node: DaemonNode, effect: CompletionDaemonEffect) => void;
@@ -65,7 +65,7 @@
   readonly daemons: DaemonNode[] = [];
   readonly engines = new Map<string, SimulatedEngine>();
   readonly applications = new Map<string, SimulatedApplication>();
-  private readonly byAddress = new Map<string, DaemonNode>();
+  private readonly nodesByAddress = new Map<string, DaemonNode>();
   private readonly settings: CompletionDaemonSettings;
   private readonly links = new BackendLinks(this);
   private replyHandler: ReplyHandler = () => undefined;
@@ -78,7 +78,7 @@
     this.random = new SeededRandom(options.seed);
     this.network = new SimulatedNetwork(this.time, this.random, { ...DEFAULT_NETWORK, ...options.network });
     this.platform = new PlatformModel();
-    this.monitor = new Monitor(() => this.time.now(), PROMISES);
+    this.monitor = new Monitor(() => this.time.now(), LIMITS);
     this.settings = { ...DEFAULT_COMPLETION_DAEMON_SETTINGS, ...options.settings };
     this.writeServices(options.services);
     options.engines.forEach((place, index) => this.addEngine(place, index));
@@ -127,7 +127,7 @@
   /** Starts a killed or stopped daemon again, as a new process. */
   restart(node: DaemonNode): void {
     this.kill(node);
-    this.boot(node);
+    this.startProcess(node);
   }
 
   /** Stops a daemon's process from running, as SIGSTOP does. */
@@ -167,7 +167,7 @@
   setEngineLeaving(engine: SimulatedEngine): void {
     engine.model.leave();
     this.monitor.onBackendLeaving(engine.name);
-    this.platform.setMachine({ ...this.machineOf(engine), state: 'leaving' }, this.time.now());
+    this.platform.setMachine({ ...this.createMachine(engine), state: 'leaving' }, this.time.now());
   }
 
   private writeServices(services: readonly ServiceRow[]): void {
@@ -180,7 +180,7 @@
     if (writes.length > 0) this.platform.table({ kind: 'commit', writeId: 'initial', writes }, 0);
   }
 
-  private addEngine(place: EnginePlace, index: number): void {
+  private addEngine(place: EngineLocation, index: number): void {
     const engine = new SimulatedEngine({
       ...place,
       name: `engine-${index + 1}`,
@@ -190,10 +190,10 @@
       settings: DEFAULT_ENGINE_MODEL_SETTINGS,
     });
     this.engines.set(engine.name, engine);
-    this.platform.setMachine(this.machineOf(engine), 0);
+    this.platform.setMachine(this.createMachine(engine), 0);
   }
 
-  private machineOf(engine: SimulatedEngine): Machine {
+  private createMachine(engine: SimulatedEngine): Machine {
     return {
       id: engine.name,
       kind: 'engine',
@@ -234,11 +234,11 @@
       draining: false,
     };
     this.daemons.push(node);
-    this.byAddress.set(address, node);
-    this.boot(node);
+    this.nodesByAddress.set(address, node);
+    this.startProcess(node);
   }
 
-  private boot(node: DaemonNode): void {
+  private startProcess(node: DaemonNode): void {
     node.starts += 1;
     node.id = `${node.name}.${node.starts}`;
     node.alive = true;
@@ -270,25 +270,25 @@
         this.sendPeer(node, effect.address, effect.message);
         break;
       case 'tableRequest':
-        this.links.askTable(node, effect);
+        this.links.sendTableRequest(node, effect);
         break;
       case 'listMachines':
-        this.links.askMachines(node, effect.cells);
+        this.links.readMachines(node, effect.cells);
         break;
       case 'engineControl':
-        this.links.controlEngine(node, effect);
+        this.links.sendEngineControl(node, effect);
         break;
       case 'startAttempt':
         this.links.startAttempt(node, effect);
         break;
       case 'cancelAttempt': {
-        const engine = this.engineAt(effect.address);
+        const engine = this.findEngine(effect.address);
         if (engine) this.network.send(node, engine, () => engine.cancel(effect.attemptId));
         break;
       }
       case 'checkBackend': {
         const { backend } = effect;
-        const target = this.engineAt(backend.address) ?? this.applications.get(backend.address);
+        const target = this.findEngine(backend.address) ?? this.applications.get(backend.address);
         const check = target?.alive ? 'answered' : 'ended';
         this.time.after(CHECK_MS, () => this.deliver(node, { kind: 'backendChecked', backend, check }));
         break;
@@ -302,7 +302,7 @@
   }
 
   private sendPeer(node: DaemonNode, address: string, message: PeerMessage): void {
-    const target = this.byAddress.get(address);
+    const target = this.nodesByAddress.get(address);
     if (!target || !target.alive) return;
     const { starts } = target;
     this.network.send(node, target, () => {
@@ -311,7 +311,7 @@
     });
   }
 
-  private engineAt(address: string): SimulatedEngine | undefined {
+  private findEngine(address: string): SimulatedEngine | undefined {
     for (const engine of this.engines.values()) if (engine.address === address) return engine;
     return undefined;
   }
--- a/simulation/virtual-time.ts
+++ b/simulation/virtual-time.ts
@@ -1,7 +1,7 @@
 /** Virtual time: a queue of events that run in order, as fast as the machine allows. */
 import TinyQueue from 'tinyqueue';
 
-interface Scheduled {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
@@ -9,7 +9,7 @@
 
 /** The clock and event queue of a simulation. Milliseconds. */
 export class VirtualTime {
-  private readonly queue = new TinyQueue<Scheduled>(
+  private readonly queue = new TinyQueue<ScheduledEvent>(
     [],
     (left, right) => left.at - right.at || left.order - right.order,
   );
--- a/simulation/workload.ts
+++ b/simulation/workload.ts
@@ -33,7 +33,7 @@
   texts: string[];
   count: number;
   readonly key: string | undefined;
-  readonly repeats: number;
+  readonly retryCount: number;
 }
 
 /** What became of the requests. */
@@ -49,8 +49,8 @@
 const DEFAULT_LENGTH_SPREAD = 0.5;
 const CALLER_DELAY_MS = 4;
 /** A stream without arrivals looks again after so long. Milliseconds. */
-const IDLE_STREAM_MS = 1000;
-const MAXIMUM_REPEATS = 3;
+const IDLE_POLL_MS = 1000;
+const MAXIMUM_RETRIES = 3;
 
 /** Sends load into a simulated site and checks what comes back. */
 export class Workload {
@@ -76,7 +76,7 @@
   ) {
     this.rows = new Map(services.map((row) => [row.name, row]));
     this.random = new SeededRandom(seed);
-    site.onReply((node, effect) => this.reply(node, effect));
+    site.onReply((node, effect) => this.onReply(node, effect));
   }
 
   /** Starts a stream of completions. Arrivals do not depend on how the site does. */
@@ -85,7 +85,7 @@
     const next = (): void => {
       if (this.stopped) return;
       const rate = load.perSecond(this.site.time.now());
-      const wait = rate > 0 ? exponential(random, 1000 / rate) : IDLE_STREAM_MS;
+      const wait = rate > 0 ? exponential(random, 1000 / rate) : IDLE_POLL_MS;
       this.site.time.after(wait, () => {
         if (rate > 0 && !this.stopped) this.sendCompletion(load, random);
         next();
@@ -123,22 +123,22 @@
       if (request.node !== node) continue;
       this.open.delete(requestId);
       this.counts.lostWithDaemon += 1;
-      if (request.key !== undefined) this.repeatCall(request);
+      if (request.key !== undefined) this.retryCall(request);
     }
   }
 
-  private chooseDaemon(random: SeededRandom): DaemonNode | undefined {
+  private pickDaemon(random: SeededRandom): DaemonNode | undefined {
     const ready = this.site.getReadyDaemons();
     return ready.length === 0 ? undefined : ready[random.below(ready.length)];
   }
 
   private sendCompletion(load: CompletionLoad, random: SeededRandom): void {
     const spread = load.lengthSpread ?? DEFAULT_LENGTH_SPREAD;
-    const vary = (mean: number): number =>
+    const drawLength = (mean: number): number =>
       Math.max(1, Math.round(mean * (1 - spread + 2 * spread * random.next())));
-    const promptTokens = vary(load.promptTokens);
-    const outputTokens = vary(load.outputTokens);
-    const target = this.arrived(random);
+    const promptTokens = drawLength(load.promptTokens);
+    const outputTokens = drawLength(load.outputTokens);
+    const target = this.addRequest(random);
     if (!target) return;
     const { node, requestId } = target;
     const prompt = `${load.service} prompt ${this.serial}`;
@@ -150,7 +150,7 @@
       texts: [],
       count: 0,
       key: undefined,
-      repeats: 0,
+      retryCount: 0,
     });
     this.site.time.after(CALLER_DELAY_MS, () => {
       this.checkAdmission(node);
@@ -168,13 +168,13 @@
     });
   }
 
-  private sendCall(load: CallLoad, random: SeededRandom, key: string | undefined, repeats: number): void {
-    const target = this.arrived(random);
+  private sendCall(load: CallLoad, random: SeededRandom, key: string | undefined, retryCount: number): void {
+    const target = this.addRequest(random);
     if (!target) return;
     const { node, requestId } = target;
     const once = this.rows.get(load.service)?.repeatable === false;
     const idempotencyKey = key ?? `key-${this.serial}`;
-    const repeatable = once && random.next() < load.retryChance;
+    const willRetry = once && random.next() < load.retryChance;
     if (once) this.site.monitor.addOnceCall(requestId, idempotencyKey);
     this.open.set(requestId, {
       node,
@@ -183,8 +183,8 @@
       outputTokens: 0,
       texts: [],
       count: 0,
-      key: repeatable ? idempotencyKey : undefined,
-      repeats,
+      key: willRetry ? idempotencyKey : undefined,
+      retryCount,
     });
     this.site.time.after(CALLER_DELAY_MS, () => {
       const receivedAt = this.site.time.now();
@@ -195,10 +195,10 @@
     });
   }
 
-  private arrived(random: SeededRandom): { node: DaemonNode; requestId: string } | undefined {
+  private addRequest(random: SeededRandom): { node: DaemonNode; requestId: string } | undefined {
     this.counts.sent += 1;
     this.serial += 1;
-    const node = this.chooseDaemon(random);
+    const node = this.pickDaemon(random);
     if (!node) {
       this.counts.unconnected += 1;
       return undefined;
@@ -220,19 +220,19 @@
     );
   }
 
-  private reply(_node: DaemonNode, effect: CompletionDaemonEffect): void {
+  private onReply(_node: DaemonNode, effect: CompletionDaemonEffect): void {
     switch (effect.kind) {
       case 'replyTokens':
-        this.tokens(effect.requestId, effect.offset, effect.texts);
+        this.onTokens(effect.requestId, effect.offset, effect.texts);
         break;
       case 'replyEnd':
-        this.ended(effect.requestId, effect.tokens);
+        this.onEnd(effect.requestId, effect.tokens);
         break;
       case 'replyApplication':
-        this.answered(effect.requestId);
+        this.onAnswer(effect.requestId);
         break;
       case 'replyFailed':
-        this.failed(effect.requestId, effect.error.code, effect.tokensSent);
+        this.onFailure(effect.requestId, effect.error.code, effect.tokensSent);
         this.site.monitor.onFailureAnswered(effect.requestId, effect.error.notRun, effect.error.code);
         break;
       default:
@@ -240,7 +240,7 @@
     }
   }
 
-  private tokens(requestId: string, offset: number, texts: readonly string[]): void {
+  private onTokens(requestId: string, offset: number, texts: readonly string[]): void {
     const request = this.open.get(requestId);
     if (!request) return;
     if (offset !== request.count)
@@ -249,7 +249,7 @@
     request.texts.push(...texts);
   }
 
-  private ended(requestId: string, tokens: number): void {
+  private onEnd(requestId: string, tokens: number): void {
     const request = this.open.get(requestId);
     if (!request) return;
     this.open.delete(requestId);
@@ -270,24 +270,24 @@
       this.site.monitor.addViolation('whole-answer', `${requestId} has a foreign token at ${wrong}`);
   }
 
-  private answered(requestId: string): void {
+  private onAnswer(requestId: string): void {
     const request = this.open.get(requestId);
     if (!request) return;
     this.open.delete(requestId);
     this.counts.whole += 1;
   }
 
-  private failed(requestId: string, code: string, tokensSent: number): void {
+  private onFailure(requestId: string, code: string, tokensSent: number): void {
     const request = this.open.get(requestId);
     this.open.delete(requestId);
     this.counts.failed.set(code, (this.counts.failed.get(code) ?? 0) + 1);
     if (tokensSent > 0) this.brokenStreams += 1;
-    if (request?.key !== undefined) this.repeatCall(request);
+    if (request?.key !== undefined) this.retryCall(request);
   }
 
-  private repeatCall(request: OpenRequest): void {
-    if (request.repeats >= MAXIMUM_REPEATS) return;
+  private retryCall(request: OpenRequest): void {
+    if (request.retryCount >= MAXIMUM_RETRIES) return;
     const load: CallLoad = { service: request.service, perSecond: 0, retryChance: 1 };
-    this.site.time.after(500, () => this.sendCall(load, this.random, request.key, request.repeats + 1));
+    this.site.time.after(500, () => this.sendCall(load, this.random, request.key, request.retryCount + 1));
   }
 }
--- a/spec/model-check.ts
+++ b/spec/model-check.ts
@@ -254,7 +254,7 @@
   }
 }
 
-function verdictOf(entry: Check, outcome: Outcome): boolean {
+function isExpected(entry: Check, outcome: Outcome): boolean {
   if (entry.expect === 'caught') return outcome.errors > 0;
   return outcome.errors === 0 && outcome.complete;
 }
@@ -273,7 +273,7 @@
   return outcomes;
 }
 
-function describe(outcome: Outcome): string {
+function describeOutcome(outcome: Outcome): string {
   if (outcome.errors > 0) return 'error found';
   return outcome.complete ? 'no error, exhaustive' : 'no error, NOT exhaustive';
 }
@@ -284,9 +284,9 @@
   const rows = CHECKS.map((entry, index) => {
     const outcome = outcomes[index];
     const ran = !(outcome instanceof Error);
-    const passed = ran && verdictOf(entry, outcome);
+    const passed = ran && isExpected(entry, outcome);
     if (!passed) failed += 1;
-    const found = ran ? describe(outcome) : `did not run: ${outcome.message.split('\n')[0]}`;
+    const found = ran ? describeOutcome(outcome) : `did not run: ${outcome.message.split('\n')[0]}`;
     const defines = entry.defines.join(' ');
     return [
       entry.file,
--- a/test/known-red.ts
+++ b/test/known-red.ts
@@ -10,7 +10,7 @@
 const PATH = fileURLToPath(new URL('../../KNOWN-RED.txt', import.meta.url));
 const FIELDS = 4;
 /** The first field of an entry whose command is run by hand. */
-const RUN_BY_HAND = 'fault soak';
+const MANUAL_TEST = 'fault soak';
 
 function readEntries(): string[][] {
   if (!existsSync(PATH)) return [];
@@ -20,8 +20,8 @@
 }
 
 const entries = readEntries();
-const titles = new Set(entries.map(([test]) => test).filter((test) => test !== RUN_BY_HAND));
-const met = new Set<string>();
+const titles = new Set(entries.map(([test]) => test).filter((test) => test !== MANUAL_TEST));
+const seenTitles = new Set<string>();
 
 export const mochaHooks = {
   beforeAll(): void {
@@ -35,13 +35,13 @@
   beforeEach(this: Context): void {
     const title = this.currentTest?.fullTitle() ?? '';
     if (!titles.has(title)) return;
-    met.add(title);
+    seenTitles.add(title);
     if (!process.env.RUN_KNOWN_RED) this.skip();
   },
   afterAll(): void {
     // Elsewhere single files may be run.
     if (!process.env.CI) return;
-    const missing = [...titles].filter((title) => !met.has(title));
+    const missing = [...titles].filter((title) => !seenTitles.has(title));
     if (missing.length > 0) throw new RangeError(`KNOWN-RED.txt names no test: ${missing.join('; ')}`);
   },
 };
--- a/test/layout.test.ts
+++ b/test/layout.test.ts
@@ -77,29 +77,29 @@
 function isAllowed(row: LayoutRow, { from, to, values }: Import): boolean {
   const target = getFolder(to);
   if (getFolder(from) === target) return true;
-  const covers = (name: string): boolean => target === name || target.startsWith(`${name}/`);
-  if (row.allowed.some(covers)) return true;
-  return row.typesOf.some(covers) && values.every((name) => SCHEMA.test(name));
+  const isCovered = (name: string): boolean => target === name || target.startsWith(`${name}/`);
+  if (row.allowed.some(isCovered)) return true;
+  return row.typesOf.some(isCovered) && values.every((name) => SCHEMA.test(name));
 }
 
 /** A circle of modules that can be reached from `start`, or undefined. */
-function findCircle(
+function findCycle(
   start: string,
   imports: ReadonlyMap<string, readonly string[]>,
-  done: Set<string>,
+  visited: Set<string>,
 ): string[] | undefined {
   const path: string[] = [];
   const visit = (file: string): string[] | undefined => {
     if (path.includes(file)) return [...path.slice(path.indexOf(file)), file];
-    if (done.has(file)) return undefined;
+    if (visited.has(file)) return undefined;
     path.push(file);
     for (const next of imports.get(file) ?? []) {
-      const circle = visit(next);
-      done.add(file);
-      if (circle) return circle;
+      const cycle = visit(next);
+      visited.add(file);
+      if (cycle) return cycle;
     }
     path.pop();
-    done.add(file);
+    visited.add(file);
     return undefined;
   };
   return visit(start);
@@ -116,11 +116,11 @@
 
   it('each import is one that the layout table allows', () => {
     const layout = readLayout();
-    const wrong = imports.filter((one) => {
+    const violations = imports.filter((one) => {
       const row = layout.find(({ folders }) => folders.includes(getFolder(one.from)));
       return !row || !isAllowed(row, one);
     });
-    expect(wrong.map(({ from, to }) => `${from} -> ${to}`)).to.deep.equal([]);
+    expect(violations.map(({ from, to }) => `${from} -> ${to}`)).to.deep.equal([]);
   });
 
   it('no module has more than 400 lines', () => {
@@ -132,8 +132,8 @@
   it('no module imports itself by way of others, types included', () => {
     const targets = new Map<string, string[]>(files.map((file) => [file, []]));
     for (const { from, to } of imports) targets.get(from)?.push(to);
-    const done = new Set<string>();
-    const circles = files.map((file) => findCircle(file, targets, done)).filter(Boolean);
-    expect(circles).to.deep.equal([]);
+    const visited = new Set<string>();
+    const cycles = files.map((file) => findCycle(file, targets, visited)).filter(Boolean);
+    expect(cycles).to.deep.equal([]);
   });
 });
--- a/test/names.test.ts
+++ b/test/names.test.ts
@@ -26,7 +26,7 @@
 
 const ROOT = fileURLToPath(new URL('../../', import.meta.url));
 const execute = promisify(execFile);
-const PLACE = {
+const BACKEND = {
   id: 'e1',
   service: 's',
   address: '10.0.0.1:80',
@@ -36,13 +36,13 @@
 } as const;
 
 /** Pins a value as JSON under the name of a snapshot. */
-function pin(name: string, value: unknown): void {
+function checkSnapshot(name: string, value: unknown): void {
   const snapshot = new Snapshot(`names-${name}`);
   snapshot.add(JSON.stringify(value, undefined, 1));
   snapshot.check();
 }
 
-function describeForm(schema: z.ZodType): unknown {
+function describeSchema(schema: z.ZodType): unknown {
   return z.toJSONSchema(schema, { unrepresentable: 'any', io: 'input' });
 }
 
@@ -52,19 +52,19 @@
     .digest('hex');
 }
 
-function listNames(value: unknown): unknown {
-  if (Array.isArray(value)) return value.slice(0, 1).map((entry) => listNames(entry));
+function describeShape(value: unknown): unknown {
+  if (Array.isArray(value)) return value.slice(0, 1).map((entry) => describeShape(entry));
   if (typeof value !== 'object' || value === null) return typeof value;
-  return Object.fromEntries(Object.entries(value).map(([key, entry]) => [key, listNames(entry)]));
+  return Object.fromEntries(Object.entries(value).map(([key, entry]) => [key, describeShape(entry)]));
 }
 
 describe('names that others rely on stay', () => {
-  it('messages between daemons', () => pin('peer-messages', describeForm(peerMessageSchema)));
+  it('messages between daemons', () => checkSnapshot('peer-messages', describeSchema(peerMessageSchema)));
 
-  it('rows of the service table', () => pin('service-row', describeForm(serviceRowSchema)));
+  it('rows of the service table', () => checkSnapshot('service-row', describeSchema(serviceRowSchema)));
 
   it('records of the platform', () =>
-    pin('platform-records', [describeForm(configurationSchema), describeForm(serverSchema)]));
+    checkSnapshot('platform-records', [describeSchema(configurationSchema), describeSchema(serverSchema)]));
 
   it('settings of both programs, with their defaults', () => {
     const addresses = {
@@ -72,8 +72,11 @@
       peerAddress: '10.0.0.1:2',
       operatorAddress: '10.0.0.1:3',
     };
-    pin('settings', checkSettings({ name: 'd', zone: 'z', ...addresses, platform: ['10.0.0.9:1'] }));
-    pin('platform-settings', describeForm(platformSettingsSchema));
+    checkSnapshot(
+      'settings',
+      checkSettings({ name: 'd', zone: 'z', ...addresses, platform: ['10.0.0.9:1'] }),
+    );
+    checkSnapshot('platform-settings', describeSchema(platformSettingsSchema));
   });
 
   it('the deploy file and its days', () => {
@@ -83,7 +86,7 @@
       'lab/soak/regression-seeds.json',
       ...days.map((day) => `deploy/days/${day}`),
     ];
-    pin('deploy', Object.fromEntries(files.map((file) => [file, digestFile(file)])));
+    checkSnapshot('deploy', Object.fromEntries(files.map((file) => [file, digestFile(file)])));
   });
 
   it('metrics and their labels', () => {
@@ -100,7 +103,7 @@
     const status = { ready: true, requests, members: [], leases: [], roleChanges: 0 };
     const completions = new CompletionMetrics(() => status as unknown as CompletionDaemonStatus);
     // The label names of a metric are kept by the library itself only.
-    const describeAll = (registry: Registry): string[] =>
+    const describeMetrics = (registry: Registry): string[] =>
       registry
         .getMetricsAsArray()
         .filter(({ name }) => name.startsWith('pulleyledge'))
@@ -108,7 +111,7 @@
           const { labelNames } = metric as unknown as { labelNames?: readonly string[] };
           return `${metric.name} ${metric.type} (${(labelNames ?? []).join(', ')}): ${metric.help}`;
         });
-    pin('metrics', [describeAll(forwarding.registry), describeAll(completions.registry)]);
+    checkSnapshot('metrics', [describeMetrics(forwarding.registry), describeMetrics(completions.registry)]);
   });
 
   it('headers and calls towards back ends', () => {
@@ -116,7 +119,7 @@
     const start: AttemptStart = {
       requestId: 'r',
       attemptId: 'a',
-      backend: { ...PLACE, stage: 'decode' },
+      backend: { ...BACKEND, stage: 'decode' },
       tenant: 't',
       prefillOnly: true,
       kvSource: { address: '10.0.0.2:80', handle: 'h' },
@@ -134,7 +137,7 @@
       fence: 4,
       expectedOrders: 2,
     } as const;
-    pin('headers', [
+    checkSnapshot('headers', [
       dialect.requestHeaders(
         ['X-Mine', '1', 'X-Api-Key', 'k', 'Last-Event-Id', '3', 'X-Attempt-Id', 'i'],
         start,
@@ -157,7 +160,7 @@
           'r',
         ),
       );
-    pin(
+    checkSnapshot(
       'problems',
       made.map(({ type, title, status, notRun, context }) => [
         type,
@@ -172,7 +175,7 @@
   it('the status document', () => {
     const site = new SimulatedSite(createSiteOptions(siteProfile('cundinamarca'), 1));
     site.time.runUntil(8000);
-    pin('status', listNames(site.daemons[0].daemon.status(8000)));
+    checkSnapshot('status', describeShape(site.daemons[0].daemon.status(8000)));
   });
 
   it('exit codes', async () => {
@@ -189,15 +192,15 @@
         ),
       ),
     );
-    pin('exit-codes', codes);
+    checkSnapshot('exit-codes', codes);
   });
 });
 
-const OLD_CONFIGURATIONS = [
+const STORED_CONFIGURATIONS = [
   '{"version":3,"routes":[{"name":"r","host":"h","path_prefix":"/p/","route_kind":"streaming","timeout_ms":3000,"target_latency_ms":300,"target_itl_ms":150,"service":"s","resumable":true,"priority":1,"max_attempts":2}],"services":[{"name":"s","health_path":"/h","max_conns":9,"engine":{"slots":4,"kv_capacity":1000,"kv_ttl_s":5,"switch_s":3,"kv_bytes":16384,"link_mbps":1000,"moves":true,"replicas":true},"scaling":{"min":1,"max":4,"boot_s":2,"spot_price":0.4,"zone_prices":{"z":1}}}],"limits":{"max_header_bytes":1,"max_body_bytes":2,"header_timeout_ms":3,"idle_timeout_ms":4},"tenants":[{"name":"t","api_keys":["k"],"priority":2,"rate_per_s":10,"burst":20,"unit":"token_count","uncached_tokens":5}]}',
   '{"version":4,"routes":[{"name":"q","host":"h","path_prefix":"/q/","route_kind":"idempotent","timeout_ms":1000,"split":[{"service":"s","weight":2},{"service":"u","weight":1}],"public":true}],"services":[{"name":"s"},{"name":"u"}]}',
 ];
-const OLD_SERVERS = [
+const STORED_SERVERS = [
   '{"service":"s","addr":"10.0.0.1:80","zone":"z","version":"v1","slots":4,"state":"ready","cold_left_ms":0,"seq":3,"phase":"prefill","spot":true,"born":1800000000000}',
   '{"service":"s","addr":"10.0.0.2:80","zone":"z","slots":6,"state":"draining"}',
 ];
@@ -205,8 +208,8 @@
 describe('rows that earlier programs and others have stored', () => {
   it('are read to the same values', () => {
     const values = [
-      ...OLD_CONFIGURATIONS.map((text) => readConfiguration(text)),
-      ...OLD_SERVERS.map((text) => readServer('i-1', text)),
+      ...STORED_CONFIGURATIONS.map((text) => readConfiguration(text)),
+      ...STORED_SERVERS.map((text) => readServer('i-1', text)),
     ];
     const digest = createHash('sha256').update(JSON.stringify(values.map((value) => listLeaves(value))));
     const snapshot = new Snapshot('names-old-rows');
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -20,12 +20,12 @@
 describe('pages', () => {
   it('each link to a file leads to one', () => {
     const pages = ['.', 'docs', 'docs/design'].flatMap(findPages);
-    const dead = pages.flatMap((page) =>
+    const broken = pages.flatMap((page) =>
       readLinks(page)
         .filter((target) => !existsSync(join(ROOT, target)))
         .map((target) => `${page} -> ${target}`),
     );
-    expect(dead).to.deep.equal([]);
+    expect(broken).to.deep.equal([]);
   });
 
   it('each page of docs/design stands in the index', () => {
