--- a/simulation/backend-links.ts
+++ b/simulation/backend-links.ts
@@ -1,4 +1,7 @@
-/** The ways from simulated daemons to engines, application servers and the platform, with their failures. */
+/**
+ * Connections from simulated daemons to engines, application servers and the platform, with their failures: refused
+ * connections, broken connections and calls that time out. Relies on the simulated network for delays and partitions.
+ */
 import type { CompletionDaemonEffect, CompletionDaemonEvent } from '../src/daemon/completion-messages.js';
 import { hashText } from '../src/shared/rendezvous-hash.js';
 import type { AttemptStart } from '../src/routing/completion-effects.js';
@@ -18,7 +21,7 @@
 const CONNECT_TIMEOUT_MS = 1000;
 const PLATFORM: Endpoint = { name: 'platform', zone: 'platform', region: 'main' };
 
-/** What of a site the links lead through and to. */
+/** The parts of a simulated site that the links use. */
 export interface LinkedSite {
   readonly time: VirtualTime;
   readonly random: RandomSource;
@@ -26,17 +29,17 @@
   readonly platform: PlatformModel;
   readonly engines: ReadonlyMap<string, SimulatedEngine>;
   readonly applications: ReadonlyMap<string, SimulatedApplication>;
-  /** Control requests of a daemon reach engines this much later. Milliseconds. */
+  /** Upper bound of the random extra delay of a daemon's orders to engines. Milliseconds. */
   readonly controlDelayMs: ReadonlyMap<DaemonNode, number>;
-  /** Hands an event to a daemon. */
+  /** Delivers an event to a daemon. */
   deliver(node: DaemonNode, event: CompletionDaemonEvent): void;
 }
 
-/** Carries daemons' requests to back ends and their answers back. */
+/** Sends daemons' requests to back ends and the platform, and delivers the answers. */
 export class BackendLinks {
   constructor(private readonly site: LinkedSite) {}
 
-  /** Asks the table service. */
+  /** Sends a request to the table service. */
   sendTableRequest(
     node: DaemonNode,
     effect: Extract<CompletionDaemonEffect, { kind: 'tableRequest' }>,
@@ -63,7 +66,10 @@
     );
   }
 
-  /** A call to the platform: the answer may be lost after the effect, and a lost one shows as a time-out. */
+  /**
+   * Calls the platform. The answer may be lost after the call has taken effect; `done` then gets undefined after
+   * the time-out.
+   */
   private callPlatform<Answer>(
     node: DaemonNode,
     call: () => Answer | undefined,
@@ -140,7 +146,7 @@
     });
   }
 
-  /** Carries an engine's events to the life of the daemon that started the attempt, in order. */
+  /** Delivers an engine's events, in order, to the daemon process that started the attempt, but to no later one. */
   private createAttemptSink(node: DaemonNode, engine: SimulatedEngine, start: AttemptStart): AttemptSink {
     const { requestId, attemptId } = start;
     const { starts } = node;
@@ -152,7 +158,7 @@
         if (node.starts === starts)
           this.site.deliver(node, { kind: 'attemptEvent', requestId, attemptId, event });
       });
-      // A stream that cannot reach its daemon breaks there when the connection times out.
+      // When the engine cannot reach the daemon, the daemon sees the stream break after the connection's time-out.
       if (!sent) this.deliverBreakLater(node, start);
       return sent;
     };
@@ -162,7 +168,7 @@
     this.deliverLater(node, start, { kind: 'broken', reason: 'connection lost' }, CONNECT_TIMEOUT_MS);
   }
 
-  /** Tells the daemon what its own side finds out about an attempt, unless it has ended by then. */
+  /** Delivers an event that the daemon's own side detects, unless the daemon has restarted by then. */
   private deliverLater(
     node: DaemonNode,
     { requestId, attemptId }: AttemptStart,
@@ -207,7 +213,7 @@
   }
 }
 
-/** The work of an attempt as an engine takes it. */
+/** Converts the start of an attempt to the form that engines accept. */
 function createEngineWork({ attemptId, stage, row, request, offset, kv }: AttemptStart): EngineWork {
   return {
     attemptId,
--- a/simulation/drawn-faults.ts
+++ b/simulation/drawn-faults.ts
@@ -1,11 +1,11 @@
-/** Faults for property-based tests: how a generator draws them. */
+/** Generators of faults for property-based tests. */
 import fc from 'fast-check';
 import { FAULT_KINDS, type Fault } from './simulated-faults.js';
 
-/** Faults begin once the site has come up and its load runs, and while load still comes. Milliseconds. */
+/** Faults start after the site is up and under load, and before the load ends. Milliseconds. */
 const EARLIEST_START_MS = 7000;
 const LATEST_START_MS = 45_000;
-/** The first fault of a run comes again so much later. Milliseconds. */
+/** Delay after which the first fault of a plan is repeated. Milliseconds. */
 const REPEAT_AFTER_MS = 9000;
 
 const fault: fc.Arbitrary<Fault> = fc.record({
@@ -15,7 +15,7 @@
   target: fc.nat({ max: 12 }),
 });
 
-/** Two to five faults, some at once, and the first of them again later. */
+/** Plans of two to five faults, which may overlap, with the first of them repeated later. */
 export const faultsArbitrary: fc.Arbitrary<Fault[]> = fc
   .array(fault, { minLength: 2, maxLength: 5 })
   .map((faults) => [...faults, { ...faults[0], atMs: faults[0].atMs + REPEAT_AFTER_MS }]);
--- a/simulation/fault-run.ts
+++ b/simulation/fault-run.ts
@@ -1,4 +1,4 @@
-/** One run of a site under load and faults, with every promise watched. */
+/** Runs a simulated site under load and faults while the monitor checks every promise. */
 import { siteProfile } from '../lab/site-profiles.js';
 import type { CompletionDaemonSettings } from '../src/daemon/completion-daemon-settings.js';
 import { FaultInjector, type Fault } from './simulated-faults.js';
@@ -7,33 +7,37 @@
 import { SimulatedSite } from './simulated-site.js';
 import { Workload, type WorkloadCounts } from './workload.js';
 
-/** What to run. */
+/** The site, load and faults of a run. */
 export interface FaultRunOptions {
   readonly site: string;
   readonly seed: number;
   readonly faults: readonly Fault[];
-  /** Load lasts until this time; then the run waits for the last answers. Milliseconds. */
+  /** Virtual time at which the load ends; the run then waits for outstanding answers. Milliseconds. */
   readonly loadUntilMs: number;
   readonly settings?: Partial<CompletionDaemonSettings>;
-  /** Called before the run begins, for broken variants. */
+  /** Called before the run starts; tests of the monitor use it to break the system deliberately. */
   readonly prepare?: (site: SimulatedSite) => void;
 }
 
-/** What a run showed. */
+/** The outcome of a run. */
 export interface FaultRunResult {
   readonly violations: readonly Violation[];
   readonly counts: WorkloadCounts;
   /** Streams that ended with a typed error after tokens had been sent. */
   readonly brokenStreams: number;
-  /** Requests without any answer long after the last deadline. */
+  /** Requests that still have no answer long after the last deadline. */
   readonly unanswered: number;
+  /** Longest time from a back end's announcement that it leaves to its last new request. Milliseconds. */
   readonly worstLeavingMs: number;
+  /** Changes of role or model over all engines. */
   readonly roleChanges: number;
 }
 
-/** Load starts when the site has had time to come up. Milliseconds. */
+/** Time for the site to become ready before load starts. Milliseconds. */
 const WARM_UP_MS = 6000;
+/** Time after the end of the load, longer than every deadline, in which all requests must be answered. Milliseconds. */
 const SETTLE_MS = 90_000;
+/** Period after which the load changes between mostly long and mostly short work, to provoke role changes. Milliseconds. */
 const LOAD_PHASE_MS = 20_000;
 
 /** Runs a site under load and the given faults. */
--- a/simulation/fleet-node.ts
+++ b/simulation/fleet-node.ts
@@ -1,41 +1,41 @@
-/** The daemons of a simulated fleet, and what callers and back ends see of them. */
+/** The state that a simulated fleet keeps of its daemons and of the attempts that they start. */
 import type { ForwardingDaemon } from '../src/daemon/forwarding-daemon.js';
 import type { RecordCollection } from '../src/fleet/record-store.js';
 import type { ForwardRequest } from '../src/forwarding/forward-request.js';
 
-/** What the store does to one daemon. */
+/** How the store handles the calls of one daemon. */
 export type StoreAccess = 'serves' | 'refuses' | 'silent' | 'appliesLate';
 
 /** One daemon of the fleet. */
 export interface FleetNode {
-  /** Another one after each restart. */
+  /** Changes with each restart. */
   id: string;
   readonly address: string;
   readonly zone: string;
   daemon: ForwardingDaemon;
   starts: number;
   access: StoreAccess;
-  /** Collections whose connection to the store has fallen silent: the next read is lost, a new one works. */
+  /** Collections whose store connection is half-open: the next read gets no answer; one on a new connection works. */
   readonly silentConnections: Set<RecordCollection>;
-  /** Neither sends nor receives. */
+  /** The process is not running: it neither sends nor receives. */
   down: boolean;
-  /** Stands still: what arrives is handled when it goes on. */
+  /** The process is paused: events are handled after it resumes. */
   paused: boolean;
-  /** How far its time of day is off. Milliseconds. */
+  /** Error of its wall clock. Milliseconds. */
   clockErrorMs: number;
-  /** Reads that the store has seen from it. */
+  /** Reads that it has sent to the store. */
   reads: number;
-  /** When each configuration came into force here, by version. */
+  /** When each configuration came into force at this daemon, by version. */
   readonly inForceAt: Map<number, number>;
-  /** When each back end was last seen to change, by id: its state, or that it is gone. */
+  /** The last change of each back end that this daemon saw, by id: its state, or `gone`. */
   readonly backendStates: Map<string, { state: string; at: number }>;
-  /** Back ends that were removed here, in order. */
+  /** Ids of the back ends that this daemon removed, in order. */
   readonly removals: string[];
-  /** Answers of its own, with the time to come back that they told. */
+  /** Requests that the daemon refused itself, with the retry time that it gave. */
   readonly refusals: { requestId: string; status: number; retryAfterMs: number | undefined; at: number }[];
 }
 
-/** An attempt that a daemon has started; nobody answers it unless the test does. */
+/** An attempt that a daemon has started; it stays unanswered unless the test answers it. */
 export interface StartedAttempt {
   readonly node: FleetNode;
   readonly requestId: string;
@@ -43,6 +43,6 @@
   readonly backendId: string;
 }
 
-/** What a caller says of itself and of what it asks. */
+/** Fields of a request that a test may set. */
 export type CallerFields = Pick<ForwardRequest, 'keyDigest' | 'contentDigest' | 'callerAddress'> &
   Partial<Pick<ForwardRequest, 'prompt' | 'bodyBytes' | 'usageTokens' | 'callerDeadlineMs'>>;
--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -1,4 +1,7 @@
-/** Forwarding daemons in virtual time before one store of records: their real state machines, no sockets. */
+/**
+ * A fleet of forwarding daemons in virtual time that share one record store. Runs the daemons' real state machines
+ * without sockets; tests answer the attempts and health checks.
+ */
 import { ForwardingDaemon, TICK_MS } from '../src/daemon/forwarding-daemon.js';
 import {
   DEFAULT_FORWARDING_SETTINGS,
@@ -22,19 +25,19 @@
 
 export type { CallerFields, FleetNode, StartedAttempt, StoreAccess } from './fleet-node.js';
 
-/** The true time of day when a simulation begins: the start of a window of any usual length. */
+/** Wall-clock time at the start of a simulation; it is a multiple of every usual window length. Milliseconds. */
 export const WALL_START_MS = 1_800_000_000_000;
 const STORE_MS = 4;
 const STATUS_UNAVAILABLE = 503;
 const TABLE_TIMEOUT_MS = 1000;
-/** A write that is carried out late is, so long after it was sent. Milliseconds. */
+/** Delay after which a store with `appliesLate` applies a write; longer than the daemon's time-out. Milliseconds. */
 const LATE_WRITE_MS = 2500;
 const RETRY_AFTER_MS = 300;
 const DUTY_MS = 4;
-/** Ample for every fleet: the rate of the store is not what is tested here. */
+/** High enough for every fleet, as the rate limit of the store is not under test here. */
 const TABLE_RATE = { perSecond: 10_000, burst: 10_000 };
 
-/** The settings of the daemons, unless a test has others. */
+/** Default settings of the daemons. */
 export const FLEET_SETTINGS: ForwardingDaemonSettings = {
   ...DEFAULT_FORWARDING_SETTINGS,
   retries: { ratio: 0.2, slack: 50, windowMs: 10_000, firstStart: false },
@@ -49,21 +52,21 @@
   done: boolean;
 }
 
-/** The fleet. */
+/** The simulated fleet: daemons, the network between them, the record store and the table. */
 export class ForwardingFleet {
-  /** Attempts so far, the newest last. */
+  /** All attempts that daemons have started, in order. */
   readonly attempts: StartedAttempt[] = [];
   readonly time = new VirtualTime();
   readonly nodes: FleetNode[] = [];
-  /** Messages between daemons so far, by kind. */
+  /** Number of messages between daemons, by kind. */
   readonly messageCounts = new Map<string, number>();
-  /** The same of messages that cross from one region to another. */
+  /** Number of messages between daemons of different regions, by kind. */
   readonly regionMessageCounts = new Map<string, number>();
-  /** Daemons that have told other relays the load of their zone. */
+  /** Ids of the daemons that have sent the load digest of their zone to other relays. */
   readonly zoneDigestSenders = new Set<string>();
-  /** Events that the daemons have handled so far, by kind. */
+  /** Number of events that the daemons have handled, by kind. */
   readonly eventCounts = new Map<string, number>();
-  /** The table for leases and reports. */
+  /** The table of leases, usage reports and quarantined back ends. */
   readonly table = new PlatformModel(TABLE_RATE);
   private readonly random: SeededRandom;
   private readonly seeds: readonly string[];
@@ -77,9 +80,9 @@
     count: number,
     seed: number,
     private readonly settings: ForwardingDaemonSettings = FLEET_SETTINGS,
-    /** Undefined where the platform asks for no duties. */
+    /** Undefined if the platform has no duties. */
     private readonly duties: DutyModel | undefined = undefined,
-    /** Each has two zones; a single one has three. */
+    /** Number of regions. Each has two zones; a single region has three. */
     private readonly regions = 1,
   ) {
     this.random = new SeededRandom(seed);
@@ -108,13 +111,13 @@
     }
   }
 
-  /** Asks a daemon to stop, ends it `stopMs` later and starts it again `downMs` after that. */
+  /** Starts the drain of a daemon, stops its process `stopMs` later and starts it again `downMs` after that. */
   restart(node: FleetNode, stopMs: number, downMs: number): void {
     this.handle(node, { kind: 'beginDrain' });
     this.time.after(stopMs, () => this.kill(node, downMs));
   }
 
-  /** Ends a daemon at once and starts it again `downMs` later. One that is down already stays so. */
+  /** Kills a daemon and starts it again `downMs` later. Does nothing if it is down already. */
   kill(node: FleetNode, downMs: number): void {
     if (node.down) return;
     node.down = true;
@@ -126,7 +129,7 @@
     });
   }
 
-  /** A daemon goes on after a suspension that its clock has not counted. */
+  /** Reports a machine suspension of `forMs`, which the monotonic clock did not count, to a daemon. */
   suspend(node: FleetNode, forMs: number): void {
     this.handle(node, { kind: 'clockStoodStill', forMs });
   }
@@ -141,7 +144,7 @@
     );
   }
 
-  /** The region of a zone. */
+  /** Gets the region of a zone. */
   getRegion(zone: string): string {
     if (this.regions === 1) return 'main';
     return `region-${Number(zone.slice('zone-'.length)) % this.regions}`;
@@ -151,7 +154,7 @@
     return this.regions === 1 ? 3 : 2 * this.regions;
   }
 
-  /** Writes a record to the store, or removes a back end. Returns its revision. */
+  /** Writes a record to the store, or removes it if its value is undefined. Returns the new revision. */
   write(record: StoredRecord): number {
     this.revision += 1;
     const written = { ...record, revision: this.revision };
@@ -170,36 +173,36 @@
     this.handle(node, { kind: 'submit', request: { prompt: undefined, ...caller, ...fields } });
   }
 
-  /** Hears of each attempt that a daemon starts. */
+  /** Called for each attempt that a daemon starts. */
   onAttempt: (node: FleetNode, start: AttemptStart) => void = () => undefined;
 
-  /** Whether somebody listens at the address of a back end. */
+  /** Whether a process listens at the address of a back end. */
   isListening: (address: string) => boolean = () => true;
 
-  /** Tells a daemon what became of an attempt. */
+  /** Sends the outcome of an attempt to its daemon. */
   sendAttemptEvent({ node, requestId, attemptId }: StartedAttempt, event: ForwardAttemptEvent): void {
     this.handle(node, { kind: 'attempt', requestId, attemptId, event });
   }
 
-  /** Time that a message between daemons takes. Milliseconds. */
+  /** One-way delay of messages. Milliseconds. */
   networkMs = 1.5;
 
-  /** Whether messages pass from one daemon to another. */
+  /** Whether one daemon can reach another. */
   isLinked: (from: FleetNode, to: FleetNode) => boolean = () => true;
 
-  /** Services whose lease some daemon has asked for. */
+  /** Services for whose lease a daemon has sent a table request. */
   readonly requestedLeases = new Set<string>();
 
-  /** Engines that daemons have asked for their state, to change their stage; they never answer. */
+  /** Engines whose state daemons have requested in order to change their stage; these requests are never answered. */
   readonly queriedEngines: { readonly node: FleetNode; readonly backendId: string }[] = [];
 
-  /** Hears of each health check that a daemon asks for; none is answered unless the test does. */
+  /** Called for each health check that a daemon sends; it stays unanswered unless the test answers it. */
   onProbe: (node: FleetNode, backend: BackendRecord) => void = () => undefined;
 
-  /** Health checks that daemons have asked for. */
+  /** All health checks that daemons have sent, in order. */
   readonly probes: { readonly node: FleetNode; readonly backendId: string }[] = [];
 
-  /** Reads that the store has seen from all daemons. */
+  /** Gets the number of reads that all daemons have sent to the store. */
   getReadCount(): number {
     return this.nodes.reduce((sum, node) => sum + node.reads, 0);
   }
@@ -210,7 +213,7 @@
     this.time.after(TICK_MS, () => this.tick(node));
   }
 
-  /** Gives an event to a daemon: at once, later if it stands still, never if it is down. */
+  /** Delivers an event to a daemon: at once, after it resumes if it is paused, or never if it is down. */
   handle(node: FleetNode, event: ForwardingEvent): void {
     if (node.down) return;
     if (node.paused) {
@@ -274,7 +277,7 @@
     }
   }
 
-  /** Keeps what tests look at: answers of a daemon's own, configurations in force and states of back ends. */
+  /** Records the effects that tests inspect: refusals, configurations in force and changes of back ends. */
   private recordEffect(node: FleetNode, effect: ForwardingEffect): void {
     if (effect.kind === 'replyFailure') {
       const { requestId, status, retryAfterMs } = effect;
@@ -301,7 +304,7 @@
     this.time.after(2 * this.networkMs, () => this.handle(node, { kind: 'backendChecked', backend, check }));
   }
 
-  /** An engine without work: it holds the call as long as it may and then tells of no change. */
+  /** Answers as an idle engine: without changes, when the long poll expires. */
   private answerKvChanges(node: FleetNode, { backend, since, waitMs }: KvChangesCall): void {
     const answer = { epoch: '1', next: since, lost: false, changes: [] };
     this.time.after(waitMs, () => this.handle(node, { kind: 'kvChangesRead', backend, answer }));
