--- a/simulation/fault-run.ts
+++ b/simulation/fault-run.ts
@@ -35,9 +35,9 @@
 
 /** Time for the site to become ready before load starts. Milliseconds. */
 const WARM_UP_MS = 6000;
-/** Time after the end of the load, longer than every deadline, in which all requests must be answered. Milliseconds. */
+/** Time after the load ends, longer than every deadline; a request without an answer then is lost. Milliseconds. */
 const SETTLE_MS = 90_000;
-/** Period after which the load changes between mostly long and mostly short work, to provoke role changes. Milliseconds. */
+/** The load alternates at this interval between long and short work, to provoke role changes. Milliseconds. */
 const LOAD_PHASE_MS = 20_000;
 
 /** Runs a site under load and the given faults. */
--- a/simulation/idle-cost.ts
+++ b/simulation/idle-cost.ts
@@ -1,16 +1,16 @@
 /**
- * `npm run idle-cost -- --sizes 9,66,195 --engines 79`: what a daemon costs while it waits, in fleets of
- * several sizes in virtual time and without callers. Prints processor time of the state machine, events and
- * messages, each for one daemon and second. Sockets and codecs are not in it.
+ * `npm run idle-cost -- --sizes 9,66,195 --engines 79`: measures the cost of an idle daemon in fleets of
+ * several sizes, in virtual time and without callers. Prints the processor time of the state machine, events and
+ * messages per daemon and second. Sockets and codecs are not included.
  */
 import meow from 'meow';
 import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
 import { ForwardingFleet } from './forwarding-fleet.js';
 
 const SEED = 20261202;
-/** Time in which every daemon has found the others. Milliseconds. */
+/** Time for all daemons to discover each other. Milliseconds. */
 const JOIN_MS = 15_000;
-/** Time that is measured. Milliseconds. */
+/** Length of the measurement. Milliseconds. */
 const MEASURED_MS = 10_000;
 const SECOND_MS = 1000;
 const MICROSECONDS_PER_MS = 1000;
@@ -61,9 +61,9 @@
   const daemonSeconds = (size * MEASURED_MS) / SECOND_MS;
   const idleMs = (getProcessorMs() - joinedAt) / daemonSeconds;
   process.stdout.write(
-    `${size} daemons, ${cli.flags.engines} engines: joining ${((joinedAt - startedAt) / size).toFixed(1)} ms a daemon; ` +
-      `then ${idleMs.toFixed(2)} ms a daemon and second\n` +
-      `  events a daemon and second: ${formatCounts(events, fleet.eventCounts, daemonSeconds)}\n` +
-      `  messages a daemon and second: ${formatCounts(messages, fleet.messageCounts, daemonSeconds)}\n`,
+    `${size} daemons, ${cli.flags.engines} engines: joining ${((joinedAt - startedAt) / size).toFixed(1)} ms per daemon; ` +
+      `then ${idleMs.toFixed(2)} ms per daemon and second\n` +
+      `  events per daemon and second: ${formatCounts(events, fleet.eventCounts, daemonSeconds)}\n` +
+      `  messages per daemon and second: ${formatCounts(messages, fleet.messageCounts, daemonSeconds)}\n`,
   );
 }
--- a/simulation/monitor.ts
+++ b/simulation/monitor.ts
@@ -1,7 +1,10 @@
-/** Watches a simulation for broken promises. It sees everything; the daemons see nothing of it. */
+/**
+ * Checks the promises of the system during a simulation. Observes daemons, engines, callers and the platform from the
+ * outside; the daemons don't know of it. Owns the list of violations.
+ */
 import type { NotRun } from '../src/errors/index.js';
 
-/** The promises of the brief, in its order, by short names used in reports. */
+/** The promises of the requirements, in their order, by the short names that reports use. */
 export type PromiseName =
   | 'no-conflicting-orders'
   | 'planned-change-cuts-nothing'
@@ -12,9 +15,10 @@
   | 'leaving-gets-no-work'
   | 'configuration-in-force';
 
-/** A promise that was broken, and when. */
+/** A broken promise. */
 export interface Violation {
   readonly promise: PromiseName;
+  /** Virtual time. Milliseconds. */
   readonly at: number;
   readonly detail: string;
 }
@@ -25,17 +29,18 @@
   holder: string;
 }
 
-/** Collects violations and figures of one run. */
+/** Collects the violations of one run. */
 export class Monitor {
   readonly violations: Violation[] = [];
-  /** Requests whose work an engine or server began. */
+  /** How many times an engine or application server started work on a request, by request id. */
   private readonly startedWork = new Map<string, number>();
-  /** The key of each call that may run once, told by the workload. */
+  /** The idempotency key of each call that may be executed once only, by request id; the workload adds them. */
   private readonly onceKeys = new Map<string, string>();
+  /** Executions of calls that may be executed once only, by idempotency key. */
   private readonly executions = new Map<string, number>();
   private readonly orders = new Map<string, EngineOrders>();
   private readonly leavingSince = new Map<string, number>();
-  /** Longest time from leaving until a back end last got new work. Milliseconds. */
+  /** Longest time from a back end's announcement that it leaves to its last new request. Milliseconds. */
   worstLeavingMs = 0;
 
   constructor(
@@ -43,24 +48,27 @@
     private readonly limits: { readonly leavingMs: number; readonly configurationMs: number },
   ) {}
 
-  /** Records a violation. */
+  /** Adds a violation at the present time. */
   addViolation(promise: PromiseName, detail: string): void {
     this.violations.push({ promise, at: this.now(), detail });
   }
 
-  /** A back end began work of a request. */
+  /** A back end started to execute a request. */
   onWorkStarted(requestId: string): void {
     this.startedWork.set(requestId, (this.startedWork.get(requestId) ?? 0) + 1);
   }
 
-  /** New work arrived at a back end, whether or not it took it. */
+  /** A new request arrived at a back end, whether or not it was accepted. */
   onWorkArrived(backend: string): void {
     const since = this.leavingSince.get(backend);
     if (since === undefined) return;
     const lateByMs = this.now() - since;
     this.worstLeavingMs = Math.max(this.worstLeavingMs, lateByMs);
     if (lateByMs > this.limits.leavingMs)
-      this.addViolation('leaving-gets-no-work', `${backend} got work after ${Math.round(lateByMs)} ms`);
+      this.addViolation(
+        'leaving-gets-no-work',
+        `${backend} got a request ${Math.round(lateByMs)} ms after it announced that it leaves`,
+      );
   }
 
   /** A back end announced that it leaves. */
@@ -68,7 +76,7 @@
     this.leavingSince.set(backend, this.now());
   }
 
-  /** An engine accepted an order. `tableEpoch` is the epoch in the lease row at this moment. */
+  /** An engine accepted an order. `tableEpoch` is the present epoch of the lease row. */
   onOrderAccepted(engine: string, holder: string, epoch: number, sequence: number, tableEpoch: number): void {
     const last = this.orders.get(engine);
     if (epoch !== tableEpoch) {
@@ -88,45 +96,49 @@
     this.orders.set(engine, { epoch, sequence, holder });
   }
 
-  /** An engine restarted: its sequence begins anew under the next seal. */
+  /** An engine restarted: its order sequence starts again with the next seal. */
   onEngineRestarted(engine: string): void {
     this.orders.delete(engine);
   }
 
-  /** An engine began a change while streams ran on it. */
+  /** An engine started a change while it had `streams` open streams. */
   onChangeStarted(engine: string, streams: number): void {
     if (streams > 0)
-      this.addViolation('planned-change-cuts-nothing', `${engine} began a change with ${streams} streams`);
+      this.addViolation(
+        'planned-change-cuts-nothing',
+        `${engine} started a change with ${streams} open streams`,
+      );
   }
 
   /** A request was answered with a failure. */
   onFailureAnswered(requestId: string, notRun: NotRun, code: string): void {
     const started = (this.startedWork.get(requestId) ?? 0) > 0;
     if (notRun === 'true' && started)
-      this.addViolation('not-run-is-true', `${requestId} (${code}) had begun`);
+      this.addViolation('not-run-is-true', `${requestId} (${code}) was executed`);
     if (notRun === 'false' && !started)
-      this.addViolation('not-run-is-true', `${requestId} (${code}) said it ran, and had not begun`);
+      this.addViolation('not-run-is-true', `${requestId} (${code}) was reported as executed, but was not`);
   }
 
-  /** A call that may run once was sent under a key. */
+  /** A caller sent a call that may be executed once only, with an idempotency key. */
   addOnceCall(requestId: string, key: string): void {
     this.onceKeys.set(requestId, key);
   }
 
-  /** The key of a call that may run once. */
+  /** Gets the idempotency key of a call that may be executed once only. */
   getOnceKey(requestId: string): string | undefined {
     return this.onceKeys.get(requestId);
   }
 
-  /** An application server executed a call that may run once. */
+  /** An application server executed a call that may be executed once only. */
   onCallExecuted(key: string): void {
     const count = (this.executions.get(key) ?? 0) + 1;
     this.executions.set(key, count);
-    if (count > 1) this.addViolation('at-most-once', `${key} ran ${count} times`);
+    if (count > 1) this.addViolation('at-most-once', `${key} was executed ${count} times`);
   }
 
   /**
-   * A daemon admitted a request at `revision` while `accepted` revisions were committed at the times given.
+   * A daemon admitted a request at configuration revision `revision`; `commits` are the revisions committed so far, in
+   * order.
    */
   onRequestAdmitted(
     daemon: string,
--- a/simulation/quota-fleet.ts
+++ b/simulation/quota-fleet.ts
@@ -1,47 +1,64 @@
-/** The quotas of many daemons in virtual time, with an observer that sees every request that is granted. */
+/**
+ * A fleet of quota managers in virtual time, with a simulated membership and network. Records each granted and refused
+ * request, so that tests can check the tokens of a tenant over all daemons.
+ */
 import { SeededRandom } from '../src/shared/random.js';
 import { QuotaManager, type QuotaEffect } from '../src/quotas/quota-manager.js';
 import type { QuotaLimit, QuotaSettings } from '../src/quotas/quota-settings.js';
 import type { Member } from '../src/membership/membership-messages.js';
 import { VirtualTime } from './virtual-time.js';
 
+/** Interval of a manager's timer. Milliseconds. */
 export const TICK_MS = 40;
+/** Interval at which a daemon has contact with a random peer. Milliseconds. */
 const GOSSIP_INTERVAL_MS = 300;
-/** A lost daemon is noticed after so long, a new one at most after so long. Milliseconds. */
+/** Time after which peers remove an unreachable daemon from their members. Milliseconds. */
 const FAILURE_DETECTION_MS = 5600;
+/** Longest time after which a peer adds a new daemon to its members. Milliseconds. */
 const MAXIMUM_JOIN_MS = 1500;
+/** A longer gap between ticks counts as a process pause. Milliseconds. */
 const PAUSE_DETECTION_MS = 250;
 
-/** One daemon. */
+/** One simulated daemon. */
 export interface QuotaNode {
   readonly index: number;
+  /** Changes with each restart. */
   id: string;
   manager: QuotaManager;
+  /** The members that this daemon knows, itself included. */
   members: Member[];
+  /** The process is not running. */
   down: boolean;
+  /** Cut off from all other daemons. */
   partitioned: boolean;
+  /** The process is paused. */
   paused: boolean;
   tickedAt: number;
-  /** What arrived while it stood still. */
+  /** Deliveries that arrived while the process was paused. */
   pendingDeliveries: (() => void)[];
 }
 
-/** Tokens of one tenant that were sent to a server. */
+/** A decided request of one tenant. */
 export interface Arrival {
   readonly tenant: string;
+  /** Index of the daemon. */
   readonly node: number;
   readonly at: number;
   readonly tokens: number;
 }
 
-/** The fleet. */
+/** The simulated fleet. */
 export class QuotaFleet {
   readonly time = new VirtualTime();
   readonly nodes: QuotaNode[] = [];
+  /** Granted requests, in order. */
   readonly arrivals: Arrival[] = [];
   readonly refusals: (Arrival & { retryAfterMs: number; reason: unknown })[] = [];
+  /** Number of quota messages that daemons have sent. */
   messageCount = 0;
+  /** Chance that a message is lost. */
   lossRate = 0;
+  /** Mean one-way delay of messages. Milliseconds. */
   networkMs = 1.5;
   private limits: ReadonlyMap<string, QuotaLimit>;
   private readonly random: SeededRandom;
@@ -65,7 +82,7 @@
     }
   }
 
-  /** Kills daemons at once, as power goes, and starts them again. */
+  /** Kills daemons without notice, as in a power failure, and starts them again after `downMs`. */
   kill(nodes: readonly QuotaNode[], downMs: number): void {
     for (const node of nodes) {
       node.down = true;
@@ -75,7 +92,7 @@
     }
   }
 
-  /** Cuts a daemon off from all others; it and they notice, and find each other again after the end. */
+  /** Partitions a daemon from all others. Both sides detect it, and discover each other again when it ends. */
   partition(node: QuotaNode, forMs: number): void {
     node.partitioned = true;
     const { id } = node;
@@ -90,7 +107,7 @@
     });
   }
 
-  /** Lets a daemon stand still. */
+  /** Pauses a daemon's process. */
   pause(node: QuotaNode, forMs: number): void {
     node.paused = true;
     this.time.after(forMs, () => {
@@ -103,7 +120,7 @@
   }
 
   /**
-   * A configuration comes into force everywhere, at each daemon a little later, at those left out not at all.
+   * Puts a configuration into force at each daemon after a random delay, and not at all at the daemons of `without`.
    */
   configure(limits: ReadonlyMap<string, QuotaLimit>, without: readonly QuotaNode[] = []): void {
     this.limits = limits;
@@ -113,7 +130,7 @@
     }
   }
 
-  /** Sends a request of a tenant to a daemon. */
+  /** Sends a request of a tenant to a daemon, which must decide it within `waitMs`. Returns the request's id. */
   request(node: QuotaNode, tenant: string, tokens: number, waitMs = 60): string {
     this.requests += 1;
     const id = `r${this.requests}`;
@@ -129,7 +146,7 @@
     return id;
   }
 
-  /** The caller of a request that waits leaves. */
+  /** Cancels a waiting request, as when its caller disconnects. */
   cancelRequest(id: string): void {
     const open = this.openRequests.get(id);
     if (!open) return;
@@ -137,7 +154,7 @@
     open.node.manager.remove(id);
   }
 
-  /** The most tokens of a tenant within any window. */
+  /** Gets the most tokens granted to a tenant within any window of this length. */
   getWorstWindow(tenant: string, windowMs: number, from = -Infinity): number {
     const ofTenant = this.arrivals.filter((arrival) => arrival.tenant === tenant && arrival.at >= from);
     let first = 0;
--- a/simulation/signal-site.ts
+++ b/simulation/signal-site.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet in virtual time before back ends that say in their answers how much they take, that they leave or that they
- * want nothing for a while, with an observer that knows what reached each of them, from whom, and whom it had told.
+ * A fleet in virtual time whose back ends send signals in their answers: a request limit, that they leave, or a
+ * back-off. Records each request that reaches a back end, its daemon, and which signals that daemon knew.
  */
 import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
 import type { AttemptStart, ForwardAttemptEvent } from '../src/forwarding/forward-messages.js';
@@ -8,26 +8,30 @@
 import { SeededRandom } from '../src/shared/random.js';
 import { FLEET_SETTINGS, ForwardingFleet, type CallerFields, type FleetNode } from './forwarding-fleet.js';
 
-/** The rule: in any window a back end gets so many times its limit, and so many requests more, from those it told. */
+/**
+ * In any window, a back end may get this many times its limit plus this number of requests from the daemons that know
+ * the limit.
+ */
 const WINDOW_MS = 4000;
 const ALLOWED_FACTOR = 1.5;
 const ALLOWED_EXTRA = 5;
-/** The rule counts from so long after a back end first named its limit. Milliseconds. */
+/** The window check starts at this time after a back end first advertised a limit. Milliseconds. */
 const LIMIT_SPREAD_MS = 3000;
-/** A daemon counts as told so long after it passed on such an answer. Milliseconds. */
+/** A daemon is expected to know a limit at this time after it forwarded an answer that carried it. Milliseconds. */
 const LIMIT_KNOWN_AFTER_MS = 500;
 /**
- * Requests that callers send so long after a daemon passed on that a back end leaves must not reach it from there.
- * Milliseconds.
+ * Once a daemon has forwarded an answer that says a back end leaves, requests that callers send after this time must
+ * not reach the back end from that daemon. Milliseconds.
  */
 const LEAVING_GRACE_MS = 2000;
-/** Requests that come sooner than this after a back end has asked to back off may have been on their way. Milliseconds. */
+/** Requests that arrive within this time after a back end asked to back off may have been in flight. Milliseconds. */
 const BACK_OFF_GRACE_MS = 500;
-/** Until all daemons know each other and the store's records. Milliseconds. */
+/** Time for all daemons to discover each other and read the store's records. Milliseconds. */
 const WARM_UP_MS = 6000;
-/** Work of a back end, and the pause between looks at the callers. Milliseconds. */
+/** Processing time of a back end: a minimum and a random part. Milliseconds. */
 const MINIMUM_WORK_MS = 15;
 const WORK_SPREAD_MS = 30;
+/** Interval at which arrivals are drawn. Milliseconds. */
 const ARRIVAL_STEP_MS = 5;
 
 /** One request that reached a back end. */
@@ -36,49 +40,51 @@
   readonly node: FleetNode;
   readonly at: number;
   readonly path: string;
-  /** The daemon's pair that sent it. */
+  /** The daemon's incarnation that sent it and the back end, as one key. */
   readonly pair: string;
   /** When the caller sent the request. */
   readonly sentAt: number;
-  /** The daemon had been told of the limit when it sent the request. */
+  /** The daemon was expected to know the back end's limit when it sent the request. */
   readonly knewLimit: boolean;
 }
 
-/** A request that a daemon answered itself. */
+/** A request that a daemon refused itself. */
 interface SiteRefusal {
   readonly path: string;
   readonly status: number;
+  /** Time from the caller's request to the refusal. Milliseconds. */
   readonly heldMs: number;
   readonly retryAfterMs: number | undefined;
 }
 
-/** What a site begins with. */
+/** The size and routes of a site. */
 interface SignalSiteOptions {
   readonly daemons: number;
   readonly backends: number;
   readonly seed: number;
   readonly routes?: readonly Route[];
-  /** Every second back end computes prompts, the others generate. */
+  /** Back ends are engines: prefill and decode engines alternate. */
   readonly engines?: boolean;
 }
 
-/** The site. Times are those of its fleet. */
+/** The simulated site. Times are virtual times of its fleet. */
 export class SignalSite {
   readonly fleet: ForwardingFleet;
   readonly arrivals: SiteArrival[] = [];
-  /** Requests that were served, by path. */
+  /** Number of completed requests, by path. */
   readonly served = new Map<string, number>();
   private readonly random: SeededRandom;
-  /** Requests a second, by back end. */
+  /** Present limits in requests per second, by back end. */
   private readonly limits = new Map<string, number>();
   private readonly firstAdvertisedAt = new Map<string, number>();
+  /** Largest limit that each back end has advertised, in requests per second. */
   private readonly largestLimits = new Map<string, number>();
-  /** When each pair of a daemon passed on an answer of a back end with a limit. */
+  /** When a daemon's incarnation first forwarded an answer of a back end with a limit, by pair. */
   private readonly limitForwardedAt = new Map<string, number>();
   private readonly leaving = new Set<string>();
-  /** When each pair of a daemon passed on that a back end leaves. */
+  /** When a daemon's incarnation first forwarded an answer that says a back end leaves, by pair. */
   private readonly leavingForwardedAt = new Map<string, number>();
-  /** Part of the requests that a back end turns away, and for how long it asks daemons to back off. */
+  /** Share of the requests that each back end rejects, and the back-off that it asks for. */
   private readonly backOffs = new Map<string, { share: number; backOffMs: number }>();
   private readonly backOffSpans: { pair: string; from: number; until: number }[] = [];
   private readonly openRequests = new Map<string, { path: string; at: number }>();
@@ -94,7 +100,7 @@
     this.fleet.time.runUntil(WARM_UP_MS);
   }
 
-  /** Writes the record of a back end, or removes it. */
+  /** Writes the record of a back end, or removes it if the state is `gone`. */
   writeBackend(index: number, state: BackendRecord['state'] | 'gone', bornMs?: number): void {
     if (state === 'gone') {
       this.fleet.write({ collection: 'backends', id: `b${index}`, revision: 0, value: undefined });
@@ -117,7 +123,7 @@
     });
   }
 
-  /** A back end names a limit from now on; undefined: none any more. */
+  /** Sets the limit that a back end advertises, in requests per second; undefined for none. */
   setLimit(backendId: string, perSecond: number | undefined): void {
     if (perSecond === undefined) {
       this.limits.delete(backendId);
@@ -128,25 +134,25 @@
     if (!this.firstAdvertisedAt.has(backendId)) this.firstAdvertisedAt.set(backendId, this.fleet.time.now());
   }
 
-  /** Whether a back end says from now on that it leaves. */
+  /** Sets whether a back end's answers say that it leaves. */
   setLeaving(backendId: string, leaves = true): void {
     if (leaves) this.leaving.add(backendId);
     else this.leaving.delete(backendId);
   }
 
-  /** A back end turns part of its requests away and asks daemons to back off; with a share of 0 no more. */
+  /** Makes a back end reject a share of its requests and ask for a back-off; a share of 0 ends that. */
   setBackOff(backendId: string, share: number, backOffMs: number): void {
     this.backOffs.set(backendId, { share, backOffMs });
   }
 
-  /** Requests that reached a back end too late after the daemon that sent them had passed on that it leaves. */
+  /** Finds requests that a daemon sent to a back end too long after it had forwarded that the back end leaves. */
   findSentAfterLeaving(): SiteArrival[] {
     return this.arrivals.filter(
       ({ pair, sentAt }) => sentAt > (this.leavingForwardedAt.get(pair) ?? Infinity) + LEAVING_GRACE_MS,
     );
   }
 
-  /** The most requests that a daemon sent to a back end in a time for which that had asked it to back off. */
+  /** Finds the most requests that a daemon sent to a back end during one back-off that the back end had asked for. */
   findMostDuringBackOff(): number {
     const counts = this.backOffSpans.map(({ pair, from, until }) => {
       const within = this.arrivals.filter(
@@ -157,7 +163,7 @@
     return Math.max(0, ...counts);
   }
 
-  /** Callers send so many requests a second, by path, to daemons that run, for so long. */
+  /** Starts callers that send requests to ready daemons for `forMs`, at rates per second by path. */
   startLoad(ratesByPath: Readonly<Record<string, number>>, forMs: number, fields: CallerFields = {}): void {
     const until = this.fleet.time.now() + forMs;
     const step = (): void => {
@@ -168,7 +174,7 @@
     step();
   }
 
-  /** Back ends answer health checks from now on, and name their limits there too or not. */
+  /** Makes back ends answer health checks, with their limits if `advertiseLimits` is set. */
   answerHealthChecks({ advertiseLimits }: { advertiseLimits: boolean }): void {
     const { fleet } = this;
     fleet.onProbe = (node, backend) => {
@@ -182,7 +188,7 @@
     };
   }
 
-  /** Back ends that a daemon believes to name a limit, the most of all daemons. */
+  /** Gets the number of back ends whose limit a daemon knows, as the maximum over all daemons. */
   getKnownLimitCount(): number {
     const now = this.fleet.time.now();
     return Math.max(
@@ -190,17 +196,20 @@
     );
   }
 
-  /** Runs the fleet for so long. */
+  /** Runs the fleet for this duration. Milliseconds. */
   run(forMs: number): void {
     this.fleet.time.runUntil(this.fleet.time.now() + forMs);
   }
 
-  /** Requests that a back end got since a moment. */
+  /** Counts the requests that reached a back end since a time. */
   countSince(backendId: string, since: number): number {
     return this.arrivals.filter((arrival) => arrival.backendId === backendId && arrival.at >= since).length;
   }
 
-  /** The worst window of a back end, and what is allowed, over the daemons that it had told and that ran on. */
+  /**
+   * Finds the most requests of a back end in any window, and the number allowed. Counts only daemons that knew the
+   * limit and are not exempt, for example because they were paused.
+   */
   findWorstWindow(
     backendId: string,
     exempt: ReadonlySet<FleetNode> = new Set(),
@@ -220,7 +229,7 @@
     return { seen, allowed: (ALLOWED_FACTOR * perSecond * WINDOW_MS) / 1000 + ALLOWED_EXTRA };
   }
 
-  /** Requests that daemons answered themselves. */
+  /** Finds the requests that daemons refused themselves. */
   findRefusals(): SiteRefusal[] {
     return this.fleet.nodes.flatMap(({ refusals }) =>
       refusals.map(({ requestId, status, retryAfterMs, at }) => {
@@ -255,7 +264,7 @@
     });
   }
 
-  /** Turns a request away, if the back end does so with this one. */
+  /** Rejects a request with the back end's configured chance, and asks for a back-off. Returns whether it did. */
   private sendRejection(
     node: FleetNode,
     { requestId, attemptId, backend }: AttemptStart,
