--- a/simulation/simulated-application.ts
+++ b/simulation/simulated-application.ts
@@ -1,12 +1,13 @@
-/** An application server node of a simulation. */
+/** A simulated application server. It reports each call to the monitor and answers it after a fixed time. */
 import type { ApplicationEvent } from '../src/routing/application-messages.js';
 import type { Monitor } from './monitor.js';
 import type { Endpoint } from './simulated-network.js';
 import type { VirtualTime } from './virtual-time.js';
 
+/** Time to execute a call. Milliseconds. */
 const ANSWER_MS = 40;
 
-/** What a simulated application server is made of. */
+/** Options of a simulated application server. */
 interface SimulatedApplicationOptions extends Endpoint {
   readonly address: string;
   readonly time: VirtualTime;
@@ -22,6 +23,7 @@
   alive = true;
   private readonly time: VirtualTime;
   private readonly monitor: Monitor;
+  /** Number of crashes; tells calls of an earlier process from those of the present one. */
   private generation = 0;
 
   constructor({ name, address, zone, region, time, monitor }: SimulatedApplicationOptions) {
@@ -33,7 +35,7 @@
     this.monitor = monitor;
   }
 
-  /** Executes a call and answers. */
+  /** Executes a call at once, and answers later or reports the connection as broken after a crash. */
   call(requestId: string, answer: (event: ApplicationEvent) => void): void {
     this.monitor.onWorkArrived(this.name);
     this.monitor.onWorkStarted(requestId);
@@ -53,13 +55,13 @@
     });
   }
 
-  /** The process dies. */
+  /** Ends the process; calls in progress break. */
   crash(): void {
     this.alive = false;
     this.generation += 1;
   }
 
-  /** The process starts anew. */
+  /** Starts the process again. */
   restart(): void {
     this.alive = true;
   }
--- a/simulation/simulated-engine.ts
+++ b/simulation/simulated-engine.ts
@@ -1,4 +1,7 @@
-/** An engine node of a simulation: the emulated engine, its crashes, and its streams to daemons. */
+/**
+ * A simulated engine: runs the engine model in virtual time, streams its output to daemons, and can crash and restart.
+ * Reports requests, orders and changes to the monitor.
+ */
 import { EngineModel, tokenText, type EngineOutput, type EngineWork } from '../lab/engine-model.js';
 import { type EngineModelSettings } from '../lab/engine-model-settings.js';
 import type {
@@ -11,25 +14,27 @@
 import type { Endpoint } from './simulated-network.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** Where the output of an attempt goes; false when the receiver cannot be reached any more. */
+/** Receives the output of an attempt. Returns false when the daemon can no longer be reached. */
 export type AttemptSink = (event: AttemptEvent) => boolean;
 
 interface OpenAttempt {
   readonly requestId: string;
   readonly promptHash: number;
   readonly sink: AttemptSink;
+  /** Offset of the first buffered token. */
   offset: number;
+  /** Texts of tokens that are not yet sent. */
   buffered: string[];
 }
 
-/** Tokens of a stream that travel together after the first, to keep long simulations quick. */
+/** Number of tokens sent in one message after the first token; batching keeps long simulations fast. */
 const TOKENS_PER_MESSAGE = 16;
 
-/** What a simulated engine is made of. */
+/** Options of a simulated engine. */
 interface SimulatedEngineOptions extends Endpoint {
   readonly address: string;
   readonly cell: string;
-  /** What the machine was first set up for; a restarted engine has it again. */
+  /** The initial assignment, which the engine has again after a restart. */
   readonly assignment: EngineAssignment;
   readonly settings: EngineModelSettings;
   readonly time: VirtualTime;
@@ -50,9 +55,11 @@
   private readonly settings: EngineModelSettings;
   private readonly initialAssignment: EngineAssignment;
   private readonly attempts = new Map<string, OpenAttempt>();
+  /** Time of the next scheduled step of the model. Milliseconds. */
   private wakeAt = Infinity;
+  /** Number of crashes; cancels steps that an earlier process scheduled. */
   private generation = 0;
-  /** Role changes before the last crash. */
+  /** Changes of role or model before the last crash. */
   private changesBeforeCrash = 0;
 
   constructor({ name, address, zone, region, cell, assignment, ...parts }: SimulatedEngineOptions) {
@@ -68,12 +75,12 @@
     this.model = new EngineModel(parts.settings, assignment);
   }
 
-  /** Changes of role or model so far. */
+  /** Gets the number of changes of role or model. */
   getChangeCount(): number {
     return this.changesBeforeCrash + this.model.changes;
   }
 
-  /** Takes an attempt. */
+  /** Starts an attempt, or sends its refusal. */
   start(work: EngineWork, requestId: string, promptHash: number, sink: AttemptSink): void {
     this.monitor.onWorkArrived(this.name);
     const refusal = this.model.start(work, this.time.now());
@@ -86,13 +93,13 @@
     this.schedule();
   }
 
-  /** Drops an attempt. */
+  /** Cancels an attempt. */
   cancel(attemptId: string): void {
     this.attempts.delete(attemptId);
     this.model.cancel(attemptId, this.time.now());
   }
 
-  /** Answers a control request of `holder`; `tableEpoch` is the truth in the table. */
+  /** Executes a control request of `holder`; `tableEpoch` is the present epoch of the lease row, for the monitor. */
   control(request: EngineControlRequest, holder: string, tableEpoch: number): EngineControlResult {
     const before = this.model.state();
     const streams = this.model.streamCount();
@@ -109,7 +116,7 @@
     return result;
   }
 
-  /** The process dies: streams break, state and fence are lost. */
+  /** Ends the process: streams break, state and fence are lost. */
   crash(): void {
     this.alive = false;
     this.generation += 1;
@@ -119,7 +126,7 @@
     this.attempts.clear();
   }
 
-  /** The process starts anew with what the machine was first set up for. */
+  /** Starts the process again with its initial assignment. */
   restart(): void {
     this.alive = true;
     this.model = new EngineModel(this.settings, this.initialAssignment);
--- a/simulation/simulated-faults.ts
+++ b/simulation/simulated-faults.ts
@@ -1,7 +1,7 @@
 /**
- * Faults of a simulated site as data, so that a generator can draw them and a failing run can be shown as a
- * short list, and what each kind does to the site. Relies on the site and the load it is given; owns no state
- * but a count of edits.
+ * Faults of a simulated site and their injection. Faults are data, so that a generator can draw them and a failing
+ * run can be reported as a short list. Relies on the site and the workload that it is given; its only state is a
+ * counter of edits.
  */
 import { parseServiceRow } from '../src/configuration/service-row.js';
 import type { SimulatedApplication } from './simulated-application.js';
@@ -38,29 +38,29 @@
 /** One fault. */
 export interface Fault {
   readonly kind: FaultKind;
-  /** When it begins. Milliseconds. */
+  /** When it starts. Milliseconds. */
   readonly atMs: number;
   /** How long it lasts. Milliseconds. */
   readonly durationMs: number;
-  /** Picks the daemon, engine, server or zone. */
+  /** Selects the daemon, engine, application server or zone, modulo their number. */
   readonly target: number;
 }
 
-// Chosen, not measured: large enough that a fault shows within the seconds it lasts.
+// The values are large enough for a fault to have an effect within the seconds that it lasts.
 const DUPLICATE_CHANCE = 0.3;
-/** Milliseconds, beyond any delay of the network. */
+/** More than any delay of the network, so that messages overtake each other. Milliseconds. */
 const REORDER_MS = 400;
 const LOSE_ANSWERS_CHANCE = 0.5;
-/** Milliseconds, below the time after which a call to the platform is given up. */
+/** Less than the time-out of a call to the platform. Milliseconds. */
 const SLOW_TABLE_MS = 1200;
 const SLOW_ENGINE_FACTOR = 8;
-/** Callers notice a planned stop within this time. Milliseconds. */
+/** Time in which callers notice a planned stop. Milliseconds. */
 const DRAIN_NOTICE_MS = 1000;
 const RACING_OPERATORS = 3;
-/** Weights that operators set lie between 1 and this. */
+/** Operators set weights from 1 to this. */
 const RACING_WEIGHTS = 50;
 
-/** What a fault harms, and what it may use to do so. */
+/** The targets of a fault, and the site and workload that it acts on. */
 interface FaultContext {
   readonly site: SimulatedSite;
   readonly workload: Workload;
@@ -69,11 +69,11 @@
   readonly engine: SimulatedEngine;
   /** Undefined at a site without application servers. */
   readonly server: SimulatedApplication | undefined;
-  /** Numbers the operators' edits of a run. */
+  /** Gets the next number for an operator's edit. */
   readonly nextEdit: () => number;
 }
 
-/** Begins a fault. Returns what ends it, or undefined where nothing is to be ended. */
+/** Starts a fault. Returns a function that stops it, or undefined if it needs no stop. */
 type Injection = (context: FaultContext) => (() => unknown) | undefined;
 
 const INJECTIONS: Readonly<Record<FaultKind, Injection>> = {
@@ -164,7 +164,7 @@
   return () => target.restart();
 }
 
-/** Several operators edit the same row at once, each from what its daemon showed. */
+/** Lets several operators edit the same row at once, each from the revision that its daemon shows. */
 function raceOperators({ site, fault: { target }, nextEdit }: FaultContext): void {
   for (let operator = 0; operator < RACING_OPERATORS; operator += 1) {
     const node = site.daemons[(target + operator) % site.daemons.length];
@@ -187,7 +187,7 @@
     private readonly workload: Workload,
   ) {}
 
-  /** Schedules faults. */
+  /** Schedules faults at their virtual times. */
   schedule(faults: readonly Fault[]): void {
     const { time } = this.site;
     for (const fault of faults) time.after(fault.atMs - time.now(), () => this.start(fault));
--- a/simulation/simulated-network.ts
+++ b/simulation/simulated-network.ts
@@ -1,20 +1,20 @@
-/** The network of a simulation: delays by zone, cuts, duplicates and reordering. */
+/** A simulated network: delays by zone and region, partitions, duplicated and reordered messages. */
 import type { RandomSource } from '../src/shared/random.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** A place on the network. */
+/** A node on the network. */
 export interface Endpoint {
   readonly name: string;
   readonly zone: string;
   readonly region: string;
 }
 
-/** Delays and disturbances. One-way milliseconds. */
+/** One-way delays in milliseconds, and their jitter. */
 export interface NetworkSettings {
   readonly sameZoneMs: number;
   readonly otherZoneMs: number;
   readonly otherRegionMs: number;
-  /** Random part of each delay, as a share of it. */
+  /** Largest random addition to each delay, as a share of it. */
   readonly jitter: number;
 }
 
@@ -24,7 +24,7 @@
 /** The simulated network. */
 export class SimulatedNetwork {
   private readonly partitions = new Set<Partition>();
-  /** Chance that a message between daemons arrives twice. */
+  /** Chance that a message is delivered twice. */
   duplicateChance = 0;
   /** Extra random delay, which reorders messages. Milliseconds. */
   reorderMs = 0;
@@ -35,26 +35,26 @@
     private readonly settings: NetworkSettings,
   ) {}
 
-  /** Loses what `cut` says until the returned function is called. */
+  /** Adds a partition. The returned function removes it. */
   addPartition(partition: Partition): () => void {
     this.partitions.add(partition);
     return () => this.partitions.delete(partition);
   }
 
-  /** Whether messages get through now. */
+  /** Whether messages from one endpoint can reach another now. */
   isConnected(from: Endpoint, to: Endpoint): boolean {
     for (const partition of this.partitions) if (partition(from, to)) return false;
     return true;
   }
 
-  /** The one-way delay between two endpoints, with its random part. */
+  /** Draws the one-way delay between two endpoints, jitter and reordering included. Milliseconds. */
   getDelay(from: Endpoint, to: Endpoint): number {
     const { sameZoneMs, otherZoneMs, otherRegionMs, jitter } = this.settings;
     const base = from.region !== to.region ? otherRegionMs : from.zone !== to.zone ? otherZoneMs : sameZoneMs;
     return base * (1 + this.random.next() * jitter) + this.random.next() * this.reorderMs;
   }
 
-  /** Delivers after the delay, unless cut at sending or at arrival. Returns whether it was sent. */
+  /** Delivers after the delay, unless partitioned when sent or on arrival. Returns whether it was sent. */
   send(from: Endpoint, to: Endpoint, deliver: () => void): boolean {
     if (!this.isConnected(from, to)) return false;
     const arrive = (): void => {
@@ -66,7 +66,7 @@
     return true;
   }
 
-  /** A channel from one endpoint to another that keeps the order of what is sent, as a connection does. */
+  /** Creates a channel that delivers in order, as a connection does. Sending returns false while partitioned. */
   createChannel(from: Endpoint, to: Endpoint): (deliver: () => void) => boolean {
     let lastArrival = 0;
     return (deliver) => {
--- a/simulation/simulated-site.ts
+++ b/simulation/simulated-site.ts
@@ -1,4 +1,7 @@
-/** A whole site in virtual time: real daemon state machines, emulated engines and platform, and faults. */
+/**
+ * A complete site in virtual time: the daemons' real state machines, simulated engines, application servers, network
+ * and platform. Performs the daemons' effects, and offers what fault injection needs: kill, pause, drain.
+ */
 import { DEFAULT_ENGINE_MODEL_SETTINGS } from '../lab/engine-model-settings.js';
 import { PlatformModel } from '../lab/platform-model.js';
 import { CompletionDaemon } from '../src/daemon/completion-daemon.js';
@@ -22,7 +25,7 @@
 
 export type { DaemonNode } from './daemon-node.js';
 
-/** Where an engine stands. */
+/** Location and initial assignment of an engine. */
 interface EngineLocation {
   readonly zone: string;
   readonly region: string;
@@ -30,7 +33,7 @@
   readonly assignment: EngineAssignment;
 }
 
-/** A site to simulate. */
+/** Size, services, network and settings of a simulated site. */
 export interface SimulationOptions {
   readonly seed: number;
   readonly daemons: readonly { readonly zone: string; readonly region: string }[];
@@ -42,13 +45,13 @@
 }
 
 const DEFAULT_NETWORK: NetworkSettings = { sameZoneMs: 0.2, otherZoneMs: 1, otherRegionMs: 35, jitter: 0.3 };
-/** A back end that has ended refuses a connection after this time. Milliseconds. */
+/** Time until a connection check has its result. Milliseconds. */
 const CHECK_MS = 2;
-/** Interval of daemons' timers. Milliseconds. */
+/** Interval of the daemons' timers. Milliseconds. */
 const TICK_MS = 100;
 /**
- * What the daemons promise: no new work so long after a back end leaves, an edit in force so long after it.
- * Milliseconds.
+ * Limits that the monitor checks: a back end gets no new request later than `leavingMs` after it announced that it
+ * leaves, and an edit is in force everywhere `configurationMs` after its commit. Milliseconds.
  */
 const LIMITS = { leavingMs: 5000, configurationMs: 20_000 };
 
@@ -69,9 +72,9 @@
   private readonly settings: CompletionDaemonSettings;
   private readonly links = new BackendLinks(this);
   private replyHandler: ReplyHandler = () => undefined;
-  /** Changes or drops events on their way to a daemon; the broken variants of tests use it. */
+  /** Changes or drops events on their way to a daemon; tests of the monitor break the system with it. */
   intercept: (event: CompletionDaemonEvent) => CompletionDaemonEvent | undefined = (event) => event;
-  /** Control requests of a daemon reach engines this much later, as if it slept between check and send. */
+  /** Upper bound of the random delay of a daemon's orders, as if it were paused between lease check and send. */
   readonly controlDelayMs = new Map<DaemonNode, number>();
 
   constructor(private readonly options: SimulationOptions) {
@@ -86,17 +89,17 @@
     options.daemons.forEach((place, index) => this.addDaemon(place, index));
   }
 
-  /** Sets who gets answers to callers and operators. */
+  /** Sets the handler of answers to callers and operators. */
   onReply(handler: ReplyHandler): void {
     this.replyHandler = handler;
   }
 
-  /** Daemons that callers may be sent to. */
+  /** Gets the daemons that accept callers' connections. */
   getReadyDaemons(): DaemonNode[] {
     return this.daemons.filter((node) => this.acceptsConnections(node));
   }
 
-  /** Whether a caller's connection to the daemon would be taken. */
+  /** Whether the daemon would accept a caller's connection. */
   acceptsConnections(node: DaemonNode): boolean {
     return (
       node.alive &&
@@ -106,7 +109,7 @@
     );
   }
 
-  /** Gives an event to a daemon, as its process would; a paused process gets it when it goes on. */
+  /** Delivers an event to a daemon and performs its effects; a paused process handles it after it resumes. */
   deliver(node: DaemonNode, original: CompletionDaemonEvent): void {
     const event = this.intercept(original);
     if (!node.alive || !event) return;
@@ -124,18 +127,18 @@
     node.pausedSince = undefined;
   }
 
-  /** Starts a killed or stopped daemon again, as a new process. */
+  /** Kills a daemon if it still runs, and starts a new process. */
   restart(node: DaemonNode): void {
     this.kill(node);
     this.startProcess(node);
   }
 
-  /** Stops a daemon's process from running, as SIGSTOP does. */
+  /** Pauses a daemon's process, as SIGSTOP does. */
   pause(node: DaemonNode): void {
     if (node.alive) node.pausedSince ??= this.time.now();
   }
 
-  /** Lets it go on: everything that arrived meanwhile is handled at once. */
+  /** Resumes a paused process, as SIGCONT does: events that arrived meanwhile are handled at once. */
   resume(node: DaemonNode): void {
     if (node.pausedSince === undefined) return;
     node.pausedSince = undefined;
@@ -144,7 +147,7 @@
     for (const event of backlog) this.deliver(node, event);
   }
 
-  /** A planned stop, as SIGTERM: callers notice within `noticeMs`; the process ends when its work is done. */
+  /** Stops a daemon gracefully, as SIGTERM does: callers notice after `noticeMs`, and the process exits once idle. */
   drain(node: DaemonNode, noticeMs: number, onStopped: () => void): void {
     this.deliver(node, { kind: 'beginDrain' });
     const { starts } = node;
@@ -163,7 +166,7 @@
     this.time.after(noticeMs, check);
   }
 
-  /** Announces that an engine leaves: it refuses new work, and the machine list says so after its lag. */
+  /** Makes an engine leave: it refuses new requests, and the machine list shows it after its lag. */
   setEngineLeaving(engine: SimulatedEngine): void {
     engine.model.leave();
     this.monitor.onBackendLeaving(engine.name);
--- a/simulation/site-options.ts
+++ b/simulation/site-options.ts
@@ -1,4 +1,4 @@
-/** Simulation options out of the users' site profiles. */
+/** Converts the users' site profiles to options of the simulation. */
 import type { SiteProfile } from '../lab/site-profiles.js';
 import type { EngineAssignment } from '../src/contracts/engine-protocol.js';
 import {
@@ -9,7 +9,7 @@
 
 const REGION = 'main';
 
-/** A site of the profile's size with one daemon a zone and one cell. */
+/** Creates the options of a site of the profile's size, with one daemon per zone and one cell. */
 export function createSiteOptions(
   profile: SiteProfile,
   seed: number,
@@ -22,7 +22,7 @@
   const adapters = [
     ...new Set(profile.services.map((row) => row.adapter).filter((adapter) => adapter !== '')),
   ];
-  // One object for each engine: a shared one would be encoded as a reference in messages between daemons.
+  // One object per engine: a shared one would be encoded as a reference in messages between daemons.
   const assignment = (): EngineAssignment => ({ role: 'mixed', model: profile.model, version: 1, adapters });
   return {
     seed,
--- a/simulation/virtual-time.ts
+++ b/simulation/virtual-time.ts
@@ -1,8 +1,9 @@
-/** Virtual time: a queue of events that run in order, as fast as the machine allows. */
+/** Virtual time: a queue of events that are executed in order of time, without waiting. */
 import TinyQueue from 'tinyqueue';
 
 interface ScheduledEvent {
   readonly at: number;
+  /** Sequence number, to keep events of the same time in order. */
   readonly order: number;
   readonly run: () => void;
 }
@@ -16,18 +17,18 @@
   private current = 0;
   private order = 0;
 
-  /** The present time. */
+  /** The present virtual time. */
   now(): number {
     return this.current;
   }
 
-  /** Runs `run` after `delayMs`. Events of the same time run in the order they were scheduled. */
+  /** Schedules `run` after `delayMs`. Events of the same time run in the order in which they were scheduled. */
   after(delayMs: number, run: () => void): void {
     this.order += 1;
     this.queue.push({ at: this.current + Math.max(0, delayMs), order: this.order, run });
   }
 
-  /** Runs all events up to `until`. */
+  /** Runs all events up to and including `until`, and sets the time to it. */
   runUntil(until: number): void {
     for (;;) {
       const next = this.queue.peek();
--- a/simulation/workload.ts
+++ b/simulation/workload.ts
@@ -1,4 +1,4 @@
-/** Callers of a simulation: open-loop arrivals and checks of every answer. */
+/** Callers of a simulation: sends requests in open-loop arrivals and checks every answer. */
 import { tokenText } from '../lab/engine-model.js';
 import type { ServiceRow } from '../src/configuration/service-row.js';
 import type { CompletionDaemonEffect } from '../src/daemon/completion-messages.js';
@@ -6,22 +6,22 @@
 import { hashText } from '../src/shared/rendezvous-hash.js';
 import type { DaemonNode, SimulatedSite } from './simulated-site.js';
 
-/** A stream of completions of one service. */
+/** Arrivals of completion requests of one service. */
 interface CompletionLoad {
   readonly service: string;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Arrivals a second at a time in milliseconds since the start. */
+  /** Arrivals per second, as a function of the virtual time in milliseconds. */
   readonly perSecond: (atMs: number) => number;
-  /** Lengths vary evenly around their mean by this share. Default 0.5. */
+  /** Lengths are uniform within this share of their mean. Default 0.5. */
   readonly lengthSpread?: number;
 }
 
-/** A stream of application calls of one service. */
+/** Arrivals of application calls of one service. */
 interface CallLoad {
   readonly service: string;
   readonly perSecond: number;
-  /** Chance that the caller repeats a call whose outcome is unknown, with the same key. */
+  /** Chance that the caller retries a call that may be executed once only, with the same key, when it fails. */
   readonly retryChance: number;
 }
 
@@ -31,28 +31,34 @@
   readonly prompt: string;
   readonly outputTokens: number;
   texts: string[];
+  /** Tokens received so far. */
   count: number;
+  /** Idempotency key with which the caller retries a failed call; undefined if it does not. */
   readonly key: string | undefined;
   readonly retryCount: number;
 }
 
-/** What became of the requests. */
+/** Number of requests by outcome. */
 export interface WorkloadCounts {
   sent: number;
+  /** Complete answers. */
   whole: number;
+  /** Failures, by error code. */
   failed: Map<string, number>;
   /** Requests whose daemon was killed, so that their callers saw the connection break. */
   lostWithDaemon: number;
+  /** Requests that found no ready daemon. */
   unconnected: number;
 }
 
 const DEFAULT_LENGTH_SPREAD = 0.5;
+/** One-way delay from callers to daemons. Milliseconds. */
 const CALLER_DELAY_MS = 4;
-/** A stream without arrivals looks again after so long. Milliseconds. */
+/** Interval at which a load with rate 0 checks its rate again. Milliseconds. */
 const IDLE_POLL_MS = 1000;
 const MAXIMUM_RETRIES = 3;
 
-/** Sends load into a simulated site and checks what comes back. */
+/** Sends load to a simulated site and checks the answers. */
 export class Workload {
   readonly counts: WorkloadCounts = {
     sent: 0,
@@ -61,7 +67,7 @@
     lostWithDaemon: 0,
     unconnected: 0,
   };
-  /** Failures that a caller of a planned stop would see as cut. */
+  /** Streams that failed after tokens had been sent. */
   brokenStreams = 0;
   private readonly open = new Map<string, OpenRequest>();
   private readonly rows: ReadonlyMap<string, ServiceRow>;
@@ -79,7 +85,7 @@
     site.onReply((node, effect) => this.onReply(node, effect));
   }
 
-  /** Starts a stream of completions. Arrivals do not depend on how the site does. */
+  /** Starts a load of completions. Arrivals do not depend on the site's answers. */
   addCompletions(load: CompletionLoad): void {
     const random = new SeededRandom(this.random.below(2 ** 30));
     const next = (): void => {
@@ -94,7 +100,7 @@
     next();
   }
 
-  /** Starts a stream of application calls. */
+  /** Starts a load of application calls. */
   addCalls(load: CallLoad): void {
     const random = new SeededRandom(this.random.below(2 ** 30));
     const next = (): void => {
@@ -107,17 +113,17 @@
     next();
   }
 
-  /** No more arrivals. */
+  /** Ends all arrivals. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Requests without an answer yet. */
+  /** Gets the number of requests without an answer yet. */
   getOpenRequestCount(): number {
     return this.open.size;
   }
 
-  /** A daemon's process is gone: its callers see their connections break. */
+  /** Breaks the connections of a killed daemon's callers, some of which retry their calls. */
   onDaemonKilled(node: DaemonNode): void {
     for (const [requestId, request] of [...this.open]) {
       if (request.node !== node) continue;
@@ -207,8 +213,8 @@
   }
 
   /**
-   * An admission at an old revision is a broken promise; whether the daemon admits is seen from its
-   * readiness.
+   * Reports the configuration revision at which the daemon admits a request to the monitor, which checks its age. A
+   * daemon admits requests while it is ready.
    */
   private checkAdmission(node: DaemonNode): void {
     if (!node.alive || node.pausedSince !== undefined) return;
@@ -257,7 +263,7 @@
     if (!complete)
       this.site.monitor.addViolation(
         'whole-answer',
-        `${requestId} ended with ${request.count} of ${request.outputTokens}`,
+        `${requestId} ended with ${request.count} of ${request.outputTokens} tokens`,
       );
     this.checkTexts(requestId, request);
     this.counts.whole += 1;
@@ -267,7 +273,7 @@
     const promptHash = hashText(request.prompt);
     const wrong = request.texts.findIndex((text, index) => text !== tokenText(promptHash, index));
     if (wrong >= 0)
-      this.site.monitor.addViolation('whole-answer', `${requestId} has a foreign token at ${wrong}`);
+      this.site.monitor.addViolation('whole-answer', `${requestId} has a wrong token at ${wrong}`);
   }
 
   private onAnswer(requestId: string): void {
