--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,10 +1,10 @@
 /*
- * Spread of the configuration: a table, a replica that polls it, one that pulls from the first, answers that
- * are delayed as long as they like, and a restart that forgets everything.
+ * Propagation of the configuration: a table, a replica that polls it, a second replica that pulls from the first,
+ * answers with arbitrary delays, and a restart that loses all state.
  *
  * Properties:
- *   REVERT  the revision in force at a running replica never goes down
- *   FORCE   a replica that admits knows every revision committed more than STALENESS ago
+ *   REVERT  the revision in force at a running replica never decreases
+ *   FORCE   a replica that admits requests has every revision committed more than STALENESS ago
  * Broken variants: NO_COMPARE, AGE_FROM_ARRIVAL, READY_AT_START, CONFIRM_AT_ANSWER.
  */
 #ifndef MAXTIME
@@ -17,12 +17,12 @@
 byte revision = 0;
 byte commitTime[REVISIONS + 1];
 
-/* A replica: revision in force, and the time at which it was certainly current. */
+/* A replica: the revision in force, the latest time at which it is known to have been current, whether it has one. */
 byte inForce[2];
 byte confirmedAt[2];
 bool knows[2];
 
-/* Answers on their way to each replica: revision, time of sending the question, age at the answer. */
+/* Answers in flight to each replica: revision, time of the request, age of the revision at the answer. */
 chan answers0 = [2] of { byte, byte, byte };
 chan answers1 = [1] of { byte, byte, byte };
 
@@ -74,7 +74,7 @@
     fi
 }
 
-/* Replica 0 polls the table. Two questions may be on their way at once, and answers may cross. */
+/* Replica 0 polls the table. Two requests may be in flight at once, and their answers may be reordered. */
 active proctype Poller() {
   byte r, sent, age, restarts = 0;
   do
@@ -95,13 +95,13 @@
   od
 }
 
-/* Replica 1 pulls from replica 0, which says how old its knowledge is at the time of the answer. */
+/* Replica 1 pulls from replica 0, whose answer contains the age of its revision at that time. */
 active proctype Puller() {
   byte r, sent, age;
   do
   :: now == MAXTIME -> break
   :: atomic { nfull(answers1) && knows[0] -> sent = now }
-     /* the question travels */
+     /* the request is in flight */
      atomic { if :: knows[0] -> answers1 ! inForce[0], sent, now - confirmedAt[0] :: else -> skip fi; sent = 0 }
   :: atomic { answers1 ? r, sent, age ->
        if
--- a/spec/drain.pml
+++ b/spec/drain.pml
@@ -1,11 +1,11 @@
 /*
- * A planned change of an engine in two stages, drain and change, while daemons send it work, with a holder
- * that is replaced half way, duplicated and reordered orders, and an engine that may crash once.
+ * A planned change of an engine in two stages, drain and change, while daemons send it requests, with a lease
+ * holder that is replaced in between, duplicated and reordered orders, and an engine that may crash once.
  *
  * Properties:
- *   CUT       a change begins only when no stream is on the engine
- *   NOT RUN   a request that the engine turned away was not begun
- *   ORDER     accepted orders go up in (epoch, sequence)
+ *   CUT       a change starts only when the engine has no streams
+ *   NOT RUN   a request that the engine rejected was not started
+ *   ORDER     accepted orders increase in (epoch, sequence)
  * Broken variants: SKIP_DRAIN, LATE_REFUSAL, NO_SEQUENCE.
  */
 #define ACTIVE 0
@@ -20,7 +20,7 @@
 byte engineEpoch = 0, engineSequence = 0;
 byte lastEpoch = 0, lastSequence = 0;
 byte crashes = 0, reorders = 0;
-byte begun = 0;     /* requests begun, as a set of bits */
+byte begun = 0;     /* requests started, as a bit set */
 byte turnedAway = 0;
 
 chan orders = [3] of { byte, byte, byte };  /* epoch, sequence, action */
@@ -58,17 +58,17 @@
        fi;
        epoch = 0; sequence = 0; action = 0
      }
-  :: atomic { reorders < 2 && len(orders) >= 2 ->            /* an order is overtaken */
+  :: atomic { reorders < 2 && len(orders) >= 2 ->            /* an order overtakes another */
        orders ? epoch, sequence, action; orders ! epoch, sequence, action; reorders++; epoch = 0; sequence = 0; action = 0
      }
-  :: atomic { streams > 0 -> streams-- }                     /* a stream ends by itself */
+  :: atomic { streams > 0 -> streams-- }                     /* a stream completes */
   :: atomic { phase == CHANGING -> phase = ACTIVE }
   :: atomic { crashes == 0 -> crashes = 1; phase = ACTIVE; streams = 0; engineEpoch = 0; engineSequence = 0; lastEpoch = 0; lastSequence = 0 }
   :: timeout -> break
   od
 }
 
-/* Two holders after each other; the first may still have orders on their way when the second seals. */
+/* Two holders, one after the other; orders of the first may still be in flight when the second seals. */
 active proctype Holder() {
   byte epoch, sequence;
   epoch = 1;
@@ -90,7 +90,7 @@
      :: true -> skip
      fi;
      if
-     :: nfull(orders) -> orders ! epoch, sequence + 1, DRAIN  /* repeated: the first answer was lost */
+     :: nfull(orders) -> orders ! epoch, sequence + 1, DRAIN  /* sent again: the first answer was lost */
      :: true -> skip
      fi;
      if
@@ -102,7 +102,7 @@
   od
 }
 
-/* Daemons send three requests at any time; the engine begins each or turns it away. */
+/* Daemons send three requests at any time; the engine starts or rejects each. */
 active [3] proctype Request() {
   byte mark = 1 << (_pid % 3);
   if
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,12 +1,12 @@
 /*
- * The lease on a cell, its fencing and its expiry, with lost answers, delayed orders and pauses.
+ * The lease on a cell, its fencing and its expiry, with lost answers, delayed orders and process pauses.
  *
- * Two daemons contend for one row of a table and give orders to one engine. A pause is any stretch in which a
- * process is not scheduled, so every step boundary is a point at which a process may sleep. Time is a counter.
+ * Two daemons contend for one row of a table and send orders to one engine. A pause is any period in which a
+ * process is not scheduled, so a process may be paused between any two steps. Time is a counter.
  *
  * Properties (assertions at the engine):
- *   AUTHORITY  an accepted order carries the epoch that the table has at that moment
- *   CONFLICT   epochs of accepted orders never go down
+ *   AUTHORITY  an accepted order carries the epoch that the table has at that time
+ *   CONFLICT   epochs of accepted orders never decrease
  * Broken variants: NO_EXPIRY, NO_FENCE, GUESS_SUCCESS, VALID_FROM_ANSWER, RELEASE_EARLY.
  */
 #ifndef MAXTIME
@@ -19,12 +19,12 @@
 
 byte now = 0;
 
-/* The table row. Revision and epoch move together here: a renewal raises only the revision. */
+/* The table row. Acquiring the lease increments revision and epoch; a renewal increments only the revision. */
 byte rowRevision = 0;
 byte rowEpoch = 0;
 byte rowHolder = NOBODY;
 
-/* Orders on their way to the engine: epoch and expiry. They arrive in any order and at any time. */
+/* Orders in flight to the engine: epoch and expiry. They arrive in any order and at any time. */
 chan orders = [1] of { byte, byte };
 
 byte engineEpoch = 0;
@@ -77,7 +77,7 @@
   :: atomic { !held && rowRevision != seenRevision ->
        seenRevision = rowRevision; seenEpoch = rowEpoch; seenHolder = rowHolder; seenSince = now
      }
-  /* Acquire a free or expired lease, or renew the own one: the question is sent here ... */
+  /* Acquire a free or expired lease, or renew a held one: the request is sent here ... */
   :: atomic { (held || seenHolder == NOBODY || seenHolder == me || now - seenSince > DURATION) && rowRevision < MAXREVISION ->
        sentAt = now;
        expectRevision = seenRevision;
@@ -109,7 +109,7 @@
 #ifdef GUESS_SUCCESS
           held = true; epoch = wantEpoch; validUntil = sentAt + DURATION
 #else
-          /* The same write is sent again until the table says what became of it; nothing is gained meanwhile. */
+          /* The same write is sent again until the table returns its outcome; until then it extends no lease. */
           if
           :: held && rowHolder == me && rowEpoch == epoch -> seenRevision = rowRevision
           :: else -> held = false
@@ -118,12 +118,12 @@
        fi;
        sentAt = 0; expectRevision = 0; wantEpoch = 0; committed = false
      }
-  /* Give an order: check here, and send after a sleep as long as you like. */
+  /* Send an order: the lease is checked here, and the order sent after a pause of any length. */
   :: held && now < validUntil && nfull(orders) -> atomic { nfull(orders) -> orders ! epoch, validUntil }
-  /* Seal the engine with the present epoch. */
+  /* Seal the engine with the current epoch. */
   :: atomic { held && now < validUntil && epoch > engineEpoch -> engineEpoch = epoch }
   :: atomic { held && now >= validUntil -> held = false; validUntil = 0 }
-  /* Give the lease back early, so that a successor need not wait; only when no order is on its way. */
+  /* Release the lease early, so that a successor need not wait; only when no order is in flight. */
 #ifdef RELEASE_EARLY
   :: atomic { held && rowRevision == seenRevision && rowRevision < MAXREVISION ->
 #else
--- a/spec/quota.pml
+++ b/spec/quota.pml
@@ -1,16 +1,16 @@
 /*
- * A tenant's quota within one window, without what comes in meanwhile: the bucket of the first owner holds LIMIT tokens, every other begins
- * empty. A daemon asks one owner or the other for a token at a time; asks and answers may be lost or late. Any daemon may take itself for the
- * owner at any time (it believes the other lost), may hand its bucket to the other, and may stand still and wake, which empties its
- * bucket. A caller may leave while the ask is under way: its token is given back, and the message that tells it may be lost or late. The
- * limit may be lowered; once both have heard of it and an ask's time-out has passed, the lower one binds.
+ * A tenant's quota within one window, without refill: the bucket of the first owner holds LIMIT tokens, every other starts empty. A daemon
+ * requests one token at a time from one owner or the other; requests and answers may be lost or late. Any daemon may consider itself the
+ * owner at any time (it believes the other is lost), may hand its bucket over to the other, and may be paused and resume, which empties its
+ * bucket. A caller may disconnect while the request is in flight: its token is returned, and the message that reports it may be lost or late.
+ * The limit may be lowered; once both owners know of it and the time-out of a request has passed, the lower limit applies.
  *
  * Properties:
- *   SUM    no more than LIMIT tokens are spent, whoever granted them
- *   LOWER  after the lower limit binds, no more than that, and what was given back, is spent
- * Broken variants: FULL_START (a new owner begins with a full bucket), KEEP_HANDED (the bucket is kept after it was handed over), NO_CUT
- * (a lower limit does not cut the bucket), SPEND_LATE (an answer counts after its time-out), CREDIT_TWICE (what was given back is told again
- * when no answer came).
+ *   SUM    no more than LIMIT tokens are spent over all owners
+ *   LOWER  once the lower limit applies, no more than it plus the returned tokens are spent
+ * Broken variants: FULL_START (a new owner starts with a full bucket), KEEP_HANDED (the bucket is kept after its handover), NO_CUT
+ * (a lower limit does not reduce the bucket), SPEND_LATE (an answer counts after its time-out), CREDIT_TWICE (returned tokens are reported
+ * again when no answer came).
  */
 #define LIMIT 3
 #define LOW 1
@@ -23,7 +23,7 @@
 byte spent = 0;
 byte spentLow = 0;
 byte givenBack = 0;
-/* The ask whose answer still counts; an answer to any other does not. */
+/* The request whose answer is still accepted; an answer to any other is ignored. */
 byte openAsk = 0;
 
 chan asks = [2] of {byte, byte, byte};
@@ -68,7 +68,7 @@
        handed?eval(i), handedLevel ->
        credit(i, handedLevel)
      }
-  /* It stood still, or takes itself for the owner anew. */
+  /* It was paused, or considers itself the owner again. */
   :: atomic { level[i] > 0 && !binds ->
 #ifdef FULL_START
        level[i] = LIMIT
@@ -95,7 +95,7 @@
   od
 }
 
-/* The network loses anything. */
+/* The network may lose any message. */
 proctype Loss() {
   byte a;
   byte b;
@@ -163,7 +163,7 @@
 
 proctype Lower() {
   lowered = true;
-  /* A window later, with every ask from before timed out. */
+  /* One window later, when every earlier request has timed out. */
   atomic { heard[0] && heard[1] && empty(handed) -> openAsk = 0; binds = true }
 }
 
--- a/spec/records.pml
+++ b/spec/records.pml
@@ -1,17 +1,17 @@
 /*
- * Records of the store spread from one daemon to another: changes with the two revisions between which they lie,
- * digests that say up to where the sender is complete and what its newest change is, and snapshots. Messages are lost,
- * held up and overtaken by reads as long as they like; a daemon restarts and forgets; the store gives old snapshots.
- * With REMOVALS some changes are removals: a snapshot does not show them, and a copy that begins with one never hears of them.
+ * Replication of the store's records between daemons: changes with the two revisions between which they lie, digests
+ * with the revision up to which the sender is complete and that of its newest change, and snapshots. Messages are lost,
+ * delayed and overtaken by reads without bound; a daemon restarts and loses its state; the store returns old snapshots.
+ * With REMOVALS some changes are removals: a snapshot does not contain them, and a copy that starts with one never gets them.
  *
  * Property:
- *   COMPLETE  a daemon that takes itself for complete up to a revision has every change up to it
- * Broken variants: NO_GAP_CHECK (changes are taken for whole though some before them are missing), NO_CHANGED_CHECK
- * (a peer's word is taken though a change that it knows is missing), OWN_NEWEST (a change that came with a gap counts
- * as the place up to which the daemon is complete), NO_SINCE (a peer's word is taken though its copy began after this
- * one ends, so that it may lack removals in between).
+ *   COMPLETE  a daemon that considers itself complete up to a revision has every change up to it
+ * Broken variants: NO_GAP_CHECK (changes are taken as complete although earlier ones are missing), NO_CHANGED_CHECK
+ * (a peer's digest is accepted although a change that the peer has is missing), OWN_NEWEST (the newest change counts as
+ * the revision up to which the daemon is complete, even after a gap), NO_SINCE (a peer's digest is accepted although its
+ * copy starts after this one ends, so that it may lack removals in between).
  */
-/* With removals every copy has a beginning, which makes too many states for three transactions. */
+/* With removals each copy also has a starting revision, which makes too many states for three transactions. */
 #ifdef REMOVALS
 #define TRANSACTIONS 2
 #else
@@ -25,11 +25,11 @@
 /* The store: the last transaction, and which of them changed the collection. */
 byte version = 0;
 byte changes = 0;
-/* Those that removed something. */
+/* The changes that are removals. */
 byte removals = 0;
 
-/* Each daemon: complete up to `cursor`; `has` are the changes that its copy shows, `newest` is the last of which it has
- * a record, `since` is where its copy began. */
+/* Each daemon: complete up to `cursor`; `has` are the changes in its copy, `newest` is the last change of which it has
+ * a record, `since` is the revision at which its copy starts. */
 byte cursor[2];
 byte has[2];
 byte newest[2];
@@ -47,7 +47,7 @@
   fi
 }
 
-/* Takes changes, of some of which there are records. */
+/* Applies the changes `taken`, of which `shown` have records. */
 inline learn(me, taken, shown) {
   has[me] = has[me] | taken;
   do
@@ -75,7 +75,7 @@
 proctype Daemon(byte me) {
   byte a, b, c, bits, old;
   do
-  /* The store is read from where this daemon is complete, and the other one is told. */
+  /* Reads the store from the daemon's cursor, and may push the changes to the other daemon. */
   :: atomic { cursor[me] < version ->
        bits = changes & UPTO(version) & ~UPTO(cursor[me]);
        old = cursor[me];
@@ -86,7 +86,7 @@
        :: skip
        fi;
        a = 0; b = 0; c = 0; bits = 0; old = 0 }
-  /* The history is gone: a snapshot, perhaps an old one. */
+  /* The store no longer has the history and returns a snapshot, which may be old. */
   :: atomic { version > 0 -> old = version;
        do
        :: old > 0 -> old--
--- a/spec/stage-order.pml
+++ b/spec/stage-order.pml
@@ -1,25 +1,25 @@
 /*
- * Orders that change an engine's stage on the platform: two holders of a lease that is changed by compare-and-set, an
- * engine that forgets its fence and its count of orders at a restart, orders that arrive at any time and in any order.
- * A holder asks the engine, then looks at its lease, then sends; it may sleep in between.
+ * Orders that change the stage of an engine of the platform: two holders of a lease that is changed by compare-and-set,
+ * an engine that loses its fence and its order count at a restart, orders that arrive at any time and in any order.
+ * A holder reads the engine's state, then checks its lease, then sends the order; it may be paused in between.
  *
- * Property: AUTHORITY   no order of an older epoch is carried out after one of a newer epoch
- *           LATE        an order that is carried out late does not undo one that was sent after it
- *           INCARNATION an order for one incarnation is not carried out by the next
+ * Property: AUTHORITY   no order of an older epoch is executed after one of a newer epoch
+ *           LATE        a delayed order does not undo one that was sent after it
+ *           INCARNATION an order for one incarnation is not executed by the next
  * Broken variants: NO_COUNT (LATE), NO_COUNT with NO_FENCE (AUTHORITY), NO_INCARNATION.
- * Sound as well: NO_FENCE alone, since the count refuses every order that was asked for before a newer one.
+ * NO_FENCE alone is correct too: the count rejects every order whose holder read the engine's state before a newer order.
  */
 #define HOLDERS 2
 #define ORDERS 2
 
 byte epoch = 0;             /* of the lease row */
-byte holder = 0;            /* who holds it; 0 for none */
+byte holder = 0;            /* the holder of the lease; 0 for none */
 
 byte incarnation = 1;
-byte seenFence = 0;         /* forgotten at a restart */
-byte count = 0;             /* forgotten at a restart */
+byte seenFence = 0;         /* lost at a restart */
+byte count = 0;             /* lost at a restart */
 
-/* What the property remembers; the engine does not. */
+/* State of the property check, which the engine does not have. */
 byte newestEpoch = 0;
 byte newestSerial = 0;
 byte serials = 0;
@@ -55,11 +55,11 @@
   byte own = 0, asked, target, sent = 0;
   do
   :: sent < ORDERS && holder != id ->
-     atomic { epoch < 3 -> epoch++; own = epoch; holder = id }   /* the lease ran out or was given back */
+     atomic { epoch < 3 -> epoch++; own = epoch; holder = id }   /* the lease expired or was released */
   :: sent < ORDERS && holder == id ->
      atomic { asked = count; target = incarnation };
      if
-     :: holder == id && epoch == own ->                          /* the look at the lease; a sleep may follow */
+     :: holder == id && epoch == own ->                          /* checks the lease; a pause may follow */
         sent++;
         atomic { serials++; run Delivery(own, asked, target, serials) }
      :: else -> skip
--- a/spec/usage-report.pml
+++ b/spec/usage-report.pml
@@ -1,19 +1,19 @@
 /*
- * Reports of one window's usage. Two daemons take themselves for the holder of the duties, one after the other or at once: leases are
- * not modelled, the reports must hold without them. Each has heard of other counts than the other, and of more at each try. What is sent is
- * first written to the store under the condition that nothing stands there. Writes may be done without an answer, or late; calls
- * may be carried out late, and any daemon may stand still between any two steps.
+ * Reports of the usage of one window. Two daemons consider themselves the holder of the duties, one after the other or at once: leases
+ * are not modelled, as the property must hold without them. Each has received other counts than the other, and more at each try. A report
+ * is first written to the store, on the condition that the store has none. Writes may be applied without an answer, or late; calls may be
+ * executed late, and any daemon may be paused between any two steps.
  *
  * Property:
- *   SAME  all reports of the window that the platform takes have the same counts
- * Broken variants: NO_WRITE (each sends what it has counted), IGNORE_CONFLICT (sends its own counts though others stand there),
- * GUESS_SUCCESS (a write without an answer is taken for done), KEEP_COUNTS (its own counts are sent after a write that conflicted
- * because an earlier try of its own was done late).
+ *   SAME  all reports of the window that the platform accepts have the same counts
+ * Broken variants: NO_WRITE (each daemon sends its local counts), IGNORE_CONFLICT (local counts are sent although the store has others),
+ * GUESS_SUCCESS (a write without an answer is taken as applied), KEEP_COUNTS (local counts are sent after a write that conflicted
+ * with an earlier, late write of the same daemon).
  */
 #define TRIES 2
 #define NOTHING 0
 
-/* Counts in the store, and those of the first report that the platform took. */
+/* Counts in the store, and those of the first report that the platform accepted. */
 byte row = NOTHING;
 byte taken = NOTHING;
 
