--- a/simulation/backend-links.ts
+++ b/simulation/backend-links.ts
@@ -17,7 +17,9 @@
 type AttemptEvent = Extract<CompletionDaemonEvent, { kind: 'attemptEvent' }>['event'];
 type EngineWork = Parameters<SimulatedEngine['start']>[0];
 
+/** Time-out of calls to the platform and of control requests to engines. Milliseconds. */
 const CALL_TIMEOUT_MS = 1500;
+/** Time after which a daemon notices that a connection cannot be opened or is lost. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000;
 const PLATFORM: Endpoint = { name: 'platform', zone: 'platform', region: 'main' };
 
--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -27,12 +27,17 @@
 
 /** Wall-clock time at the start of a simulation; it is a multiple of every usual window length. Milliseconds. */
 export const WALL_START_MS = 1_800_000_000_000;
+/** Round trip of a call to the store or the table. Milliseconds. */
 const STORE_MS = 4;
+/** Status of the answers of a store that refuses. */
 const STATUS_UNAVAILABLE = 503;
+/** Time after which a daemon gives up a call to the table. Milliseconds. */
 const TABLE_TIMEOUT_MS = 1000;
 /** Delay after which a store with `appliesLate` applies a write; longer than the daemon's time-out. Milliseconds. */
 const LATE_WRITE_MS = 2500;
+/** Retry time that a table that refuses sends. Milliseconds. */
 const RETRY_AFTER_MS = 300;
+/** Round trip of a call of a duty. Milliseconds. */
 const DUTY_MS = 4;
 /** High enough for every fleet, as the rate limit of the store is not under test here. */
 const TABLE_RATE = { perSecond: 10_000, burst: 10_000 };
@@ -45,6 +50,7 @@
   duties: undefined,
 };
 
+/** A long poll of a daemon that waits for changes. */
 interface WaitingRead {
   readonly node: FleetNode;
   readonly read: RecordRead;
--- a/simulation/monitor.ts
+++ b/simulation/monitor.ts
@@ -23,6 +23,7 @@
   readonly detail: string;
 }
 
+/** The last order that an engine accepted. */
 interface EngineOrders {
   epoch: number;
   sequence: number;
--- a/simulation/simulated-engine.ts
+++ b/simulation/simulated-engine.ts
@@ -17,6 +17,7 @@
 /** Receives the output of an attempt. Returns false when the daemon can no longer be reached. */
 export type AttemptSink = (event: AttemptEvent) => boolean;
 
+/** An attempt in progress. */
 interface OpenAttempt {
   readonly requestId: string;
   readonly promptHash: number;
--- a/simulation/virtual-time.ts
+++ b/simulation/virtual-time.ts
@@ -1,6 +1,7 @@
 /** Virtual time: a queue of events that are executed in order of time, without waiting. */
 import TinyQueue from 'tinyqueue';
 
+/** An event in the queue. */
 interface ScheduledEvent {
   readonly at: number;
   /** Sequence number, to keep events of the same time in order. */
--- a/simulation/workload.ts
+++ b/simulation/workload.ts
@@ -25,6 +25,7 @@
   readonly retryChance: number;
 }
 
+/** A request that has no final answer yet. */
 interface OpenRequest {
   readonly node: DaemonNode;
   readonly service: string;
@@ -56,6 +57,7 @@
 const CALLER_DELAY_MS = 4;
 /** Interval at which a load with rate 0 checks its rate again. Milliseconds. */
 const IDLE_POLL_MS = 1000;
+/** Retries of one call by its caller. */
 const MAXIMUM_RETRIES = 3;
 
 /** Sends load to a simulated site and checks the answers. */
