--- a/lab/application-server.ts
+++ b/lab/application-server.ts
@@ -10,7 +10,7 @@
   /** How often each idempotency key was executed. */
   readonly executions = new Map<string, number>();
 
-  protected async route(message: IncomingMessage, response: ServerResponse): Promise<void> {
+  protected async onRequest(message: IncomingMessage, response: ServerResponse): Promise<void> {
     await readLabJson(message);
     if (message.url === '/executions') {
       sendLabJson(response, 200, Object.fromEntries(this.executions));
--- a/lab/demo.ts
+++ b/lab/demo.ts
@@ -1,10 +1,10 @@
 /** `npm run demo`: a small Trust site of separate processes under a shifting mix, and a report. */
-import { statusCommand } from '../src/cli/status-command.js';
+import { runStatusCommand } from '../src/cli/status-command.js';
 import { SeededRandom } from '../src/shared/random.js';
 import { LocalSite } from './launcher.js';
 import { LoadGenerator, type LoadClass, type LoadPhase } from './load-generator.js';
 import { formatLoadReport } from './load-report.js';
-import { siteProfile, type SiteProfile, type WorkloadClass } from './site-profiles.js';
+import { getSiteProfile, type SiteProfile, type WorkloadClass } from './site-profiles.js';
 
 const ENGINES = 5;
 const PHASE_SECONDS = 9;
@@ -38,7 +38,7 @@
 
 /** Runs the demo. Returns the process's exit code. */
 export async function runDemo(): Promise<number> {
-  const profile = siteProfile('trust-tt-north');
+  const profile = getSiteProfile('trust-tt-north');
   const site = new LocalSite(profile, { engines: ENGINES, settings: { logLevel: 'info' } });
   const say = (text: string): void => void process.stdout.write(`${text}\n`);
   try {
@@ -46,14 +46,14 @@
       `starting ${profile.zones.length} daemons, ${ENGINES} engines, ${profile.applications} application servers and the platform`,
     );
     await site.start();
-    const load = new LoadGenerator(site.callers(), new SeededRandom(DEMO_SEED));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(DEMO_SEED));
     say(`sending ${PHASE_SECONDS} s of mostly long reviews, then ${PHASE_SECONDS} s of mostly short checks`);
     await load.run(shiftingPhases(profile, ENGINES, PHASE_SECONDS));
     say('');
     say(formatLoadReport(load));
     say('');
     say(
-      await statusCommand(
+      await runStatusCommand(
         site.daemons.map((daemon) => daemon.addresses.operator),
         false,
       ),
@@ -68,9 +68,9 @@
   let failures = 0;
   for (const [service, result] of load.results) {
     const lost = result.broken + result.wrong + result.unanswered;
-    if (lost > 0 || result.whole === 0) {
+    if (lost > 0 || result.complete === 0) {
       failures += 1;
-      say(`FAILED ${service}: ${lost} answers not whole, ${result.whole} whole`);
+      say(`FAILED ${service}: ${lost} answers not whole, ${result.complete} whole`);
     }
   }
   say(
--- a/lab/duty-model.ts
+++ b/lab/duty-model.ts
@@ -27,7 +27,7 @@
   ) {}
 
   /** Takes a call that arrives from a machine. */
-  take(machine: string, call: DutyCall, { fence }: DutyAuthority, now: number): DutyResult {
+  apply(machine: string, call: DutyCall, { fence }: DutyAuthority, now: number): DutyResult {
     this.calls += 1;
     this.checkHolder(machine, fence);
     if (fence < this.highestFence) {
--- a/lab/engine-model-settings.ts
+++ b/lab/engine-model-settings.ts
@@ -47,7 +47,7 @@
 };
 
 /** The rates that follow from the settings, as the engine reports them. */
-export function capabilityOf(settings: EngineModelSettings): EngineCapability {
+export function getCapability(settings: EngineModelSettings): EngineCapability {
   const { stepBaseMs, stepPerStreamMs, stepPerPromptTokenMs, prefillChunk, maximumStreams } = settings;
   const prefillStep = stepBaseMs + prefillChunk.prefill * stepPerPromptTokenMs;
   const decodeStep = stepBaseMs + maximumStreams.decode * stepPerStreamMs;
--- a/lab/engine-model.ts
+++ b/lab/engine-model.ts
@@ -10,7 +10,7 @@
   EngineRefusal,
   EngineReport,
 } from '../src/contracts/engine-protocol.js';
-import { capabilityOf, type EngineModelSettings } from './engine-model-settings.js';
+import { getCapability, type EngineModelSettings } from './engine-model-settings.js';
 
 /** Work given to an engine. */
 export interface EngineWork {
@@ -85,17 +85,17 @@
   ) {}
 
   /** Streams on the engine. */
-  streamCount(): number {
+  getStreamCount(): number {
     return this.streams.size;
   }
 
   /** The role, model and phase at present. */
-  state(): { assignment: EngineAssignment; phase: EnginePhase; epoch: number; sequence: number } {
+  getState(): { assignment: EngineAssignment; phase: EnginePhase; epoch: number; sequence: number } {
     return { assignment: this.assignment, phase: this.phase, epoch: this.epoch, sequence: this.sequence };
   }
 
   /** The machine will go away: no new work from now on. */
-  leave(): void {
+  setLeaving(): void {
     this.phase = 'leaving';
   }
 
@@ -135,7 +135,7 @@
   }
 
   /** When something happens next, if nothing new comes. */
-  nextEventAt(): number | undefined {
+  getNextEventAt(): number | undefined {
     const times = [this.step?.endsAt, this.changeEndsAt, this.adapterLoad?.endsAt].filter(
       (time) => time !== undefined,
     );
@@ -166,7 +166,7 @@
   }
 
   /** Answers a control request. The fence is here: what it refuses has no effect. */
-  control(request: EngineControlRequest, now: number): EngineControlResult {
+  applyControlRequest(request: EngineControlRequest, now: number): EngineControlResult {
     if (request.kind === 'report') return { kind: 'report', report: this.report(now) };
     if (request.epoch < this.epoch) return this.fenced();
     if (request.kind === 'seal') {
@@ -302,7 +302,7 @@
       maximumStreams: this.settings.maximumStreams[this.assignment.role],
       waitingPrefillTokens: lagged.waitingPrefillTokens,
       cachedShare: this.cachedShare,
-      capability: capabilityOf(this.settings),
+      capability: getCapability(this.settings),
       clockMs: now,
       epoch: this.epoch,
       sequence: this.sequence,
@@ -346,7 +346,7 @@
  * The text of a token: it depends on the prompt and the position alone, so that a resumed answer goes on
  * rightly.
  */
-export function tokenText(promptHash: number, offset: number): string {
+export function formatToken(promptHash: number, offset: number): string {
   const mixed = Math.imul(promptHash ^ (offset + 1), 2654435761) >>> 0;
   return ` ${WORDS[mixed % WORDS.length]}${offset}`;
 }
--- a/lab/engine-server.ts
+++ b/lab/engine-server.ts
@@ -4,7 +4,7 @@
 import type { EngineAssignment, EngineControlRequest, KvHandle } from '../src/contracts/engine-protocol.js';
 import { describePrompt } from '../src/routing/completion-request.js';
 import { hashText } from '../src/shared/rendezvous-hash.js';
-import { EngineModel, tokenText, type EngineOutput } from './engine-model.js';
+import { EngineModel, formatToken, type EngineOutput } from './engine-model.js';
 import { type EngineModelSettings } from './engine-model-settings.js';
 import { readLabJson, sendLabJson } from './lab-http.js';
 import { LabServer } from './lab-server.js';
@@ -44,7 +44,7 @@
     super.close();
   }
 
-  protected async route(message: IncomingMessage, response: ServerResponse): Promise<void> {
+  protected async onRequest(message: IncomingMessage, response: ServerResponse): Promise<void> {
     const path = message.url ?? '/';
     if (path.startsWith('/v1/kv/')) {
       const found = this.model.hasKv(decodeURIComponent(path.slice('/v1/kv/'.length)), performance.now());
@@ -53,7 +53,11 @@
     }
     const body = await readLabJson(message);
     if (path === '/v1/control')
-      sendLabJson(response, 200, this.model.control(body as EngineControlRequest, performance.now()));
+      sendLabJson(
+        response,
+        200,
+        this.model.applyControlRequest(body as EngineControlRequest, performance.now()),
+      );
     else if (path === '/v1/generate') await this.work('generate', body as WorkBody, response);
     else if (path === '/v1/prefill') await this.work('prefill', body as WorkBody, response);
     else sendLabJson(response, 404, {});
@@ -97,7 +101,7 @@
   }
 
   private schedule(): void {
-    const at = this.model.nextEventAt();
+    const at = this.model.getNextEventAt();
     clearTimeout(this.timer);
     if (at !== undefined) this.timer = setTimeout(() => this.run(), Math.max(0, at - performance.now()));
   }
@@ -112,7 +116,7 @@
     if (!stream) return;
     if (output.kind === 'tokens') {
       const texts = Array.from({ length: output.count }, (_, index) =>
-        tokenText(stream.promptHash, output.offset + index),
+        formatToken(stream.promptHash, output.offset + index),
       );
       stream.response.write(`${JSON.stringify({ offset: output.offset, texts })}\n`);
       return;
--- a/lab/forwarding-site.ts
+++ b/lab/forwarding-site.ts
@@ -54,7 +54,7 @@
 }
 
 /** A route for tests; fields may be overridden. */
-export function labRoute(fields: Partial<Route>): Route {
+export function makeLabRoute(fields: Partial<Route>): Route {
   return {
     name: 'route',
     host: 'site.example',
@@ -81,7 +81,7 @@
 };
 
 /** A configuration for tests with these routes. */
-export function labConfiguration(
+export function makeLabConfiguration(
   version: number,
   routes: readonly Route[],
   tenants: readonly Tenant[] | null = null,
@@ -101,7 +101,7 @@
 }
 
 /** A record of a plain back end for tests. */
-export function labBackend(id: string, address: string): BackendRecord {
+export function makeLabBackend(id: string, address: string): BackendRecord {
   return { id, service: 'service', address, zone: 'zone-a', slots: 8, state: 'ready', stage: undefined };
 }
 
@@ -124,7 +124,7 @@
   maximumCallerConnections = Infinity,
 ): Promise<ForwardingSite> {
   const store = new MemoryRecordStore();
-  store.put({ collection: 'configuration', revision: 1, value: labConfiguration(1, routes, tenants) });
+  store.put({ collection: 'configuration', revision: 1, value: makeLabConfiguration(1, routes, tenants) });
   backends.forEach((value, index) =>
     store.put({ collection: 'backends', id: value.id, revision: 2 + index, value }),
   );
--- a/lab/free-ports.ts
+++ b/lab/free-ports.ts
@@ -15,8 +15,8 @@
  * Ports are handed out from blocks of so many. Its process holds the first port of a block as long as it lives, so
  * that no other one hands out the same: a port that is free just now may belong to a daemon that starts again.
  */
-export const BLOCK_PORTS = 64;
-const BLOCKS = Math.floor((LAST_PORT - FIRST_PORT) / BLOCK_PORTS);
+export const PORTS_PER_BLOCK = 64;
+const BLOCKS = Math.floor((LAST_PORT - FIRST_PORT) / PORTS_PER_BLOCK);
 /** Processes whose ids follow each other begin so many blocks apart. */
 const BLOCKS_APART = 5;
 
@@ -42,11 +42,11 @@
 
 async function claimBlock(): Promise<void> {
   for (let tries = 0; tries < BLOCKS; tries += 1) {
-    const first = FIRST_PORT + nextBlock * BLOCK_PORTS;
+    const first = FIRST_PORT + nextBlock * PORTS_PER_BLOCK;
     nextBlock = (nextBlock + 1) % BLOCKS;
     if (!(await hold(first))) continue;
     nextPort = first + 1;
-    endPort = first + BLOCK_PORTS;
+    endPort = first + PORTS_PER_BLOCK;
     return;
   }
   throw new RangeError('all ports for tests are taken');
--- a/lab/lab-server.ts
+++ b/lab/lab-server.ts
@@ -9,7 +9,7 @@
     private readonly host: string,
     private readonly port: number,
   ) {
-    this.server = createServer((message, response) => void this.route(message, response));
+    this.server = createServer((message, response) => void this.onRequest(message, response));
   }
 
   /** Starts to listen. */
@@ -24,5 +24,5 @@
   }
 
   /** Answers one request. */
-  protected abstract route(message: IncomingMessage, response: ServerResponse): Promise<void>;
+  protected abstract onRequest(message: IncomingMessage, response: ServerResponse): Promise<void>;
 }
--- a/lab/launcher.ts
+++ b/lab/launcher.ts
@@ -67,7 +67,7 @@
     await this.waitReady(this.daemons);
     await this.waitFor(async () => {
       for (const daemon of this.daemons) {
-        const { engines } = await new OperatorClient(daemon.addresses.operator).status();
+        const { engines } = await new OperatorClient(daemon.addresses.operator).getStatus();
         if (engines.filter((engine) => engine.assignment).length < engineCount)
           throw new Error('engines not known yet');
       }
@@ -75,7 +75,7 @@
   }
 
   /** Caller addresses of the daemons. */
-  callers(): string[] {
+  getCallerAddresses(): string[] {
     return this.daemons.map((daemon) => daemon.addresses.caller);
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** Replaces a daemon's settings, in one step, by such as cannot be used. */
-  spoilSettings(index: number): void {
+  writeInvalidSettings(index: number): void {
     const path = this.settingsPath(this.daemons[index].name);
     writeFileSync(`${path}.new`, 'name:');
     renameSync(`${path}.new`, path);
@@ -157,18 +157,25 @@
         address,
       ),
     );
-    await this.announce({ id: name, kind: 'engine', address, zone, cell: this.profile.name, state: 'live' });
+    await this.addMachine({
+      id: name,
+      kind: 'engine',
+      address,
+      zone,
+      cell: this.profile.name,
+      state: 'live',
+    });
   }
 
   private async startApplication(index: number, address: string): Promise<void> {
     const zone = this.profile.zones[index % this.profile.zones.length];
     const name = `application-${index + 1}`;
     this.applications.push(this.launchLab(name, ['application'], address));
-    await this.announce({ id: name, kind: 'application', address, zone, cell: zone, state: 'live' });
+    await this.addMachine({ id: name, kind: 'application', address, zone, cell: zone, state: 'live' });
   }
 
   /** Announces a machine to the platform's list. */
-  announce(machine: Record<string, unknown>): Promise<unknown> {
+  addMachine(machine: Record<string, unknown>): Promise<unknown> {
     return this.post(this.platform.addresses.main, '/machine', machine);
   }
 
--- a/lab/load-generator.ts
+++ b/lab/load-generator.ts
@@ -6,7 +6,7 @@
 import { Agent, request } from 'undici';
 import { exponential, type RandomSource } from '../src/shared/random.js';
 import { hashText } from '../src/shared/rendezvous-hash.js';
-import { tokenText } from './engine-model.js';
+import { formatToken } from './engine-model.js';
 import { findFailedConnection } from './sent-requests.js';
 
 /** What is sent of one service during a phase. */
@@ -35,7 +35,7 @@
 /** Counts and latencies of one service. */
 export class ServiceResult {
   sent = 0;
-  whole = 0;
+  complete = 0;
   withinTargets = 0;
   readonly refused = new Map<string, number>();
   /** Answers that broke off with a typed error. */
@@ -55,7 +55,7 @@
     process.stderr.write(`load: no answer: ${code}: ${message} on ${connection}\n`);
   }
 
-  refuse(code: string): void {
+  addRefusal(code: string): void {
     this.refused.set(code, (this.refused.get(code) ?? 0) + 1);
   }
 }
@@ -98,7 +98,7 @@
   }
 
   /** The result of a service. */
-  result(service: string): ServiceResult {
+  getResult(service: string): ServiceResult {
     let result = this.results.get(service);
     if (!result) {
       result = new ServiceResult();
@@ -141,7 +141,7 @@
   }
 
   private async complete(load: LoadClass, dueAt: number): Promise<void> {
-    const result = this.result(load.service);
+    const result = this.getResult(load.service);
     result.sent += 1;
     this.serial += 1;
     const prompt = makePrompt(load.service, load.promptTokens, this.serial);
@@ -149,7 +149,7 @@
     try {
       const response = await this.send('/v1/completions', body, {});
       if (response.statusCode !== 200) {
-        result.refuse(problemCode(await response.body.text()));
+        result.addRefusal(problemCode(await response.body.text()));
         return;
       }
       await this.readAnswer(response.body, prompt, load, dueAt, result);
@@ -179,13 +179,13 @@
     }
     const promptHash = hashText(prompt);
     const expected = Array.from({ length: load.outputTokens }, (_, index) =>
-      tokenText(promptHash, index),
+      formatToken(promptHash, index),
     ).join('');
     if (streamText(received) !== expected) {
       result.wrong += 1;
       return;
     }
-    result.whole += 1;
+    result.complete += 1;
     const firstTokenMs = (firstAt ?? lastAt) - dueAt;
     const betweenTokensMs = (lastAt - (firstAt ?? lastAt)) / Math.max(1, load.outputTokens - 1);
     result.firstToken.recordValue(Math.max(1, Math.round(firstTokenMs)));
@@ -195,7 +195,7 @@
   }
 
   private async call(call: CallClass): Promise<void> {
-    const result = this.result(call.service);
+    const result = this.getResult(call.service);
     result.sent += 1;
     this.serial += 1;
     const key = `${call.service}-${this.serial}`;
@@ -205,9 +205,9 @@
       });
       const text = await response.body.text();
       if (response.statusCode === 200) {
-        result.whole += 1;
+        result.complete += 1;
         result.withinTargets += 1;
-      } else result.refuse(problemCode(text));
+      } else result.addRefusal(problemCode(text));
     } catch (error) {
       result.addUnanswered(error);
     }
--- a/lab/load-report.ts
+++ b/lab/load-report.ts
@@ -19,7 +19,7 @@
   const rows = [...load.results].map(([service, result]) => [
     service,
     result.sent,
-    result.whole,
+    result.complete,
     result.withinTargets,
     refusals(result),
     result.broken,
--- a/lab/platform-model.ts
+++ b/lab/platform-model.ts
@@ -45,7 +45,7 @@
   }
 
   /** Carries out a table request, or undefined when the platform is down. */
-  table(request: TableRequest, now: number): TableResult | undefined {
+  applyTableRequest(request: TableRequest, now: number): TableResult | undefined {
     if (this.faults.down) return undefined;
     if (!this.takeToken(now))
       return { kind: 'rateLimited', retryAfterMs: Math.ceil(1000 / this.rate.perSecond) * 10 };
@@ -62,7 +62,7 @@
   }
 
   /** A row, for tests. */
-  peek(table: string, key: string): TableRow | undefined {
+  getRow(table: string, key: string): TableRow | undefined {
     return this.rows.get(`${table}/${key}`);
   }
 
--- a/lab/platform-server.ts
+++ b/lab/platform-server.ts
@@ -10,7 +10,7 @@
 export class PlatformServer extends LabServer {
   readonly model = new PlatformModel();
 
-  protected async route(message: IncomingMessage, response: ServerResponse): Promise<void> {
+  protected async onRequest(message: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readLabJson(message);
     const { faults } = this.model;
     if (message.url === '/faults') {
@@ -32,7 +32,7 @@
 
   private table(request: TableRequest, response: ServerResponse): void {
     const { faults } = this.model;
-    const result = this.model.table(request, performance.now());
+    const result = this.model.applyTableRequest(request, performance.now());
     const lost = Math.random() < faults.loseAnswers;
     if (!result || lost) {
       response.destroy();
--- a/lab/scripted-backend.ts
+++ b/lab/scripted-backend.ts
@@ -2,25 +2,25 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 
 /** One request as it arrived. */
-export interface ArrivedRequest {
+export interface ReceivedRequest {
   readonly head: string;
   readonly body: string;
 }
 
 /** Answers one request by writing to the connection as it likes. */
-export type BackendScript = (request: ArrivedRequest, socket: Socket) => void;
+export type BackendScript = (request: ReceivedRequest, socket: Socket) => void;
 
 const HEAD_END = '\r\n\r\n';
 
 /** The value of a header in a head, or undefined. */
-export function headerOf(head: string, name: string): string | undefined {
+export function findHeader(head: string, name: string): string | undefined {
   const line = head.split('\r\n').find((text) => text.toLowerCase().startsWith(`${name.toLowerCase()}:`));
   return line?.slice(name.length + 1).trim();
 }
 
 /** A scripted back end on a port of its own. */
 export class ScriptedBackend {
-  readonly arrived: ArrivedRequest[] = [];
+  readonly received: ReceivedRequest[] = [];
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
 
@@ -51,12 +51,12 @@
         const headEnd = text.indexOf(HEAD_END);
         if (headEnd < 0) return;
         const head = text.slice(0, headEnd);
-        const length = Number(headerOf(head, 'content-length') ?? 0);
+        const length = Number(findHeader(head, 'content-length') ?? 0);
         const end = headEnd + HEAD_END.length + length;
         if (text.length < end) return;
         const request = { head, body: text.slice(headEnd + HEAD_END.length, end) };
         text = text.slice(end);
-        this.arrived.push(request);
+        this.received.push(request);
         this.script(request, socket);
       }
     });
--- a/lab/site-profiles.ts
+++ b/lab/site-profiles.ts
@@ -110,7 +110,7 @@
  * A site by name.
  * @throws ValidationError naming the known sites.
  */
-export function siteProfile(name: string): SiteProfile {
+export function getSiteProfile(name: string): SiteProfile {
   const profile = SITE_PROFILES[name];
   if (!profile) throw new ValidationError('site', `must be one of: ${Object.keys(SITE_PROFILES).join(', ')}`);
   return profile;
--- a/lab/soak/backend-stand-in.ts
+++ b/lab/soak/backend-stand-in.ts
@@ -68,11 +68,11 @@
   private heartbeat: NodeJS.Timeout | undefined
   private readonly bornMs = Date.now()
   /// Says in its answers that it leaves, whatever its record says.
-  saysLeaving = false
+  signalsLeaving = false
   /// Turns part of the requests away and asks daemons to back off for so many seconds.
   backOff: {readonly share: number; readonly seconds: number} | undefined
   /// Told when it ends.
-  onEnd: () => void = () => undefined
+  onStopped: () => void = () => undefined
   /// Told when a request has ended this back end.
   onCrash: () => void = () => undefined
 
@@ -109,7 +109,7 @@
   drain(): void {
     this.state = "draining"
     this.writeRecord()
-    this.record.drains.set(this.identity.id, performance.now())
+    this.record.drainStarts.set(this.identity.id, performance.now())
   }
 
   /// Ends: at once, with every connection reset, or after it has left the store's list.
@@ -130,7 +130,7 @@
   private end(): void {
     clearInterval(this.heartbeat)
     this.ended = true
-    this.onEnd()
+    this.onStopped()
     for (const socket of this.sockets) socket.resetAndDestroy()
   }
 
@@ -166,7 +166,7 @@
       slots: 8,
       state: this.state,
       phase: this.orders.stage,
-      seq: this.orders.taken,
+      seq: this.orders.appliedCount,
       born: this.bornMs
     }
     this.store.write("servers", id, row)
@@ -235,11 +235,14 @@
       tokens: sumTokens(header(request, "x-token-usage"))
     }
     if (header(request, "x-api-key") !== undefined)
-      this.record.seen.push({promise: "no key goes past the daemon", text: `${id} at ${this.identity.id}`})
+      this.record.observedViolations.push({
+        promise: "no key goes past the daemon",
+        text: `${id} at ${this.identity.id}`
+      })
     if (promptOnly) return this.readPrompt(run, response)
     const source = header(request, "x-kv-source")
     if (source && !this.takeHandle(source, id)) return reject(STATUS_BUSY)
-    this.record.runs.push(run)
+    this.record.executions.push(run)
     if (body.startsWith(CRASHING_BODY)) {
       setTimeout(() => this.crashUnder(body), CRASH_MS)
       if (!stage) return
@@ -263,8 +266,8 @@
     return this.random() < (behavior === "shedsMost" ? MOST_SHARE : FAULT_SHARE)
   }
 
-  private readPrompt(run: SoakRecord["runs"][number], response: ServerResponse): void {
-    this.record.runs.push(run)
+  private readPrompt(run: SoakRecord["executions"][number], response: ServerResponse): void {
+    this.record.executions.push(run)
     this.handles += 1
     const handle = `${this.identity.id}h${this.handles}`
     this.registry.add(handle, run.requestId)
@@ -275,7 +278,10 @@
   private takeHandle(source: string, id: string): boolean {
     const owner = this.registry.remove(source.slice(source.indexOf("/") + 1))
     if (owner !== undefined && owner !== id)
-      this.record.seen.push({promise: "a request goes on from its own prompt", text: `${id} from ${owner}'s`})
+      this.record.observedViolations.push({
+        promise: "a request goes on from its own prompt",
+        text: `${id} from ${owner}'s`
+      })
     return owner === id
   }
 
@@ -337,7 +343,7 @@
 
   /// What it says of itself in every answer.
   private getSignals(): Record<string, string> {
-    const {requestsPerSecond, saysLeaving} = this
+    const {requestsPerSecond, signalsLeaving: saysLeaving} = this
     return {
       ...(requestsPerSecond !== undefined && {"Server-Limit": String(requestsPerSecond)}),
       ...(saysLeaving && {"Server-Leaving": "1"})
@@ -345,16 +351,15 @@
   }
 
   private getReport(): object {
-    const {stage, isChanging, taken} = this.orders
+    const {stage, isChanging, appliedCount: taken} = this.orders
     return {phase: stage, models: [], utilization: isChanging, seq: taken, queued: 0, active: 0}
   }
 
   private onOrder(text: string, response: ServerResponse): void {
     const order = parseBody(orderSchema, text)
     if (!order) return this.reply(response, STATUS_MALFORMED, "{}")
-    if (this.behavior === "lateOrders")
-      return void setTimeout(() => this.orders.carryOut(order), LATE_ORDER_MS)
-    this.reply(response, this.orders.carryOut(order), "{}")
+    if (this.behavior === "lateOrders") return void setTimeout(() => this.orders.apply(order), LATE_ORDER_MS)
+    this.reply(response, this.orders.apply(order), "{}")
   }
 
   private reply(
--- a/lab/soak/caller-load.ts
+++ b/lab/soak/caller-load.ts
@@ -50,7 +50,12 @@
 
   /// Sends one request that ends its back end again and again, with about this pause, to any daemon until
   /// `stop`. It has a generator of its own.
-  async repeat(body: string, route: CallerRoute, pauseMs: number, random: () => number): Promise<void> {
+  async sendRepeatedly(
+    body: string,
+    route: CallerRoute,
+    pauseMs: number,
+    random: () => number
+  ): Promise<void> {
     while (this.running) {
       await wait(pauseMs * (0.5 + random()))
       if (!this.running) return
@@ -132,7 +137,7 @@
     // Some claim to be somebody else.
     if (this.random() < KEYLESS_SHARE) headers["X-Tenant"] = SOAK_TENANTS[0].name
     if (route.prompt) {
-      const {shared, own, subjects} = route.prompt
+      const {shared, unique: own, subjects} = route.prompt
       const subject = Math.floor(this.random() * subjects)
       headers["X-Model"] = "m"
       headers["X-Token-Usage"] = `${shared + own},60`
@@ -154,9 +159,9 @@
     response.on("error", () => undefined)
     response.on("close", () => {
       const signature = response.headers["x-server-signature"]
-      call.namesLimit = response.headers["server-limit"] !== undefined
-      call.saysLeaving = response.headers["server-leaving"] !== undefined
-      call.whole = response.complete
+      call.signalsLimit = response.headers["server-limit"] !== undefined
+      call.signalsLeaving = response.headers["server-leaving"] !== undefined
+      call.complete = response.complete
       call.signature = typeof signature === "string" ? signature : undefined
       call.body = Buffer.concat(chunks).toString("utf8")
       if (response.complete || call.form === "streaming") call.status = response.statusCode
--- a/lab/soak/crash-check.ts
+++ b/lab/soak/crash-check.ts
@@ -25,7 +25,7 @@
 
 /// Judges each request that ended back ends. `findBody` gives the body of a request that would, `isInContact`
 /// says whether the daemon that got a request was in contact at a moment.
-export function judgeCrashes(
+export function findCrashOutcomes(
   crashes: readonly CrashRecord[],
   arrivals: readonly ArrivalRecord[],
   findBody: (requestId: string) => string | undefined,
--- a/lab/soak/daemon-process.ts
+++ b/lab/soak/daemon-process.ts
@@ -28,7 +28,7 @@
   private child: ChildProcess | undefined
   private expected = false
   /// The settings have been wrong since the process was started.
-  private misled = false
+  private hasInvalidSettings = false
   private startedAt = -Infinity
   starts = 0
 
@@ -45,7 +45,7 @@
   start(): void {
     this.writeSettings()
     this.expected = false
-    this.misled = false
+    this.hasInvalidSettings = false
     this.startedAt = performance.now()
     this.starts += 1
     const log = openSync(join(this.site.folder, `${this.name}.log`), "a")
@@ -59,7 +59,7 @@
       if (this.child === child) this.child = undefined
       if (this.expected) return
       // As the platform does: the next start has the settings of its moment.
-      if (code === EXIT_WRONG_SETTINGS && this.misled) this.start()
+      if (code === EXIT_WRONG_SETTINGS && this.hasInvalidSettings) this.start()
       else this.onOwnEnd(this.name, code, signal)
     })
   }
@@ -103,7 +103,7 @@
   reload(valid: boolean): void {
     if (valid) this.writeSettings()
     else {
-      this.misled = true
+      this.hasInvalidSettings = true
       this.replaceSettings("node = ")
     }
     this.child?.kill("SIGHUP")
--- a/lab/soak/disturbance.ts
+++ b/lab/soak/disturbance.ts
@@ -2,7 +2,7 @@
 
 /// A time in which something was disturbed, by name; "*" stands for everything.
 export interface Disturbance {
-  readonly what: string
+  readonly target: string
   readonly kind: string
   readonly from: number
   until: number
@@ -31,15 +31,18 @@
   {daemon, from, until}: DaemonSpan
 ): boolean {
   return !disturbances.some(
-    ({what, from: began, until: ended}) =>
+    ({target: what, from: began, until: ended}) =>
       (what === daemon || what === "*") && began <= until && ended + contactMs >= from
   )
 }
 
 /// Whether a daemon was neither ended, frozen nor cut off in a time.
-export function hasRunOn(disturbances: readonly Disturbance[], {daemon, from, until}: DaemonSpan): boolean {
+export function isUninterrupted(
+  disturbances: readonly Disturbance[],
+  {daemon, from, until}: DaemonSpan
+): boolean {
   return !disturbances.some(
-    ({what, kind, from: began, until: ended}) =>
+    ({target: what, kind, from: began, until: ended}) =>
       what === daemon && BREAKS.test(kind) && began <= until && ended >= from
   )
 }
@@ -52,14 +55,14 @@
 ): boolean {
   if (endedAt === undefined || endedAt === sentAt) return false
   const stop = disturbances.find(
-    ({what, kind, from}) =>
+    ({target: what, kind, from}) =>
       what === daemon && kind.startsWith(PLANNED_STOP) && sentAt < from + STOP_TAKES_MS && endedAt >= from
   )
   if (!stop) return false
   return !disturbances.some(
     other =>
       other !== stop &&
-      [daemon, "*", BACKENDS].includes(other.what) &&
+      [daemon, "*", BACKENDS].includes(other.target) &&
       other.from <= endedAt &&
       other.until + contactMs >= sentAt
   )
--- a/lab/soak/duty-stand-in.ts
+++ b/lab/soak/duty-stand-in.ts
@@ -78,7 +78,7 @@
 
   private take(daemon: string, call: DutyCall, authority: DutyAuthority): number {
     const now = performance.now()
-    const result = this.model.take(daemon, call, authority, now)
+    const result = this.model.apply(daemon, call, authority, now)
     if (result.kind !== "accepted") return STATUS_CONFLICT
     if (call.kind === "reportUsage") this.lastReportAt = now
     return STATUS_OK
--- a/lab/soak/fault-plan.ts
+++ b/lab/soak/fault-plan.ts
@@ -1,7 +1,7 @@
 /// Draws the faults of a soak: the same seed gives the same plan.
 import type {BackendBehavior} from "./backend-stand-in.js"
 import * as faults from "./faults.js"
-import {LimitFault, BackOffFault, SaidLeavingFault} from "./signal-faults.js"
+import {LimitFault, BackOffFault, LeavingSignalFault} from "./signal-faults.js"
 import type {DutyTreatment} from "./duty-stand-in.js"
 import {SOAK_TENANTS} from "./soak-routes.js"
 import type {StoreTreatment} from "./store-stand-in.js"
@@ -124,7 +124,7 @@
   const makers: readonly ((place: number) => faults.Fault)[] = [
     place => new LimitFault(lastsMs, place, pick(LIMITS)),
     place => new LimitFault(lastsMs, place, pick(LIMITS)),
-    place => new SaidLeavingFault(lastsMs, place),
+    place => new LeavingSignalFault(lastsMs, place),
     place => new BackOffFault(lastsMs, place, {share: pick(BACK_OFF_SHARES), seconds: pick(BACK_OFF_SECONDS)})
   ]
   return pick(makers)
--- a/lab/soak/fault-proxy.ts
+++ b/lab/soak/fault-proxy.ts
@@ -36,12 +36,12 @@
   }
 
   /// Silences the connections that are open now, for good and without a reset; new ones work.
-  silenceLive(): void {
+  silenceOpenConnections(): void {
     for (const socket of this.sockets) this.silenced.add(socket)
   }
 
   /// Connections that have come through it so far.
-  connectionsMade(): number {
+  getConnectionCount(): number {
     return this.made
   }
 
--- a/lab/soak/faults.ts
+++ b/lab/soak/faults.ts
@@ -10,14 +10,14 @@
 
 /// One fault. `start` and `stop` return when the change is made.
 export abstract class Fault {
-  constructor(readonly lastsMs: number) {}
+  constructor(readonly durationMs: number) {}
 
   /// Its name with what it strikes, for the log of a soak.
   abstract getName(): string
   /// Daemons whose promises with a time bound are suspended meanwhile; "*" for all.
-  abstract getDisturbed(): readonly string[]
+  abstract getDisturbedDaemons(): readonly string[]
   /// Whether back ends or the way to them are harmed.
-  harmsBackends(): boolean {
+  affectsBackends(): boolean {
     return false
   }
   abstract start(site: SoakSite): Promise<void> | void
@@ -35,7 +35,7 @@
   getName(): string {
     return `kill ${this.daemons.join(" ")}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return this.daemons
   }
   async start(site: SoakSite): Promise<void> {
@@ -57,7 +57,7 @@
   getName(): string {
     return `pause ${this.daemon}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return [this.daemon]
   }
   start(site: SoakSite): void {
@@ -76,14 +76,14 @@
   getName(): string {
     return `${PLANNED_STOP} ${this.daemon}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return [this.daemon]
   }
   async start(site: SoakSite): Promise<void> {
     const problem = await site.getDaemon(this.daemon).stop()
     if (problem === undefined) return
     const text = `${this.daemon}: ${problem}`
-    site.record.seen.push({promise: "a planned stop ends by itself within its grace", text})
+    site.record.observedViolations.push({promise: "a planned stop ends by itself within its grace", text})
   }
   stop(site: SoakSite): void {
     site.getDaemon(this.daemon).start()
@@ -101,7 +101,7 @@
   getName(): string {
     return `reload ${this.daemon}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
   start(site: SoakSite): void {
@@ -124,10 +124,10 @@
   getName(): string {
     return `link ${this.link} ${this.state}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return [this.link.startsWith("backend") ? "*" : this.link.slice(this.link.indexOf(" ") + 1)]
   }
-  override harmsBackends(): boolean {
+  override affectsBackends(): boolean {
     return this.link.startsWith("backend")
   }
   start(site: SoakSite): void {
@@ -157,7 +157,7 @@
   getName(): string {
     return `store ${this.treatment} ${this.daemons.join(" ")}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return this.daemons
   }
   start(site: SoakSite): void {
@@ -176,7 +176,7 @@
   getName(): string {
     return "store forgets its history"
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return ["*"]
   }
   start(site: SoakSite): void {
@@ -197,10 +197,10 @@
   getName(): string {
     return `back end ${this.place} ${this.behavior}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
-  override harmsBackends(): boolean {
+  override affectsBackends(): boolean {
     return true
   }
   start(site: SoakSite): void {
@@ -222,10 +222,10 @@
   getName(): string {
     return `crash of back end ${this.place}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
-  override harmsBackends(): boolean {
+  override affectsBackends(): boolean {
     return true
   }
   start(site: SoakSite): void {
@@ -247,10 +247,10 @@
   getName(): string {
     return `replacement of back end ${this.place}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
-  override harmsBackends(): boolean {
+  override affectsBackends(): boolean {
     return true
   }
   start(site: SoakSite): void {
@@ -273,7 +273,7 @@
   getName(): string {
     return `revoke of ${findTenant(this.key)}'s key ${this.key.slice(-1)}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
   start(site: SoakSite): void {
@@ -295,7 +295,7 @@
   getName(): string {
     return `duties: platform ${this.treatment}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
   start(site: SoakSite): void {
@@ -314,7 +314,7 @@
   getName(): string {
     return "change of the configuration"
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
   start(site: SoakSite): void {
--- a/lab/soak/signal-check.ts
+++ b/lab/soak/signal-check.ts
@@ -26,19 +26,19 @@
 }
 
 /// An answer in which a back end says something of itself, as a daemon passed it on.
-export interface ToldAnswer {
+export interface ForwardedSignal {
   readonly backend: string
   readonly daemon: string
   readonly at: number
 }
 
 /// A time for which a back end has asked a daemon to back off.
-export interface BackOffSpan extends ToldAnswer {
+export interface BackOffSpan extends ForwardedSignal {
   readonly until: number
 }
 
 /// Whether a daemon ran on between two moments: one that did not must be told anew.
-export type RunCheck = (daemon: string, from: number, until: number) => boolean
+export type UninterruptedCheck = (daemon: string, from: number, until: number) => boolean
 
 /// So many requests may reach a back end meanwhile, and none count that come sooner than this. Milliseconds.
 const ALLOWED_IN_BACK_OFF = 2
@@ -54,10 +54,10 @@
 
 /// Requests that callers sent later than `drainMs` after a daemon had passed on that a back end leaves, and
 /// that it sent there.
-export function findLateToLeaving(
-  told: readonly ToldAnswer[],
+export function findLateRequestsToLeaving(
+  told: readonly ForwardedSignal[],
   arrivals: readonly DaemonArrival[],
-  hasRunOn: RunCheck,
+  hasRunOn: UninterruptedCheck,
   drainMs: number
 ): DaemonArrival[] {
   return arrivals.filter(({backend, daemon, at, sentAt}) =>
@@ -72,10 +72,10 @@
 }
 
 /// Back-offs in which more requests came from the daemon than may, with how many.
-export function findBrokenBackOffs(
+export function findBackOffViolations(
   spans: readonly BackOffSpan[],
   arrivals: readonly DaemonArrival[],
-  hasRunOn: RunCheck
+  hasRunOn: UninterruptedCheck
 ): {readonly span: BackOffSpan; readonly seen: number}[] {
   return spans.flatMap(span => {
     const seen = arrivals.filter(
@@ -94,8 +94,8 @@
 export function findLimitWindows(
   spans: readonly LimitSpan[],
   arrivals: readonly DaemonArrival[],
-  told: readonly ToldAnswer[],
-  hasRunOn: RunCheck,
+  told: readonly ForwardedSignal[],
+  hasRunOn: UninterruptedCheck,
   contactMs: number
 ): LimitWindow[] {
   return spans.map(({backend, perSecond, from, until}) => {
--- a/lab/soak/signal-faults.ts
+++ b/lab/soak/signal-faults.ts
@@ -16,10 +16,10 @@
   getName(): string {
     return `limit of back end ${this.place}: ${this.perSecond} a second`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
-  override harmsBackends(): boolean {
+  override affectsBackends(): boolean {
     return true
   }
   start(site: SoakSite): void {
@@ -32,7 +32,7 @@
 
 /// A back end says in its answers that it leaves while its record says that it is ready; then another takes
 /// its place.
-export class SaidLeavingFault extends Fault {
+export class LeavingSignalFault extends Fault {
   constructor(
     lastsMs: number,
     private readonly place: number
@@ -42,14 +42,14 @@
   getName(): string {
     return `said leaving of back end ${this.place}`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
-  override harmsBackends(): boolean {
+  override affectsBackends(): boolean {
     return true
   }
   start(site: SoakSite): void {
-    site.sayLeaving(this.place)
+    site.setLeaving(this.place)
   }
   async stop(site: SoakSite): Promise<void> {
     site.closeBackend(this.place)
@@ -69,10 +69,10 @@
   getName(): string {
     return `back-off from back end ${this.place}: ${this.backOff.seconds} s, ${this.backOff.share} of the requests`
   }
-  getDisturbed(): readonly string[] {
+  getDisturbedDaemons(): readonly string[] {
     return []
   }
-  override harmsBackends(): boolean {
+  override affectsBackends(): boolean {
     return true
   }
   start(site: SoakSite): void {
--- a/lab/soak/signal-record.ts
+++ b/lab/soak/signal-record.ts
@@ -1,16 +1,16 @@
 /// What back ends said of themselves in a soak, and whether daemons kept to it.
 import {SECOND_MS} from "../../src/shared/units.js"
-import {hasRunOn, type Disturbance} from "./disturbance.js"
+import {isUninterrupted, type Disturbance} from "./disturbance.js"
 import type {ArrivalRecord} from "./retry-check.js"
 import {
-  findBrokenBackOffs,
-  findLateToLeaving,
+  findBackOffViolations,
+  findLateRequestsToLeaving,
   findLimitWindows,
   type DaemonArrival,
   type LimitSpan,
   type LimitWindow,
   type BackOffSpan,
-  type ToldAnswer
+  type ForwardedSignal
 } from "./signal-check.js"
 
 /// What is known of a caller's request and its answer. Monotonic milliseconds.
@@ -20,9 +20,9 @@
   endedAt?: number
   signature?: string
   /// The answer names a limit of its back end.
-  namesLimit?: boolean
+  signalsLimit?: boolean
   /// The answer says that its back end leaves.
-  saysLeaving?: boolean
+  signalsLeaving?: boolean
 }
 
 /// The record of one soak.
@@ -48,16 +48,16 @@
 
   /// The worst window of each limit that a back end named.
   findLimitWindows(): LimitWindow[] {
-    const told = this.findTold(({namesLimit}) => namesLimit === true)
+    const told = this.findTold(({signalsLimit: namesLimit}) => namesLimit === true)
     return findLimitWindows(this.limits, this.findArrivals(), told, this.ranOn, this.bounds.contactMs)
   }
 
   /// Every broken promise.
   check(): {readonly promise: string; readonly text: string}[] {
     const arrivals = this.findArrivals()
-    const told = this.findTold(({saysLeaving}) => saysLeaving === true)
-    const late = findLateToLeaving(told, arrivals, this.ranOn, this.bounds.drainMs)
-    const backOffs = findBrokenBackOffs(this.backOffs, arrivals, this.ranOn)
+    const told = this.findTold(({signalsLeaving: saysLeaving}) => saysLeaving === true)
+    const late = findLateRequestsToLeaving(told, arrivals, this.ranOn, this.bounds.drainMs)
+    const backOffs = findBackOffViolations(this.backOffs, arrivals, this.ranOn)
     const limits = this.findLimitWindows().filter(({seen, allowed}) => seen > allowed)
     return [
       ...limits.map(({backend, perSecond, seen, allowed}) => ({
@@ -76,7 +76,7 @@
   }
 
   private readonly ranOn = (daemon: string, from: number, until: number): boolean =>
-    hasRunOn(this.disturbances, {daemon, from, until})
+    isUninterrupted(this.disturbances, {daemon, from, until})
 
   private findArrivals(): DaemonArrival[] {
     return this.arrivals.flatMap(({backend, requestId, at}) => {
@@ -86,7 +86,7 @@
   }
 
   /// Answers that daemons passed on.
-  private findTold(isTold: (request: AnsweredRequest) => boolean): ToldAnswer[] {
+  private findTold(isTold: (request: AnsweredRequest) => boolean): ForwardedSignal[] {
     return [...this.requests.values()].flatMap(request => {
       const {signature, daemon, endedAt} = request
       if (signature === undefined || endedAt === undefined || !isTold(request)) return []
--- a/lab/soak/soak-record.ts
+++ b/lab/soak/soak-record.ts
@@ -8,7 +8,7 @@
   type RetryWindow,
   type ServiceRequest
 } from "./retry-check.js"
-import {ALLOWED_LATE_RETRIES, judgeCrashes, type CrashOutcome, type CrashRecord} from "./crash-check.js"
+import {ALLOWED_LATE_RETRIES, findCrashOutcomes, type CrashOutcome, type CrashRecord} from "./crash-check.js"
 import {isCutByStop, isUndisturbed, type Disturbance} from "./disturbance.js"
 import {SignalRecord} from "./signal-record.js"
 import {findTenant, QUOTA_RULE, SOAK_QUOTAS, UNCACHED_TOKENS, type RouteForm} from "./soak-routes.js"
@@ -30,18 +30,18 @@
   status?: number
   signature?: string
   /// The answer names a limit of its back end.
-  namesLimit?: boolean
+  signalsLimit?: boolean
   /// The answer says that its back end leaves.
-  saysLeaving?: boolean
+  signalsLeaving?: boolean
   body?: string
   /// A streamed answer ended as complete.
-  whole?: boolean
+  complete?: boolean
   /// The body of a request that ends the back ends that run it; undefined for the others.
   readonly crashingBody?: string
 }
 
 /// One run, or arrival, at a back end.
-export interface RunRecord {
+export interface ExecutionRecord {
   readonly requestId: string
   readonly backend: string
   readonly service: string
@@ -98,7 +98,7 @@
 /// The record of one soak.
 export class SoakRecord {
   readonly requests = new Map<string, CallerRecord>()
-  readonly runs: RunRecord[] = []
+  readonly executions: ExecutionRecord[] = []
   readonly arrivals: ArrivalRecord[] = []
   readonly orders: OrderRecord[] = []
   readonly disturbances: Disturbance[] = []
@@ -107,11 +107,11 @@
   /// Which keys were taken away or given back, and when.
   readonly keys: {readonly key: string; readonly valid: boolean; readonly at: number}[] = []
   /// When a back end was said to drain.
-  readonly drains = new Map<string, number>()
+  readonly drainStarts = new Map<string, number>()
   /// Back ends that ended under requests.
   readonly crashes: CrashRecord[] = []
   /// Violations that the stand-ins saw themselves.
-  readonly seen: Violation[] = []
+  readonly observedViolations: Violation[] = []
 
   /// What back ends said of themselves.
   readonly signals: SignalRecord
@@ -127,13 +127,13 @@
 
   /// Every broken promise.
   check(): Violation[] {
-    const runsOf = groupBy(this.runs, run => run.requestId)
-    const violations = [...this.seen]
+    const runsOf = groupBy(this.executions, run => run.requestId)
+    const violations = [...this.observedViolations]
     for (const request of this.requests.values()) {
       const runs = (runsOf.get(request.id) ?? []).filter(run => !run.promptOnly)
       violations.push(...this.checkRequest(request, runs))
     }
-    for (const run of this.runs) violations.push(...this.checkRun(run))
+    for (const run of this.executions) violations.push(...this.checkRun(run))
     violations.push(...this.checkOrders())
     for (const tenant of Object.keys(SOAK_QUOTAS)) violations.push(...this.checkQuota(tenant))
     for (const {body, ends, lateRetries} of this.findCrashOutcomes())
@@ -143,7 +143,7 @@
           text: `${body}: ${lateRetries} times more, ${ends} ended`
         })
     violations.push(...this.signals.check())
-    for (const {service, seen, allowed, from} of this.findWorstRepeats()) {
+    for (const {service, seen, allowed, from} of this.findWorstRetryWindows()) {
       const text = `${service}: ${seen} of ${allowed} from ${from} ms`
       if (seen > allowed) violations.push({promise: "repeats stay within the retry budget", text})
     }
@@ -151,7 +151,7 @@
   }
 
   /// The worst window of each service, counted at the back ends.
-  findWorstRepeats(): RetryWindow[] {
+  findWorstRetryWindows(): RetryWindow[] {
     return findWorstWindows(this.arrivals, this.getServiceRequests(), this.bounds.retries)
   }
 
@@ -161,7 +161,7 @@
     const isInContact = (id: string, at: number) =>
       this.isUndisturbed(this.requests.get(id)?.daemon ?? "", at - marginMs, at)
     const findBody = (id: string) => this.requests.get(id)?.crashingBody
-    return judgeCrashes(this.crashes, this.arrivals, findBody, isInContact, contactMs + marginMs)
+    return findCrashOutcomes(this.crashes, this.arrivals, findBody, isInContact, contactMs + marginMs)
   }
 
   /// The requests by the services that their routes led to. While a route moves its requests count for both.
@@ -177,7 +177,7 @@
     const {windowS, overage, slackTokens} = QUOTA_RULE
     const {ratePerSecond, burst} = SOAK_QUOTAS[tenant]
     const allowed = (ratePerSecond * windowS + burst) * (1 + overage) + slackTokens
-    const runs = this.runs.filter(run => run.tenant === tenant && !run.promptOnly)
+    const runs = this.executions.filter(run => run.tenant === tenant && !run.promptOnly)
     const inOrder = [...runs].sort((left, right) => left.at - right.at)
     let first = 0
     let sum = 0
@@ -191,7 +191,7 @@
     return worst > allowed ? [{promise: "a tenant stays within its quota", text}] : []
   }
 
-  private checkRequest(request: CallerRecord, runs: readonly RunRecord[]): Violation[] {
+  private checkRequest(request: CallerRecord, runs: readonly ExecutionRecord[]): Violation[] {
     const found: Violation[] = []
     const {id, form, status, sentAt, endedAt, timeoutMs} = request
     const say = (promise: string, text: string) =>
@@ -230,10 +230,10 @@
 
   private checkSuccess(
     request: CallerRecord,
-    runs: readonly RunRecord[],
+    runs: readonly ExecutionRecord[],
     say: (promise: string, text: string) => void
   ): void {
-    const {id, form, signature, body, whole} = request
+    const {id, form, signature, body, complete: whole} = request
     const run = runs.find(candidate => candidate.backend === signature)
     if (!run)
       say(
@@ -247,7 +247,7 @@
       say("a caller receives the whole answer to its own request", `body ${body}`)
   }
 
-  private checkRun(run: RunRecord): Violation[] {
+  private checkRun(run: ExecutionRecord): Violation[] {
     const request = this.requests.get(run.requestId)
     if (!request)
       return [{promise: "only what callers sent is run", text: `${run.requestId} at ${run.backend}`}]
@@ -267,7 +267,7 @@
       })
     if (request.needsKey && !this.wasKeyValid(request, oldest, run.at, "ever"))
       found.push({promise: "no request runs without a valid key", text: `${request.id} at ${run.backend}`})
-    const drainedAt = this.drains.get(run.backend) ?? Infinity
+    const drainedAt = this.drainStarts.get(run.backend) ?? Infinity
     if (calm && run.at > drainedAt + this.bounds.drainMs + this.bounds.marginMs)
       found.push({
         promise: "a leaving back end gets no new work",
--- a/lab/soak/soak-routes.ts
+++ b/lab/soak/soak-routes.ts
@@ -13,7 +13,7 @@
   /// Callers need no key.
   readonly isPublic?: boolean
   /// Tokens of the shared and the own part of each prompt; undefined for plain services.
-  readonly prompt?: {readonly shared: number; readonly own: number; readonly subjects: number}
+  readonly prompt?: {readonly shared: number; readonly unique: number; readonly subjects: number}
 }
 
 const HOST = "site.example"
@@ -64,7 +64,7 @@
     path: "/check/x",
     form: "streaming",
     timeoutMs: 3000,
-    prompt: {shared: 90, own: 150, subjects: 20}
+    prompt: {shared: 90, unique: 150, subjects: 20}
   },
   {
     name: MINOR,
@@ -72,7 +72,7 @@
     path: "/review/x",
     form: "streaming",
     timeoutMs: 5000,
-    prompt: {shared: 9000, own: 2000, subjects: 12}
+    prompt: {shared: 9000, unique: 2000, subjects: 12}
   }
 ]
 
--- a/lab/soak/soak-site.ts
+++ b/lab/soak/soak-site.ts
@@ -134,14 +134,14 @@
       backend.requestsPerSecond = undefined
       span.until = Math.min(span.until, performance.now())
     }
-    backend.onEnd = end
+    backend.onStopped = end
     return end
   }
 
   /// The back end at a place says in its answers that it leaves, while its record says that it is ready.
-  sayLeaving(place: number): void {
+  setLeaving(place: number): void {
     const {backend} = this.places[place]
-    if (backend) backend.saysLeaving = true
+    if (backend) backend.signalsLeaving = true
   }
 
   /// The back end at a place turns part of its requests away and asks daemons to back off; undefined: no more.
@@ -264,7 +264,7 @@
           site,
           {store, duties: await this.duties.open(name)},
           (daemon, code, signal) =>
-            this.record.seen.push({
+            this.record.observedViolations.push({
               promise: "no process ends by itself",
               text: `${daemon}: ${code ?? signal}`
             })
--- a/lab/soak/soak.ts
+++ b/lab/soak/soak.ts
@@ -45,7 +45,7 @@
 }
 
 /// What a soak is made of beside its seed.
-interface SoakForm {
+interface SoakOptions {
   readonly daemonCount: number
   /// Whether series of restarts beside busy back ends are played too.
   readonly series: boolean
@@ -55,7 +55,7 @@
   readonly signals: boolean
 }
 
-const DEFAULT_FORM: SoakForm = {daemonCount: DAEMONS, series: false, crashes: false, signals: false}
+const DEFAULT_FORM: SoakOptions = {daemonCount: DAEMONS, series: false, crashes: false, signals: false}
 /// Callers of such requests come back so often, about. Milliseconds.
 const CRASH_PAUSE_MS = 400
 /// The routes on which they are sent: a plain one, and two whose answers are streamed.
@@ -68,7 +68,7 @@
   perSecond: number,
   program: string,
   folder: string,
-  {daemonCount, series, crashes, signals}: SoakForm = DEFAULT_FORM
+  {daemonCount, series, crashes, signals}: SoakOptions = DEFAULT_FORM
 ): Promise<SoakOutcome> {
   const generator = new SeededRandom(seed)
   const random = () => generator.next()
@@ -97,10 +97,13 @@
   await Promise.all([loading, ...crashing])
   await site.close()
   for (const text of site.duties.model.violations)
-    record.seen.push({promise: "one holder of the duties", text})
+    record.observedViolations.push({promise: "one holder of the duties", text})
   noteStrayCalls(site)
   if (site.duties.lastReportAt < calmFrom)
-    record.seen.push({promise: "usage is reported again after faults", text: "no report in the last seconds"})
+    record.observedViolations.push({
+      promise: "usage is reported again after faults",
+      text: "no report in the last seconds"
+    })
   return judge(seed, record, calmFrom)
 }
 
@@ -109,7 +112,8 @@
 function noteStrayCalls({record, store, duties}: SoakSite): void {
   for (const {status, text} of [...store.strayCalls.calls, ...duties.strayCalls.calls]) {
     process.stdout.write(`${JSON.stringify({strayCall: text, status})}\n`)
-    if (status === STATUS_MALFORMED) record.seen.push({promise: "calls to the platform can be read", text})
+    if (status === STATUS_MALFORMED)
+      record.observedViolations.push({promise: "calls to the platform can be read", text})
   }
 }
 
@@ -117,7 +121,9 @@
 function sendCrashes(load: CallerLoad, seed: number): Promise<void>[] {
   return CRASH_ROUTES.map((route, i) => {
     const generator = new SeededRandom(seed + 3 + i)
-    return load.repeat(`${CRASHING_BODY}, ${route.name}`, route, CRASH_PAUSE_MS, () => generator.next())
+    return load.sendRepeatedly(`${CRASHING_BODY}, ${route.name}`, route, CRASH_PAUSE_MS, () =>
+      generator.next()
+    )
   })
 }
 
@@ -134,18 +140,20 @@
     const name = fault.getName()
     // One fault at a time for each thing: ending one must not end another.
     const key = name.replace(/^(kill|pause|restart|crash of|replacement of) /, "")
-    if (busy.has(key) || fault.getDisturbed().some(what => busy.has(what))) continue
-    for (const what of [key, ...fault.getDisturbed()]) busy.add(what)
-    const struck = fault.harmsBackends() ? [...fault.getDisturbed(), BACKENDS] : fault.getDisturbed()
+    if (busy.has(key) || fault.getDisturbedDaemons().some(what => busy.has(what))) continue
+    for (const what of [key, ...fault.getDisturbedDaemons()]) busy.add(what)
+    const struck = fault.affectsBackends()
+      ? [...fault.getDisturbedDaemons(), BACKENDS]
+      : fault.getDisturbedDaemons()
     const disturbances = struck.map(what => ({what, kind: name, from: performance.now(), until: Infinity}))
     site.record.disturbances.push(...disturbances)
-    process.stdout.write(`${JSON.stringify({atMs, fault: name, lastsMs: fault.lastsMs})}\n`)
+    process.stdout.write(`${JSON.stringify({atMs, fault: name, lastsMs: fault.durationMs})}\n`)
     const run = async () => {
       await fault.start(site)
-      await wait(fault.lastsMs)
+      await wait(fault.durationMs)
       await fault.stop(site)
       for (const disturbance of disturbances) disturbance.until = performance.now()
-      for (const what of [key, ...fault.getDisturbed()]) busy.delete(what)
+      for (const what of [key, ...fault.getDisturbedDaemons()]) busy.delete(what)
     }
     running.push(run())
   }
@@ -179,7 +187,7 @@
     requests: requests.length,
     served: requests.filter(isServed).length,
     servedWhenCalm,
-    repeats: record.findWorstRepeats(),
+    repeats: record.findWorstRetryWindows(),
     crashes: record.findCrashOutcomes(),
     limits: record.signals.findLimitWindows(),
     violations
--- a/lab/soak/stage-orders.ts
+++ b/lab/soak/stage-orders.ts
@@ -25,7 +25,7 @@
   /// The stage is changing now.
   isChanging = false
   /// Orders taken since the start.
-  taken = 0
+  appliedCount = 0
   private highestFence = 0
 
   constructor(
@@ -37,14 +37,14 @@
   ) {}
 
   /// Carries out an order, and returns the status with which it is answered.
-  carryOut({holder, fence, phase, expected_count: expected = this.taken}: Order): number {
+  apply({holder, fence, phase, expected_count: expected = this.appliedCount}: Order): number {
     if (fence < this.highestFence) return STATUS_LOW_FENCE
     this.highestFence = fence
     this.record.orders.push({backend: this.backend, holder, fence, at: performance.now()})
-    if (this.isChanging || expected !== this.taken) return STATUS_CONFLICT
+    if (this.isChanging || expected !== this.appliedCount) return STATUS_CONFLICT
     if (this.stage === phase) return STATUS_OK
     this.isChanging = true
-    this.taken += 1
+    this.appliedCount += 1
     setTimeout(() => {
       this.isChanging = false
       this.stage = phase
--- a/simulation/backend-links.ts
+++ b/simulation/backend-links.ts
@@ -49,7 +49,7 @@
     const { tag, request } = effect;
     this.callPlatform(
       node,
-      () => this.site.platform.table(request, this.site.time.now()),
+      () => this.site.platform.applyTableRequest(request, this.site.time.now()),
       (result) =>
         this.site.deliver(node, {
           kind: 'tableResult',
@@ -126,7 +126,7 @@
   }
 
   private getTableEpoch(cell: string): number {
-    return (this.site.platform.peek('leases', cell)?.value as LeaseValue | undefined)?.epoch ?? 0;
+    return (this.site.platform.getRow('leases', cell)?.value as LeaseValue | undefined)?.epoch ?? 0;
   }
 
   /** Starts an attempt at an engine. */
--- a/simulation/fault-run.ts
+++ b/simulation/fault-run.ts
@@ -1,5 +1,5 @@
 /** Runs a simulated site under load and faults while the monitor checks every promise. */
-import { siteProfile } from '../lab/site-profiles.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import type { CompletionDaemonSettings } from '../src/daemon/completion-daemon-settings.js';
 import { FaultInjector, type Fault } from './simulated-faults.js';
 import type { Violation } from './monitor.js';
@@ -42,7 +42,7 @@
 
 /** Runs a site under load and the given faults. */
 export function runFaults(options: FaultRunOptions): FaultRunResult {
-  const profile = siteProfile(options.site);
+  const profile = getSiteProfile(options.site);
   const site = new SimulatedSite(createSiteOptions(profile, options.seed, options.settings));
   options.prepare?.(site);
   const workload = new Workload(site, profile.services, options.seed + 1);
--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -324,7 +324,7 @@
     const reply = (result: TableResult, delayMs: number): void =>
       this.time.after(delayMs, () => this.handle(node, toEvent(result)));
     const perform = (): TableResult =>
-      this.table.table(request, this.time.now()) ?? { kind: 'noAnswer', reason: 'down' };
+      this.table.applyTableRequest(request, this.time.now()) ?? { kind: 'noAnswer', reason: 'down' };
     if (node.access === 'refuses') reply({ kind: 'rateLimited', retryAfterMs: RETRY_AFTER_MS }, STORE_MS);
     else if (node.access === 'serves') this.time.after(STORE_MS / 2, () => reply(perform(), STORE_MS / 2));
     else {
@@ -335,7 +335,7 @@
 
   private callDuty(node: FleetNode, call: DutyCall, authority: DutyAuthority): void {
     this.time.after(DUTY_MS / 2, () => {
-      const result = this.duties?.take(node.address, call, authority, this.time.now());
+      const result = this.duties?.apply(node.address, call, authority, this.time.now());
       if (result) this.time.after(DUTY_MS / 2, () => this.handle(node, { kind: 'dutyResult', call, result }));
     });
   }
@@ -358,7 +358,7 @@
       reply({ kind: 'rejected', status: STATUS_UNAVAILABLE }, STORE_MS);
     } else if (node.silentConnections.delete(collection) || node.access !== 'serves') {
       const waitedMs = read.after === undefined ? 0 : read.waitMs;
-      reply({ kind: 'noAnswer', reason: 'TimeoutError' }, waitedMs + read.answerMs);
+      reply({ kind: 'noAnswer', reason: 'TimeoutError' }, waitedMs + read.answerTimeoutMs);
     } else if (read.after === undefined) {
       const records = [...this.records.values()].filter((record) => record.collection === collection);
       reply({ kind: 'snapshot', revision: this.revision, records, storeMs: this.time.now() }, STORE_MS);
--- a/simulation/idle-cost.ts
+++ b/simulation/idle-cost.ts
@@ -4,7 +4,7 @@
  * messages per daemon and second. Sockets and codecs are not included.
  */
 import meow from 'meow';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { ForwardingFleet } from './forwarding-fleet.js';
 
 const SEED = 20261202;
@@ -25,11 +25,11 @@
 
 function createFleet(daemons: number, engines: number): ForwardingFleet {
   const fleet = new ForwardingFleet(daemons, SEED);
-  const value = labConfiguration(1, [labRoute({})]);
+  const value = makeLabConfiguration(1, [makeLabRoute({})]);
   fleet.write({ collection: 'configuration', revision: 0, value });
   for (let i = 0; i < engines; i += 1) {
     const stage = i % 3 === 0 ? ('decode' as const) : ('prefill' as const);
-    const backend = { ...labBackend(`engine-${i}`, `10.1.0.${i}:80`), stage };
+    const backend = { ...makeLabBackend(`engine-${i}`, `10.1.0.${i}:80`), stage };
     fleet.write({ collection: 'backends', id: backend.id, revision: 0, value: backend });
   }
   return fleet;
--- a/simulation/signal-site.ts
+++ b/simulation/signal-site.ts
@@ -2,7 +2,7 @@
  * A fleet in virtual time whose back ends send signals in their answers: a request limit, that they leave, or a
  * back-off. Records each request that reaches a back end, its daemon, and which signals that daemon knew.
  */
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import type { AttemptStart, ForwardAttemptEvent } from '../src/forwarding/forward-messages.js';
 import type { BackendRecord, Route } from '../src/forwarding/routes/route.js';
 import { SeededRandom } from '../src/shared/random.js';
@@ -91,10 +91,10 @@
   private requests = 0;
 
   constructor(private readonly options: SignalSiteOptions) {
-    const { daemons, seed, backends, routes = [labRoute({})] } = options;
+    const { daemons, seed, backends, routes = [makeLabRoute({})] } = options;
     this.random = new SeededRandom(seed);
     this.fleet = new ForwardingFleet(daemons, seed, FLEET_SETTINGS);
-    this.fleet.write({ collection: 'configuration', revision: 0, value: labConfiguration(1, routes) });
+    this.fleet.write({ collection: 'configuration', revision: 0, value: makeLabConfiguration(1, routes) });
     for (let index = 0; index < backends; index += 1) this.writeBackend(index, 'ready');
     this.fleet.onAttempt = (node, start) => this.onAttempt(node, start);
     this.fleet.time.runUntil(WARM_UP_MS);
@@ -109,7 +109,7 @@
     const id = `b${index}`;
     const stage = index % 2 === 0 ? 'prefill' : 'decode';
     const value: BackendRecord = {
-      ...labBackend(id, `10.1.0.${index}:80`),
+      ...makeLabBackend(id, `10.1.0.${index}:80`),
       zone: `zone-${index % 3}`,
       state,
       bornMs,
--- a/simulation/simulated-engine.ts
+++ b/simulation/simulated-engine.ts
@@ -2,7 +2,7 @@
  * A simulated engine: runs the engine model in virtual time, streams its output to daemons, and can crash and restart.
  * Reports requests, orders and changes to the monitor.
  */
-import { EngineModel, tokenText, type EngineOutput, type EngineWork } from '../lab/engine-model.js';
+import { EngineModel, formatToken, type EngineOutput, type EngineWork } from '../lab/engine-model.js';
 import { type EngineModelSettings } from '../lab/engine-model-settings.js';
 import type {
   AttemptEvent,
@@ -102,10 +102,10 @@
 
   /** Executes a control request of `holder`; `tableEpoch` is the present epoch of the lease row, for the monitor. */
   control(request: EngineControlRequest, holder: string, tableEpoch: number): EngineControlResult {
-    const before = this.model.state();
-    const streams = this.model.streamCount();
-    const result = this.model.control(request, this.time.now());
-    const after = this.model.state();
+    const before = this.model.getState();
+    const streams = this.model.getStreamCount();
+    const result = this.model.applyControlRequest(request, this.time.now());
+    const after = this.model.getState();
     if (request.kind === 'order') {
       const accepted = result.kind === 'report' && after.sequence !== before.sequence;
       if (accepted)
@@ -135,7 +135,7 @@
   }
 
   private schedule(): void {
-    const at = this.model.nextEventAt();
+    const at = this.model.getNextEventAt();
     if (at === undefined || at >= this.wakeAt) return;
     this.wakeAt = at;
     const { generation } = this;
@@ -151,7 +151,7 @@
     const attempt = this.attempts.get(output.attemptId);
     if (!attempt) return;
     if (output.kind === 'tokens') {
-      attempt.buffered.push(tokenText(attempt.promptHash, output.offset));
+      attempt.buffered.push(formatToken(attempt.promptHash, output.offset));
       if (attempt.offset === 0 || attempt.buffered.length >= TOKENS_PER_MESSAGE)
         this.flush(output.attemptId, attempt);
       return;
--- a/simulation/simulated-site.ts
+++ b/simulation/simulated-site.ts
@@ -168,7 +168,7 @@
 
   /** Makes an engine leave: it refuses new requests, and the machine list shows it after its lag. */
   setEngineLeaving(engine: SimulatedEngine): void {
-    engine.model.leave();
+    engine.model.setLeaving();
     this.monitor.onBackendLeaving(engine.name);
     this.platform.setMachine({ ...this.createMachine(engine), state: 'leaving' }, this.time.now());
   }
@@ -180,7 +180,7 @@
       expectedRevision: 0,
       value: row,
     }));
-    if (writes.length > 0) this.platform.table({ kind: 'commit', writeId: 'initial', writes }, 0);
+    if (writes.length > 0) this.platform.applyTableRequest({ kind: 'commit', writeId: 'initial', writes }, 0);
   }
 
   private addEngine(place: EngineLocation, index: number): void {
--- a/simulation/workload.ts
+++ b/simulation/workload.ts
@@ -1,5 +1,5 @@
 /** Callers of a simulation: sends requests in open-loop arrivals and checks every answer. */
-import { tokenText } from '../lab/engine-model.js';
+import { formatToken } from '../lab/engine-model.js';
 import type { ServiceRow } from '../src/configuration/service-row.js';
 import type { CompletionDaemonEffect } from '../src/daemon/completion-messages.js';
 import { exponential, SeededRandom } from '../src/shared/random.js';
@@ -273,7 +273,7 @@
 
   private checkTexts(requestId: string, request: OpenRequest): void {
     const promptHash = hashText(request.prompt);
-    const wrong = request.texts.findIndex((text, index) => text !== tokenText(promptHash, index));
+    const wrong = request.texts.findIndex((text, index) => text !== formatToken(promptHash, index));
     if (wrong >= 0)
       this.site.monitor.addViolation('whole-answer', `${requestId} has a wrong token at ${wrong}`);
   }
--- a/src/adapters/attempt-handler.ts
+++ b/src/adapters/attempt-handler.ts
@@ -6,8 +6,8 @@
 import type { AttemptStart, ForwardAttemptEvent } from '../forwarding/forward-messages.js';
 import type { BackendDialect, CallerHead, RawHeaders } from './backend-dialect.js';
 import { EventSplitter } from './event-splitter.js';
-import { endToEndHeaders, headerValue } from './http-headers.js';
-import type { ResetWatch } from './reset-watch.js';
+import { pickEndToEndHeaders, getHeaderValue } from './http-headers.js';
+import type { ResetDetector } from './reset-watch.js';
 import type { ServerPool } from './server-pool.js';
 import {
   FIRST_FINAL_STATUS,
@@ -29,15 +29,15 @@
 /** Takes the parts of a streamed answer. */
 export interface StreamSink {
   /** The head. `framed` says whether the answer tells where it ends, other than by closing the connection. */
-  head(status: number, headers: string[], framed: boolean): void;
+  writeHead(status: number, headers: string[], framed: boolean): void;
   /** Whole events. */
-  events(bytes: Buffer, lastEventId: string | undefined): void;
+  writeEvents(bytes: Buffer, lastEventId: string | undefined): void;
   /** The id of the last event that was passed on. */
-  lastEventId(): string | undefined;
+  getLastEventId(): string | undefined;
 }
 
 /** An answer that was kept until it was whole. */
-export interface KeptAnswer {
+export interface BufferedAnswer {
   readonly status: number;
   readonly headers: string[];
   readonly body: Buffer;
@@ -55,7 +55,7 @@
   /** The connections that it is sent over. */
   readonly pool: ServerPool;
   readonly dialect: BackendDialect;
-  readonly resets: ResetWatch;
+  readonly resets: ResetDetector;
   readonly start: AttemptStart;
   readonly request: CallerRequest;
   /** Takes the parts of a streamed answer. */
@@ -66,7 +66,7 @@
 
 /** Follows one attempt. undici calls its methods in order. */
 export class AttemptHandler implements Dispatcher.DispatchHandler {
-  answer: KeptAnswer | undefined;
+  answer: BufferedAnswer | undefined;
   private controller: Dispatcher.DispatchController | undefined;
   private written = false;
   private sentAt = 0;
@@ -84,7 +84,7 @@
 
   readonly pool: ServerPool;
   private readonly dialect: BackendDialect;
-  private readonly resets: ResetWatch;
+  private readonly resets: ResetDetector;
   private readonly start: AttemptStart;
   private readonly request: CallerRequest;
   private readonly sink: StreamSink;
@@ -146,18 +146,18 @@
     if (status < FIRST_FINAL_STATUS || this.finished) return;
     const raw = rawHeaders(controller);
     this.status = status;
-    const head = this.dialect.answerHead(status, raw, this.request.head, this.start.prefillOnly);
+    const head = this.dialect.parseAnswerHead(status, raw, this.request.head, this.start.prefillOnly);
     if (head.kind === 'foreign') {
       this.fail({ kind: 'broken', reason: head.reason, isInvalidAnswer: true });
       return;
     }
-    this.signals = this.dialect.signals(status, raw);
+    this.signals = this.dialect.parseSignals(status, raw);
     if (head.kind === 'notExecuted') {
       const { signals } = this;
       this.finished = true;
       this.onEvent({ kind: 'notExecuted', status, wrongIncarnation: head.wrongIncarnation, signals });
     } else {
-      this.headers = endToEndHeaders(raw, NO_HEADERS);
+      this.headers = pickEndToEndHeaders(raw, NO_HEADERS);
       this.framed = isFramed(status, raw, this.request.method);
       if (this.start.stream && status < FIRST_UNSUCCESSFUL_STATUS && !this.start.prefillOnly)
         this.beginStream();
@@ -177,7 +177,7 @@
 
   onResponseEnd(): void {
     if (this.finished) return;
-    if (this.resets.failing()) {
+    if (this.resets.isHandlingReset()) {
       this.fail({ kind: 'broken', reason: 'reset before the end of the answer' });
       return;
     }
@@ -188,8 +188,8 @@
       return;
     }
     if (this.splitter) {
-      const remainder = this.splitter.remainder();
-      if (remainder.length > 0) this.sink.events(remainder, undefined);
+      const remainder = this.splitter.getRemainder();
+      if (remainder.length > 0) this.sink.writeEvents(remainder, undefined);
     }
     this.answer = { status: this.status, headers: this.headers, body, framed: this.framed };
     this.onEvent({ kind: 'whole', status: this.status, signals: this.signals });
@@ -205,18 +205,18 @@
   private streamData(splitter: EventSplitter, chunk: Buffer): void {
     const batch = splitter.push(chunk);
     if (!batch) return;
-    this.sink.events(batch.bytes, batch.lastEventId);
+    this.sink.writeEvents(batch.bytes, batch.lastEventId);
     this.onEvent({ kind: 'streamProgress', lastEventId: batch.lastEventId });
   }
 
   private beginStream(): void {
     this.splitter = new EventSplitter();
-    this.sink.head(this.status, this.headers, this.framed);
+    this.sink.writeHead(this.status, this.headers, this.framed);
     this.onEvent({ kind: 'streamStarted', signals: this.signals });
   }
 
   private prefillEnded(body: Buffer): void {
-    const handle = this.status === STATUS_OK ? this.dialect.prefillHandle(body) : undefined;
+    const handle = this.status === STATUS_OK ? this.dialect.parsePrefillHandle(body) : undefined;
     if (handle === undefined) this.onEvent({ kind: 'broken', reason: `prefill answered ${this.status}` });
     else this.onEvent({ kind: 'prefilled', handle, signals: this.signals });
   }
@@ -230,7 +230,7 @@
 
 function isFramed(status: number, headers: RawHeaders, method: string): boolean {
   const bodiless = method === 'HEAD' || STATUSES_WITHOUT_BODY.has(status);
-  const declared = headerValue(headers, 'content-length') ?? headerValue(headers, 'transfer-encoding');
+  const declared = getHeaderValue(headers, 'content-length') ?? getHeaderValue(headers, 'transfer-encoding');
   return bodiless || declared !== undefined;
 }
 
--- a/src/adapters/backend-client.ts
+++ b/src/adapters/backend-client.ts
@@ -9,13 +9,18 @@
 import type { BackendRecord } from '../forwarding/routes/route.js';
 import type { BackendSignals } from '../forwarding/backends/backend-signals.js';
 import type { HealthProbe } from '../forwarding/backends/health-prober.js';
-import { AttemptHandler, type CallerRequest, type KeptAnswer, type StreamSink } from './attempt-handler.js';
+import {
+  AttemptHandler,
+  type CallerRequest,
+  type BufferedAnswer,
+  type StreamSink,
+} from './attempt-handler.js';
 import type { BackendDialect, PlainCall } from './backend-dialect.js';
 import { getFailureReason } from '../shared/failure-reason.js';
-import { ResetWatch } from './reset-watch.js';
+import { ResetDetector } from './reset-watch.js';
 import { ServerPool } from './server-pool.js';
 
-export type { CallerRequest, KeptAnswer, StreamSink } from './attempt-handler.js';
+export type { CallerRequest, BufferedAnswer as BufferedAnswer, StreamSink } from './attempt-handler.js';
 
 /** A call of the daemon's own. */
 interface SmallCall extends PlainCall {
@@ -88,7 +93,7 @@
   /** Pools that get nothing new, by those that took their place. */
   private readonly replaced = new Map<ServerPool, ServerPool>();
   private readonly live = new Map<string, AttemptHandler>();
-  private readonly resets: ResetWatch;
+  private readonly resets: ResetDetector;
   private readonly timer: NodeJS.Timeout;
   private readonly silentChecks: number;
 
@@ -99,7 +104,7 @@
     private readonly onSignals: SignalListener = () => undefined,
   ) {
     this.silentChecks = Math.ceil(settings.silentConnectionMs / CHECK_INTERVAL_MS);
-    this.resets = new ResetWatch(settings.connectTimeoutMs);
+    this.resets = new ResetDetector(settings.connectTimeoutMs);
     this.timer = setInterval(() => this.tick(), CHECK_INTERVAL_MS).unref();
   }
 
@@ -110,7 +115,7 @@
     sink: StreamSink,
     onEvent: (event: ForwardAttemptEvent) => void,
   ): void {
-    const resumed: AttemptStart = { ...start, resumeAfter: sink.lastEventId() ?? start.resumeAfter };
+    const resumed: AttemptStart = { ...start, resumeAfter: sink.getLastEventId() ?? start.resumeAfter };
     const { id, address } = start.backend;
     const key = start.once ? `${ONCE} ${id}` : id;
     const pool = this.pool(key, address, start.once ? MAXIMUM_REST_MS : MAXIMUM_KEEP_ALIVE_MS);
@@ -130,7 +135,7 @@
     const options: Dispatcher.DispatchOptions = {
       path: request.path,
       method: request.method as Dispatcher.HttpMethod,
-      headers: this.dialect.requestHeaders(request.headers, resumed),
+      headers: this.dialect.createRequestHeaders(request.headers, resumed),
       body: request.body.length > 0 ? request.body : null,
       headersTimeout: 0,
       bodyTimeout: 0,
@@ -157,7 +162,7 @@
   }
 
   /** Hands out the whole answer of an attempt, once. */
-  take(attemptId: string): KeptAnswer | undefined {
+  takeAnswer(attemptId: string): BufferedAnswer | undefined {
     const handler = this.live.get(attemptId);
     this.live.delete(attemptId);
     return handler?.answer;
@@ -165,7 +170,7 @@
 
   /** Frees an exported KV cache; whether it worked changes nothing here. */
   freeKv(source: KvSource): void {
-    void this.ask('freeKv', source.address, source.address, this.dialect.freeKvCall(source));
+    void this.ask('freeKv', source.address, source.address, this.dialect.createFreeKvCall(source));
   }
 
   /** Asks a back end for its health. */
@@ -174,28 +179,28 @@
     const sentAt = performance.now();
     const answer = await this.ask('probe', `${PROBE} ${id}`, address, { method: 'GET', path: healthPath });
     if (!answer) return false;
-    const isHealthy = this.dialect.healthy(answer.status, answer.headers, id);
+    const isHealthy = this.dialect.isHealthy(answer.status, answer.headers, id);
     this.tellSignals(probe.backend, answer, sentAt, isHealthy);
     return isHealthy;
   }
 
   /** Asks a model engine for changes of its KV cache; undefined when it does not tell. */
-  async kvChanges(call: KvChangesCall): Promise<KvChanges | undefined> {
+  async readKvChanges(call: KvChangesCall): Promise<KvChanges | undefined> {
     const { id, address } = call.backend;
-    const small = this.dialect.kvChangesCall(call);
+    const small = this.dialect.createKvChangesCall(call);
     const sentAt = performance.now();
     const answer = await this.ask('kvChanges', `${KV_CHANGES} ${id}`, address, small, call.waitMs);
     if (answer) this.tellSignals(call.backend, answer, sentAt);
-    return answer && this.dialect.kvChanges(answer.status, answer.body);
+    return answer && this.dialect.parseKvChanges(answer.status, answer.body);
   }
 
   /** Asks a model engine for its state; undefined when it does not tell. */
-  async engineStatus(backend: BackendRecord): Promise<EngineStatus | undefined> {
-    const call = this.dialect.engineStatusCall();
+  async readEngineStatus(backend: BackendRecord): Promise<EngineStatus | undefined> {
+    const call = this.dialect.createEngineStatusCall();
     const sentAt = performance.now();
     const answer = await this.ask('engineStatus', backend.id, backend.address, call);
     if (answer) this.tellSignals(backend, answer, sentAt);
-    return answer && this.dialect.engineStatus(answer.status, answer.body);
+    return answer && this.dialect.parseEngineStatus(answer.status, answer.body);
   }
 
   /** Gives an order once. */
@@ -203,9 +208,9 @@
     const { id, address } = order.backend;
     const sentAt = performance.now();
     try {
-      const answer = await this.call(id, address, this.dialect.orderCall(order));
+      const answer = await this.call(id, address, this.dialect.createOrderCall(order));
       this.tellSignals(order.backend, answer, sentAt);
-      return this.dialect.orderResult(answer.status);
+      return this.dialect.parseOrderResult(answer.status);
     } catch (error) {
       return { kind: 'noAnswer', reason: (error as Error).name };
     }
@@ -219,11 +224,11 @@
     isHealthCheck = false,
   ): void {
     if (!this.dialect.isFrom(headers, backend.id)) return;
-    this.onSignals(backend, this.dialect.signals(status, headers), sentAt, isHealthCheck);
+    this.onSignals(backend, this.dialect.parseSignals(status, headers), sentAt, isHealthCheck);
   }
 
   /** Connections to a back end that is gone are closed when their requests are over. */
-  forget(backendId: string): void {
+  removeBackend(backendId: string): void {
     const kinds = [PROBE, ONCE, KV_CHANGES].map((kind) => `${kind} ${backendId}`);
     for (const key of [backendId, ...kinds]) {
       this.pools.get(key)?.close();
@@ -247,7 +252,7 @@
       const successor = this.replaced.get(handler.pool);
       if (successor === undefined) {
         if (handler.isSuspect(this.silentChecks)) this.replace(handler.pool);
-      } else if (handler.isUnheard(this.silentChecks) && successor.wasHeard()) handler.reportSilent();
+      } else if (handler.isUnheard(this.silentChecks) && successor.hasReceived()) handler.reportSilent();
     }
     for (const pool of this.replaced.keys()) if (!waitedOn.has(pool)) this.replaced.delete(pool);
   }
@@ -299,7 +304,7 @@
     let pool = this.pools.get(key);
     if (!pool) {
       const { connectionsPerBackend: connections } = this.settings;
-      pool = new ServerPool(address, { connections, maximumRestMs }, this.resets);
+      pool = new ServerPool(address, { connections, maximumIdleMs: maximumRestMs }, this.resets);
       this.pools.set(key, pool);
     }
     return pool;
--- a/src/adapters/backend-dialect.ts
+++ b/src/adapters/backend-dialect.ts
@@ -46,31 +46,36 @@
 /** The dialect of one platform. */
 export interface BackendDialect {
   /** Reads the head of a caller's request. */
-  callerHead(headers: RawHeaders): CallerHead;
+  parseCallerHead(headers: RawHeaders): CallerHead;
   /** The headers of the request that goes to the back end, end-to-end ones of the caller included. */
-  requestHeaders(callerHeaders: RawHeaders, start: AttemptStart): string[];
+  createRequestHeaders(callerHeaders: RawHeaders, start: AttemptStart): string[];
   /** Judges the head of an answer to the caller's request, or to the prefill made for it. */
-  answerHead(status: number, headers: RawHeaders, callerHead: CallerHead, prefillOnly: boolean): AnswerHead;
+  parseAnswerHead(
+    status: number,
+    headers: RawHeaders,
+    callerHead: CallerHead,
+    prefillOnly: boolean,
+  ): AnswerHead;
   /** What the back end says of itself in the head of any answer. */
-  signals(status: number, headers: RawHeaders): BackendSignals;
+  parseSignals(status: number, headers: RawHeaders): BackendSignals;
   /** Whether the head of an answer names the incarnation that gave it, and it is this one. */
   isFrom(headers: RawHeaders, incarnation: string): boolean;
   /** The handle in the body of a prefill's answer; undefined when there is none. */
-  prefillHandle(body: Buffer): string | undefined;
+  parsePrefillHandle(body: Buffer): string | undefined;
   /** The call that frees an exported KV cache. */
-  freeKvCall(source: KvSource): PlainCall;
+  createFreeKvCall(source: KvSource): PlainCall;
   /** The call that asks a model engine for changes of its KV cache. */
-  kvChangesCall(call: KvChangesCall): PlainCall & { readonly headers: string[] };
+  createKvChangesCall(call: KvChangesCall): PlainCall & { readonly headers: string[] };
   /** The changes; undefined when the answer cannot be read. */
-  kvChanges(status: number, body: string): KvChanges | undefined;
+  parseKvChanges(status: number, body: string): KvChanges | undefined;
   /** The call that asks a model engine for its state. */
-  engineStatusCall(): PlainCall;
+  createEngineStatusCall(): PlainCall;
   /** An engine's state; undefined when the answer cannot be read. */
-  engineStatus(status: number, body: string): EngineStatus | undefined;
+  parseEngineStatus(status: number, body: string): EngineStatus | undefined;
   /** The call that gives an order. */
-  orderCall(order: StageOrder): PlainCall & { readonly headers: string[]; readonly body: string };
+  createOrderCall(order: StageOrder): PlainCall & { readonly headers: string[]; readonly body: string };
   /** What the engine answered to an order. */
-  orderResult(status: number): StageOrderResult;
+  parseOrderResult(status: number): StageOrderResult;
   /** Whether the answer to a health check comes from the incarnation and is good. */
-  healthy(status: number, headers: RawHeaders, incarnation: string): boolean;
+  isHealthy(status: number, headers: RawHeaders, incarnation: string): boolean;
 }
--- a/src/adapters/event-splitter.ts
+++ b/src/adapters/event-splitter.ts
@@ -26,7 +26,7 @@
   }
 
   /** Bytes after the last whole event. */
-  remainder(): Buffer {
+  getRemainder(): Buffer {
     return this.rest;
   }
 }
--- a/src/adapters/http-headers.ts
+++ b/src/adapters/http-headers.ts
@@ -14,7 +14,7 @@
 ]);
 
 /** The first value of a header; `name` in lower case. */
-export function headerValue(headers: RawHeaders, name: string): string | undefined {
+export function getHeaderValue(headers: RawHeaders, name: string): string | undefined {
   for (let index = 0; index + 1 < headers.length; index += 2) {
     if (headers[index].toLowerCase() === name) return headers[index + 1];
   }
@@ -22,7 +22,7 @@
 }
 
 /** The value of a header that stands once; undefined when it is missing or stands several times. */
-export function onlyHeaderValue(headers: RawHeaders, name: string): string | undefined {
+export function getSingleHeaderValue(headers: RawHeaders, name: string): string | undefined {
   let value: string | undefined;
   for (let index = 0; index + 1 < headers.length; index += 2) {
     if (headers[index].toLowerCase() !== name) continue;
@@ -33,9 +33,9 @@
 }
 
 /** The headers that are not for one connection only, without those named in `dropped` (lower case). */
-export function endToEndHeaders(headers: RawHeaders, dropped: ReadonlySet<string>): string[] {
+export function pickEndToEndHeaders(headers: RawHeaders, dropped: ReadonlySet<string>): string[] {
   const named = new Set(
-    (headerValue(headers, 'connection') ?? '').split(',').map((token) => token.trim().toLowerCase()),
+    (getHeaderValue(headers, 'connection') ?? '').split(',').map((token) => token.trim().toLowerCase()),
   );
   const kept: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
--- a/src/adapters/peer-transport.ts
+++ b/src/adapters/peer-transport.ts
@@ -86,7 +86,7 @@
   }
 
   /** Connections made to peers so far. */
-  connectionsMade(): number {
+  getConnectionsMade(): number {
     return this.made;
   }
 
--- a/src/adapters/platform-client.ts
+++ b/src/adapters/platform-client.ts
@@ -9,7 +9,7 @@
 
 /** The platform as the daemon's process uses it. Calls never reject; a failure is a result. */
 export interface PlatformClient {
-  table(request: TableRequest): Promise<TableResult>;
+  sendTableRequest(request: TableRequest): Promise<TableResult>;
   /** The machine list, or undefined when there was no answer. */
   listMachines(cells: readonly string[]): Promise<MachineListing | undefined>;
   close(): Promise<void>;
@@ -68,7 +68,7 @@
     private readonly onUnreadable: UnreadableRetryAfterListener = () => undefined,
   ) {}
 
-  async table(tableRequest: TableRequest): Promise<TableResult> {
+  async sendTableRequest(tableRequest: TableRequest): Promise<TableResult> {
     try {
       const { statusCode, headers, body } = await this.post('/v1/table', tableRequest);
       const value: unknown = await body.json();
--- a/src/adapters/reset-watch.ts
+++ b/src/adapters/reset-watch.ts
@@ -7,7 +7,7 @@
 import { buildConnector } from 'undici';
 
 /** Watches every connection that its connectors make. */
-export class ResetWatch {
+export class ResetDetector {
   private reporting = false;
   private readonly connect: buildConnector.connector;
 
@@ -31,7 +31,7 @@
   }
 
   /** Whether what a handler is being called with right now follows from the failure of its connection. */
-  failing(): boolean {
+  isHandlingReset(): boolean {
     return this.reporting;
   }
 
--- a/src/adapters/retry-after-header.ts
+++ b/src/adapters/retry-after-header.ts
@@ -4,7 +4,10 @@
 import { SECOND_MS } from '../shared/units.js';
 
 /** Statuses with which a server turns a request away and may say until when it wants none. */
-export const REFUSALS: ReadonlySet<number> = new Set([STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE]);
+export const RETRY_AFTER_STATUSES: ReadonlySet<number> = new Set([
+  STATUS_TOO_MANY_REQUESTS,
+  STATUS_UNAVAILABLE,
+]);
 
 /** The one form of dates that is sent; `Date.parse` takes much else for one. */
 const HTTP_DATE = /^[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/;
@@ -30,7 +33,7 @@
   { 'retry-after': text, date }: Readonly<Record<string, string | string[] | undefined>>,
   onUnreadable: UnreadableRetryAfterListener,
 ): number | undefined {
-  if (!REFUSALS.has(status) || typeof text !== 'string') return undefined;
+  if (!RETRY_AFTER_STATUSES.has(status) || typeof text !== 'string') return undefined;
   const ms = parseRetryAfterMs(text, typeof date === 'string' ? date : undefined);
   if (ms === undefined) onUnreadable(text);
   return ms;
--- a/src/adapters/server-pool.ts
+++ b/src/adapters/server-pool.ts
@@ -5,13 +5,13 @@
  */
 import { Pool } from 'undici';
 import type { Socket } from 'node:net';
-import type { ResetWatch } from './reset-watch.js';
+import type { ResetDetector } from './reset-watch.js';
 
 /** Settings of one pool. */
 interface ServerPoolSettings {
   readonly connections: number;
   /** How long a connection may rest. Milliseconds. */
-  readonly maximumRestMs: number;
+  readonly maximumIdleMs: number;
 }
 
 /**
@@ -42,9 +42,9 @@
   constructor(
     private readonly address: string,
     private readonly settings: ServerPoolSettings,
-    private readonly resets: ResetWatch,
+    private readonly resets: ResetDetector,
   ) {
-    const { connections, maximumRestMs } = settings;
+    const { connections, maximumIdleMs: maximumRestMs } = settings;
     this.pool = new Pool(`http://${address}`, {
       connections,
       pipelining: 1,
@@ -87,7 +87,7 @@
   }
 
   /** Whether anything was ever heard here. */
-  wasHeard(): boolean {
+  hasReceived(): boolean {
     return [...this.connections].some(({ heardAtCheck }) => heardAtCheck > 0);
   }
 
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -7,8 +7,8 @@
 import { loadSettings, type Settings } from '../settings/settings.js';
 import { explainRequest } from './explain-command.js';
 import { OperatorClient, RemoteProblemError } from './operator-client.js';
-import { servicesCommand } from './services-command.js';
-import { statusCommand } from './status-command.js';
+import { runServicesCommand } from './services-command.js';
+import { runStatusCommand } from './status-command.js';
 import { EXIT_CONFLICT, EXIT_FAILURE, EXIT_OK } from '../shared/exit-codes.js';
 
 const cli = meow(
@@ -56,13 +56,13 @@
       checkCommand(args);
       break;
     case 'status':
-      print(await statusCommand(operators(), cli.flags.json));
+      print(await runStatusCommand(operators(), cli.flags.json));
       break;
     case 'explain':
       print(explainRequest(requestIdOf(args), readLogs()));
       break;
     case 'services':
-      print(await servicesCommand(new OperatorClient(operators()[0]), args, cli.flags));
+      print(await runServicesCommand(new OperatorClient(operators()[0]), args, cli.flags));
       break;
     default:
       cli.showHelp(command === undefined ? EXIT_OK : EXIT_FAILURE);
@@ -74,7 +74,7 @@
   const stop = (): void => void daemon.stop().then(() => process.exit(EXIT_OK));
   process.on('SIGTERM', stop);
   process.on('SIGINT', stop);
-  process.on('SIGHUP', () => daemon.reloaded(checkReload(readSettings)));
+  process.on('SIGHUP', () => daemon.onReload(checkReload(readSettings)));
   await daemon.start();
 }
 
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici';
 import type { CompletionDaemonStatus, RowEdit } from '../daemon/completion-messages.js';
 import { ProtocolError, PulleyledgeError, TableUnavailableError } from '../errors/index.js';
-import type { ServicesAnswer } from '../gateway/operator-server.js';
+import type { ServicesResponse } from '../gateway/operator-server.js';
 import type { Problem } from '../gateway/problem.js';
 import { STATUS_OK } from '../shared/http-status.js';
 
@@ -28,13 +28,13 @@
   constructor(private readonly address: string) {}
 
   /** The daemon's status. */
-  status(): Promise<CompletionDaemonStatus> {
+  getStatus(): Promise<CompletionDaemonStatus> {
     return this.call('GET', '/v1/status') as Promise<CompletionDaemonStatus>;
   }
 
   /** The services in force at the daemon. */
-  services(): Promise<ServicesAnswer> {
-    return this.call('GET', '/v1/services') as Promise<ServicesAnswer>;
+  getServices(): Promise<ServicesResponse> {
+    return this.call('GET', '/v1/services') as Promise<ServicesResponse>;
   }
 
   /** Edits rows, all or none. Returns the revision of the accepted edit. */
--- a/src/cli/services-command.ts
+++ b/src/cli/services-command.ts
@@ -21,7 +21,7 @@
  * Runs one services command and returns what to print.
  * @throws PulleyledgeError of any kind
  */
-export async function servicesCommand(
+export async function runServicesCommand(
   client: OperatorClient,
   args: readonly string[],
   options: ServicesOptions,
@@ -51,7 +51,7 @@
 }
 
 async function list(client: OperatorClient, options: ServicesOptions): Promise<string> {
-  const { revision, services } = await client.services();
+  const { revision, services } = await client.getServices();
   if (options.json) return JSON.stringify({ revision, services }, null, 2);
   const columns = [
     'name',
@@ -72,7 +72,7 @@
 }
 
 async function find(client: OperatorClient, name: string): Promise<VersionedRow> {
-  const { services } = await client.services();
+  const { services } = await client.getServices();
   const found = services.find((entry) => entry.name === name);
   if (!found) throw new UnknownServiceError(name);
   return found;
@@ -85,7 +85,7 @@
   options: ServicesOptions,
 ): Promise<string> {
   if (assignments.length === 0) throw new ValidationError('services set', 'needs at least one column=value');
-  const { services } = await client.services();
+  const { services } = await client.getServices();
   const present = services.find((entry) => entry.name === name);
   const changes: Record<string, unknown> = {};
   for (const assignment of assignments) {
@@ -118,7 +118,7 @@
 }
 
 async function exportCsv(client: OperatorClient, path: string | undefined): Promise<string> {
-  const { services } = await client.services();
+  const { services } = await client.getServices();
   const csv = formatServicesCsv(services);
   if (path === undefined) return csv.trimEnd();
   writeFileSync(path, csv);
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -10,7 +10,7 @@
   | { readonly address: string; readonly error: PulleyledgeError };
 
 /** Asks every daemon named and returns what to print. */
-export async function statusCommand(addresses: readonly string[], json: boolean): Promise<string> {
+export async function runStatusCommand(addresses: readonly string[], json: boolean): Promise<string> {
   const answers = await Promise.all(addresses.map(ask));
   if (json) {
     return JSON.stringify(
@@ -27,7 +27,7 @@
 
 async function ask(address: string): Promise<Answer> {
   try {
-    return { address, status: await new OperatorClient(address).status() };
+    return { address, status: await new OperatorClient(address).getStatus() };
   } catch (error) {
     return { address, error: error as PulleyledgeError };
   }
--- a/src/daemon/cell-manager.ts
+++ b/src/daemon/cell-manager.ts
@@ -78,7 +78,7 @@
 
   /** Advances timers. `eligible` is false while the daemon is draining: it then acquires no leases. */
   tick(now: number, eligible: boolean): void {
-    this.assignment.update(this.parts.membership.active(), this.cells);
+    this.assignment.update(this.parts.membership.getActive(), this.cells);
     if (now >= this.nextListingAt) this.requestListing(now);
     for (const runtime of this.runtimes.values()) {
       const coordinatorId = this.assignment.getCoordinator(runtime.cell);
@@ -117,7 +117,7 @@
     if (sameCells) this.listedSince ??= now;
     else this.cells = listing.cells;
     this.machines = listing.machines;
-    this.assignment.update(this.parts.membership.active(), this.cells);
+    this.assignment.update(this.parts.membership.getActive(), this.cells);
     const routed = this.assignment.getCells(this.identity);
     for (const cell of routed) this.addRuntime(cell, now);
     for (const cell of [...this.runtimes.keys()]) if (!routed.includes(cell)) this.runtimes.delete(cell);
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -69,7 +69,7 @@
   readiness(now: number): { ready: boolean; reason: string } {
     if (this.draining) return { ready: false, reason: 'draining' };
     const { membership, cells } = this.machines;
-    if (!membership.joined()) return { ready: false, reason: 'no other daemon has answered yet' };
+    if (!membership.hasJoined()) return { ready: false, reason: 'no other daemon has answered yet' };
     const freshness = this.freshness(now);
     if (freshness.kind === 'never') return { ready: false, reason: 'no configuration is known yet' };
     if (freshness.kind === 'stale') return { ready: false, reason: 'the configuration is stale' };
@@ -91,7 +91,7 @@
 
   /** Number of daemons in contact and of known daemons, as counted by the majority rule. */
   getMemberCounts(): { alive: number; known: number } {
-    return this.machines.membership.contact();
+    return this.machines.membership.getContact();
   }
 
   /** Number of unconfirmed writes to the table; a stopping process waits for them for a limited time. */
@@ -112,7 +112,7 @@
       reason,
       configurationRevision: configuration.getRevision(),
       configurationAgeMs: freshness.kind === 'never' ? -1 : Math.round(freshness.ageMs),
-      members: membership.all().map(({ id, address, zone, state }) => ({ id, address, zone, state })),
+      members: membership.getAll().map(({ id, address, zone, state }) => ({ id, address, zone, state })),
       engines: directory.summary(),
       leases: cells.getLeases(now),
       limits: limits.getInUse(),
@@ -191,7 +191,7 @@
     const { membership, quarantine, configuration, cells, limits } = this.machines;
     membership.tick(now);
     quarantine.tick(wallMs, now);
-    configuration.tick(now, this.identity.zone, membership.active());
+    configuration.tick(now, this.identity.zone, membership.getActive());
     cells.tick(now, !this.draining);
     limits.tick(now);
     const { ledger, editor, admission, completions, applications } = this.machines;
--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -8,7 +8,7 @@
  */
 import { ConfigurationReplica, type Freshness } from '../configuration/configuration-replica.js';
 import { AtMostOnceLedger } from '../ledger/once-ledger.js';
-import { initialMember } from '../membership/member-rules.js';
+import { createInitialMember } from '../membership/member-rules.js';
 import { Membership } from '../membership/membership.js';
 import type { DaemonIdentity } from '../membership/membership-messages.js';
 import { ApplicationManager } from '../routing/application-manager.js';
@@ -121,7 +121,7 @@
   const applyChange = (deadId: string | undefined): void =>
     defer((at) => limits().applyMembership(deadId, Math.max(at, now)));
   return new Membership(
-    initialMember(identity),
+    createInitialMember(identity),
     seeds,
     settings.membership,
     random,
@@ -137,7 +137,7 @@
 ): CompletionQuarantine {
   return new CompletionQuarantine({
     selfId: identity.id,
-    members: () => membership.active(),
+    members: () => membership.getActive(),
     hasOlderAttempt: (id, before) => managers().some((manager) => manager.hasOlderAttempt(id, before)),
     random,
     emit,
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -104,7 +104,7 @@
 
   /** Whether callers should send requests to this daemon. */
   ready(): boolean {
-    return !this.draining && this.routes !== undefined && this.machines.replica.knowsBackends();
+    return !this.draining && this.routes !== undefined && this.machines.replica.hasBackends();
   }
 
   /** Number of requests that are active or waiting. */
@@ -119,12 +119,12 @@
 
   /** Time since the store last confirmed the configuration. Milliseconds. */
   configurationAgeMs(now: number): number {
-    return this.machines.replica.ageMs('configuration', now);
+    return this.machines.replica.getAgeMs('configuration', now);
   }
 
   /** Number of daemons believed to be running, including this one. */
   members(): number {
-    return this.machines.membership.active().length;
+    return this.machines.membership.getActive().length;
   }
 
   /** Number of requests of all daemons at a back end, as far as this daemon knows. */
@@ -150,7 +150,7 @@
         this.receivePeer(event.fromId, event.fromAddress, event.message, now);
         break;
       case 'recordsRead':
-        this.machines.replica.receive(event.collection, event.result, now);
+        this.machines.replica.receiveReadResult(event.collection, event.result, now);
         break;
       case 'submit':
         this.machines.manager.receiveRequest(event.request, now);
@@ -205,7 +205,7 @@
    */
   private onMachineSuspended(forMs: number, now: number): void {
     this.logChange('process.suspended', { forMs: Math.round(forMs), requests: this.countOpenRequests() });
-    this.machines.replica.clockStoodStill(forMs);
+    this.machines.replica.onMachineSuspended(forMs);
     for (const part of this.machines.parts) part.onMachineSuspended?.(forMs);
     this.onProcessResumed(now);
   }
@@ -245,10 +245,10 @@
   private setReaderRank(): void {
     if (!this.membersChanged) return;
     this.membersChanged = false;
-    this.machines.directory.peers.setDaemonCount(this.machines.membership.active().length);
+    this.machines.directory.peers.setDaemonCount(this.machines.membership.getActive().length);
     this.readerRank = getRendezvousRank(
       STORE_READER_KEY,
-      this.machines.membership.activeIds(),
+      this.machines.membership.getActiveIds(),
       this.identity.id,
     );
     this.machines.replica.setRank(this.readerRank);
@@ -261,8 +261,8 @@
    * the retries that their budget allows).
    */
   private countSharingDaemons(): number {
-    const sharing = this.machines.membership.countSharing();
-    const knowsAll = this.machines.membership.joined() && this.machines.membership.knowsSeeds();
+    const sharing = this.machines.membership.getSharingDaemonCount();
+    const knowsAll = this.machines.membership.hasJoined() && this.machines.membership.hasAllSeeds();
     return knowsAll ? sharing : Math.max(sharing, MINIMUM_ASSUMED_DAEMONS);
   }
 
--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -16,7 +16,7 @@
 import { RetryAllowance } from '../forwarding/retry/retry-allowance.js';
 import type { RouteTable } from '../forwarding/routes/route-table.js';
 import type { TenantDirectory } from '../forwarding/routes/tenant-directory.js';
-import { initialMember } from '../membership/member-rules.js';
+import { createInitialMember } from '../membership/member-rules.js';
 import { Membership, type MembershipEffect } from '../membership/membership.js';
 import type { DaemonIdentity } from '../membership/membership-messages.js';
 import type { FleetView } from '../quotas/owner-ranking.js';
@@ -89,7 +89,7 @@
   const directory = new BackendDirectory(settings.health, settings.picker.pace);
   const kvIndex = new KvIndex();
   const membership = new Membership(
-    initialMember(identity),
+    createInitialMember(identity),
     seeds,
     settings.membership,
     random,
@@ -105,7 +105,7 @@
     directory,
     membership,
     resumeWaiting: (service, at) => manager.sendWaiting(service, at),
-    sendSoon: (at) => exchange.sendSoon(at),
+    sendSoon: (at) => exchange.sendDigestSoon(at),
   });
   const { permits } = signals;
   const manager = createManager(context, { replica, picker, kvIndex, retries, permits, getParts });
@@ -116,8 +116,8 @@
 
 /** The fleet as this daemon sees it. */
 function getFleetView(membership: Membership): FleetView {
-  const members = membership.active();
-  return { members, knownCount: membership.contact().known, joined: membership.joined() };
+  const members = membership.getActive();
+  return { members, knownCount: membership.getContact().known, joined: membership.hasJoined() };
 }
 
 /** What back ends report about themselves, and the permits for sending to those that name a limit. */
@@ -212,12 +212,12 @@
     settings.exchange,
     replica,
     directory,
-    { placements: { take: () => kvIndex.takeRecentPlacements(), learn: applyPlacement }, ...signals },
+    { placements: { take: () => kvIndex.takeRecentPlacements(), addPlacement: applyPlacement }, ...signals },
     {
       selfAddress: identity.address,
       zone: identity.zone,
       region: identity.region,
-      active: () => membership.active(),
+      getActive: () => membership.getActive(),
     },
     random,
     ({ address, message }) => emit({ kind: 'sendPeer', address, message }),
@@ -243,7 +243,7 @@
       ...signals,
       regions: distances.places.hasSeveralRegions() ? distances : undefined,
       emit,
-      members: () => membership.active(),
+      members: () => membership.getActive(),
       fleet: () => getFleetView(membership),
       decideQuota: (requestId, decision) => manager.applyQuota(requestId, decision, context.getEventTime()),
       isFirstReader: () => context.isFirstReader(),
--- a/src/duties/duty-manager.ts
+++ b/src/duties/duty-manager.ts
@@ -37,11 +37,11 @@
 }
 
 /// What the duties look at.
-interface DutySurroundings {
+interface DutyContext {
   /// Active members; the same array as long as they are the same.
-  members(): readonly Member[]
-  services(): readonly BackendService[]
-  backendsOf(service: string): readonly BackendView[]
+  getMembers(): readonly Member[]
+  getServices(): readonly BackendService[]
+  getBackends(service: string): readonly BackendView[]
 }
 
 /// What the duties ask for and tell.
@@ -82,7 +82,7 @@
   /// Since when this daemon hears all counts; undefined while it does not.
   private collectsSince: number | undefined
   private collectors: readonly Member[] = []
-  private tellAll = true
+  private broadcast = true
   private nextTellAt = -Infinity
   private actFrom = Infinity
   private tickedAt = 0
@@ -90,7 +90,7 @@
   constructor(
     private readonly selfId: string,
     private readonly settings: DutySettings,
-    private readonly surroundings: DutySurroundings,
+    private readonly surroundings: DutyContext,
     private readonly emit: EffectSink<DutyEffect>,
     now: number
   ) {
@@ -101,7 +101,7 @@
   }
 
   /// Counts a request that began to run at `at`.
-  requestBegan(tenant: string, at: number): void {
+  onRequestStarted(tenant: string, at: number): void {
     const fleetMs = this.clock.getTime(at)
     if (fleetMs !== undefined && this.settings.reportsUsage) this.counter.add(tenant, fleetMs)
   }
@@ -116,7 +116,7 @@
     this.tickedAt = now
     const fleetMs = this.clock.getTime(now)
     if (fleetMs === undefined) return
-    this.rank(this.surroundings.members(), now)
+    this.rank(this.surroundings.getMembers(), now)
     this.tell(leaving, fleetMs, now)
     this.tickLease(leaving, now)
     const held = this.lease.getHeldLease(now)
@@ -130,7 +130,7 @@
   }
 
   /// This process's clock stood still for a time that nobody here has counted.
-  clockStoodStill(): void {
+  onMachineSuspended(): void {
     this.lease.onMachineSuspended()
   }
 
@@ -153,19 +153,19 @@
 
   /// Every daemon that may come to hold the duties follows the demand, so that it knows the past.
   private followDemand(now: number): void {
-    for (const {name, scaling} of this.surroundings.services()) {
+    for (const {name, scaling} of this.surroundings.getServices()) {
       if (!scaling) continue
       let demand = this.demands.get(name)
       if (!demand) this.demands.set(name, (demand = new CapacityDemand(this.settings.demand)))
-      demand.update(this.surroundings.backendsOf(name), scaling.spotPrice !== undefined, now)
+      demand.update(this.surroundings.getBackends(name), scaling.spotPrice !== undefined, now)
     }
   }
 
   private orderCapacity(authority: DutyAuthority, now: number): void {
-    for (const service of this.surroundings.services()) {
+    for (const service of this.surroundings.getServices()) {
       const wanted = this.demands.get(service.name)?.getWanted(service.scaling, now)
       if (wanted !== undefined)
-        this.capacity.tick(service, this.surroundings.backendsOf(service.name), wanted, authority, now)
+        this.capacity.tick(service, this.surroundings.getBackends(service.name), wanted, authority, now)
     }
   }
 
@@ -202,14 +202,14 @@
     this.collectors = ids.flatMap(id => byId.get(id) ?? [])
     const collects = ids.includes(this.selfId)
     this.collectsSince = collects ? (this.collectsSince ?? now) : undefined
-    this.tellAll = true
+    this.broadcast = true
   }
 
   private tell(leaving: boolean, fleetMs: number, now: number): void {
     if (now < this.nextTellAt) return
     this.nextTellAt = now + (leaving ? SHORTEST_TELL_INTERVAL_MS : this.getTellIntervalMs())
-    const message = this.counter.takeUntold(fleetMs, this.tellAll)
-    this.tellAll = false
+    const message = this.counter.takeUntold(fleetMs, this.broadcast)
+    this.broadcast = false
     if (!message) return
     for (const {id, address} of this.collectors) {
       if (id === this.selfId) this.collector.apply(id, message)
--- a/src/duties/fleet-clock.ts
+++ b/src/duties/fleet-clock.ts
@@ -23,12 +23,12 @@
   constructor(private readonly selfId: string) {}
 
   /// Takes the time of day of this machine.
-  setOwn(wallMs: number, now: number): void {
-    this.apply(this.selfId, wallMs, now)
+  setLocalTime(wallMs: number, now: number): void {
+    this.addSample(this.selfId, wallMs, now)
   }
 
   /// Takes the time of day that a daemon had when it sent a message that arrives now.
-  apply(id: string, wallMs: number, now: number): void {
+  addSample(id: string, wallMs: number, now: number): void {
     this.samples.delete(id)
     this.samples.set(id, {offset: wallMs - now, at: now})
     this.removeOld(now)
@@ -36,7 +36,7 @@
   }
 
   /// The time of day of this machine; undefined before the first tick.
-  getOwn(now: number): number | undefined {
+  getLocalTime(now: number): number | undefined {
     const own = this.samples.get(this.selfId)
     return own && own.offset + now
   }
--- a/src/fleet/fleet-replica.ts
+++ b/src/fleet/fleet-replica.ts
@@ -39,12 +39,12 @@
   }
 
   /// The configuration in force; undefined before the first.
-  configuration(): RouteConfiguration | undefined {
+  getConfiguration(): RouteConfiguration | undefined {
     return this.copy.getConfiguration()
   }
 
   /// Whether the list of back ends is known at all.
-  knowsBackends(): boolean {
+  hasBackends(): boolean {
     return this.copy.hasRecords("backends")
   }
 
@@ -63,7 +63,7 @@
   }
 
   /// How long ago the store was last known to have nothing newer. Milliseconds.
-  ageMs(collection: RecordCollection, now: number): number {
+  getAgeMs(collection: RecordCollection, now: number): number {
     return this.followers[collection].getAgeMs(now)
   }
 
@@ -79,17 +79,17 @@
 
   /// Whether a newer configuration may be in force elsewhere.
   configurationMayBeStale(now: number): boolean {
-    if (this.configuration() === undefined || this.isBehind("configuration")) return true
-    return this.ageMs("configuration", now) > this.settings.staleMs
+    if (this.getConfiguration() === undefined || this.isBehind("configuration")) return true
+    return this.getAgeMs("configuration", now) > this.settings.staleMs
   }
 
   /// The clock stood still for a time that it has not counted. Milliseconds.
-  clockStoodStill(forMs: number): void {
-    for (const follower of Object.values(this.followers)) follower.clockStoodStill(forMs)
+  onMachineSuspended(forMs: number): void {
+    for (const follower of Object.values(this.followers)) follower.onMachineSuspended(forMs)
   }
 
   /// Everything known, removals included, for a peer.
-  records(): StoredRecord[] {
+  getRecords(): StoredRecord[] {
     return this.copy.getRecords()
   }
 
@@ -100,7 +100,7 @@
   }
 
   /// Takes the answer to a `readRecords` effect.
-  receive(collection: RecordCollection, result: RecordReadResult, now: number): void {
+  receiveReadResult(collection: RecordCollection, result: RecordReadResult, now: number): void {
     const follower = this.followers[collection]
     follower.receiveEnd(result.kind === "snapshot" || result.kind === "changes", now)
     switch (result.kind) {
@@ -110,7 +110,7 @@
         break
       case "changes": {
         this.applyChanges(follower, result.revision, result.records, now)
-        const pauseMs = result.records.length > 0 ? this.settings.gatherMs : 0
+        const pauseMs = result.records.length > 0 ? this.settings.batchDelayMs : 0
         follower.receiveConfirmation(result.storeMs, follower.getAnswerTime(now), pauseMs, now)
         break
       }
--- a/src/fleet/lapsed-backends.ts
+++ b/src/fleet/lapsed-backends.ts
@@ -1,7 +1,7 @@
 /// Back ends whose records were gone when the store came back from an outage. A back end that could not reach
 /// the store loses its record although it lives, and writes it anew within moments; one that does not is
 /// gone.
-export class LapsedBackends {
+export class ExpiredBackends {
   /// Until when each one may still come back. Monotonic milliseconds.
   private readonly untilById = new Map<string, number>()
 
--- a/src/fleet/peer-exchange.ts
+++ b/src/fleet/peer-exchange.ts
@@ -36,9 +36,9 @@
   /// Milliseconds. Default 350.
   readonly regionIntervalMs: number
   /// A relay that has told nothing for so long is passed over. Milliseconds. Default 1000.
-  readonly relayPatienceMs: number
+  readonly relayTimeoutMs: number
   /// A daemon that has been behind a peer for so long asks it for its records. Milliseconds. Default 300.
-  readonly pullAfterMs: number
+  readonly pullDelayMs: number
 }
 
 /// Default settings.
@@ -51,14 +51,14 @@
   relayIntervalPerDaemonMs: 2,
   minimumRelayIntervalMs: 120,
   regionIntervalMs: 350,
-  relayPatienceMs: 1000,
-  pullAfterMs: 300
+  relayTimeoutMs: 1000,
+  pullDelayMs: 300
 }
 
 /// Where prompts were computed: what this daemon tells, and what it learns.
 interface PlacementExchange {
   take(): readonly PartPlacement[]
-  learn(placement: PartPlacement): void
+  addPlacement(placement: PartPlacement): void
 }
 
 /// What goes along with the loads.
@@ -81,7 +81,7 @@
 interface PeerMembers extends RelayPlace {
   readonly selfAddress: string
   /// Active members, this daemon included; the same array as long as they are the same.
-  active(): readonly Member[]
+  getActive(): readonly Member[]
 }
 
 /// A daemon that passed over a silent relay tries the first one again after so long. Milliseconds. Without it
@@ -92,7 +92,7 @@
 const NO_RELAYS: RelayRanking = {
   ownZone: [],
   ownRegion: [],
-  elsewhere: [],
+  otherRegions: [],
   regionRelay: undefined,
   otherRegionRelays: []
 }
@@ -141,7 +141,7 @@
   }
 
   /// There is news that should not wait for the next digest.
-  sendSoon(now: number): void {
+  sendDigestSoon(now: number): void {
     this.nextDigestAt = Math.min(this.nextDigestAt, now)
   }
 
@@ -224,7 +224,7 @@
       case "recordsPull": {
         const {sequence} = message
         const knowledge = this.replica.getKnowledge(now)
-        const records = this.replica.records()
+        const records = this.replica.getRecords()
         this.emit({address: fromAddress, message: {kind: "recordsSnapshot", sequence, knowledge, records}})
         break
       }
@@ -244,7 +244,7 @@
   sendChanges(message: RecordsChanged): void {
     this.rankMembers()
     if (this.isRelayed()) {
-      const relays = [...this.getOtherRelaysOfRegion(), ...this.ranking.elsewhere]
+      const relays = [...this.getOtherRelaysOfRegion(), ...this.ranking.otherRegions]
       this.sendToAll(relays, {...message, passOn: true})
       this.sendToAll(this.relay.getMemberAddresses(), message)
     } else this.sendToAll(this.peers, message)
@@ -274,7 +274,7 @@
     if (!lacks("configuration") && !lacks("backends")) return
     this.behindSince ??= now
     const knowsNothing = own.configuration.changed === 0 || own.backends.changed === 0
-    if (!knowsNothing && now - this.behindSince < this.settings.pullAfterMs) return
+    if (!knowsNothing && now - this.behindSince < this.settings.pullDelayMs) return
     this.behindSince = now
     this.sequence += 1
     this.emit({address: fromAddress, message: {kind: "recordsPull", sequence: this.sequence}})
@@ -292,7 +292,7 @@
   }
 
   private applyLoads(fromId: string, fromAddress: string, message: LoadDigest, now: number): void {
-    for (const placement of message.placements) this.news.placements.learn(placement)
+    for (const placement of message.placements) this.news.placements.addPlacement(placement)
     this.news.limits.applyFromPeer(message.limits ?? [], now)
     this.news.leaving.applyFromPeer(message.leaving ?? [], now)
     switch (message.scope ?? "own") {
@@ -321,7 +321,7 @@
     const {ownZone} = this.ranking
     const known = this.relayAddress !== undefined && ownZone.includes(this.relayAddress)
     const isSelf = this.relayAddress === this.members.selfAddress
-    const isHeard = isSelf || now - this.relayHeardAt <= this.settings.relayPatienceMs
+    const isHeard = isSelf || now - this.relayHeardAt <= this.settings.relayTimeoutMs
     if (known && isHeard && (this.relayAddress === ownZone[0] || now < this.returnAt))
       return this.relayAddress
     const isSilent = known && !isHeard
@@ -333,7 +333,7 @@
   }
 
   private rankMembers(): void {
-    const members = this.members.active()
+    const members = this.members.getActive()
     if (members === this.rankedAmong) return
     this.rankedAmong = members
     this.peers = members.map(({address}) => address).filter(address => address !== this.members.selfAddress)
--- a/src/fleet/record-copy.ts
+++ b/src/fleet/record-copy.ts
@@ -3,7 +3,7 @@
 import type {BackendRecord, RouteConfiguration} from "../forwarding/routes/route.js"
 import type {EffectSink} from "../shared/effect-sink.js"
 import {STORE_SOURCE, type FleetEffect, type RecordSource} from "./fleet-effects.js"
-import {LapsedBackends} from "./lapsed-backends.js"
+import {ExpiredBackends} from "./lapsed-backends.js"
 import type {RecordCollection, StoredRecord} from "./record-store.js"
 
 interface KnownBackend {
@@ -24,7 +24,7 @@
   private current: RouteConfiguration | undefined
   private backendsRevision = 0
   private readonly backends = new Map<string, KnownBackend>()
-  private readonly lapsed = new LapsedBackends()
+  private readonly lapsed = new ExpiredBackends()
 
   constructor(private readonly emit: EffectSink<FleetEffect>) {}
 
--- a/src/fleet/record-store.ts
+++ b/src/fleet/record-store.ts
@@ -15,7 +15,7 @@
   /// Milliseconds.
   readonly waitMs: number
   /// An answer so much later than the wait counts as lost. Milliseconds.
-  readonly answerMs: number
+  readonly answerTimeoutMs: number
 }
 
 /// Records as the store gave them.
--- a/src/fleet/relay-ranking.ts
+++ b/src/fleet/relay-ranking.ts
@@ -22,7 +22,7 @@
   /// Relays of the other zones of the own region.
   readonly ownRegion: readonly string[]
   /// Relays of every zone of the other regions.
-  readonly elsewhere: readonly string[]
+  readonly otherRegions: readonly string[]
   /// Who tells the other regions what the own one puts on.
   readonly regionRelay: string | undefined
   /// Who hears it in each of the other regions.
@@ -42,7 +42,7 @@
   return {
     ownZone: inRegion.find(({zone}) => zone === own.zone)?.addresses ?? [],
     ownRegion: inRegion.filter(({zone}) => zone !== own.zone).flatMap(({addresses}) => addresses),
-    elsewhere: elsewhere.flatMap(({addresses}) => addresses),
+    otherRegions: elsewhere.flatMap(({addresses}) => addresses),
     regionRelay: pickRegionRelay(inRegion),
     otherRegionRelays: regions.flatMap(
       region => pickRegionRelay(elsewhere.filter(zone => zone.region === region)) ?? []
--- a/src/fleet/store-follower.ts
+++ b/src/fleet/store-follower.ts
@@ -99,7 +99,7 @@
   }
 
   /// The clock stood still for a time that it has not counted: what is known is older than it seems.
-  clockStoodStill(forMs: number): void {
+  onMachineSuspended(forMs: number): void {
     this.completeAt -= forMs
   }
 
@@ -159,7 +159,7 @@
     this.noteSilence(now)
     this.completeAt = Math.max(this.completeAt, completeAt)
     // A read that does not wait is answered at once, also by a store that lags behind what peers have told.
-    const pause = this.lastWaitMs > 0 ? pauseMs : Math.max(pauseMs, this.settings.gatherMs)
+    const pause = this.lastWaitMs > 0 ? pauseMs : Math.max(pauseMs, this.settings.batchDelayMs)
     this.nextAt = now + pause
     if (pause === 0 && this.isDue(now)) this.read(now)
   }
@@ -229,7 +229,11 @@
   /// Whether this daemon should ask the store itself.
   private isDue(now: number): boolean {
     if (this.rank === 0 || this.isBehind()) return true
-    const {patienceMs, patienceStepMs, maximumPatienceMs} = this.settings
+    const {
+      standbyDelayMs: patienceMs,
+      standbyDelayStepMs: patienceStepMs,
+      maximumStandbyDelayMs: maximumPatienceMs
+    } = this.settings
     const patience = Math.min(maximumPatienceMs, patienceMs + (this.rank - 1) * patienceStepMs)
     return now - this.completeAt > patience
   }
@@ -246,8 +250,11 @@
     const {collection, cursor, settings} = this
     const follows = this.rank === 0
     this.lastWaitMs = follows ? settings.waitMs : 0
-    const answerMs = follows || this.failures > 0 ? settings.answerMs : settings.firstAnswerMs
-    this.emit({kind: "readRecords", read: {collection, after: cursor, waitMs: this.lastWaitMs, answerMs}})
+    const answerMs = follows || this.failures > 0 ? settings.answerTimeoutMs : settings.firstAnswerTimeoutMs
+    this.emit({
+      kind: "readRecords",
+      read: {collection, after: cursor, waitMs: this.lastWaitMs, answerTimeoutMs: answerMs}
+    })
   }
 
   private forgetFailures(): void {
@@ -268,7 +275,12 @@
   /// its own outage, a back end was known to be gone up to 3,428 ms after it was, of 3,000 (virtual time, 16
   /// daemons, the first reader turned away for 5 s).
   private getHoldAfterSilence(now: number): number {
-    const {lapseOutageMs, lapseGraceMs, servedElsewhereMs, staleMs} = this.settings
+    const {
+      expiryOutageMs: lapseOutageMs,
+      expiryGraceMs: lapseGraceMs,
+      peerConfirmationMs: servedElsewhereMs,
+      staleMs
+    } = this.settings
     const silentMs = this.getAgeMs(now)
     if (silentMs < lapseOutageMs || !Number.isFinite(silentMs)) return -Infinity
     const until = now + lapseGraceMs
@@ -276,11 +288,11 @@
   }
 
   private hasHadLongOutage(now: number): boolean {
-    return this.unanswered && now - this.failingSince >= this.settings.lapseOutageMs
+    return this.unanswered && now - this.failingSince >= this.settings.expiryOutageMs
   }
 
   private backOff(now: number): void {
-    const {backoffMs, maximumBackoffMs, unknowingBackoffMs} = this.settings
+    const {backoffMs, maximumBackoffMs, emptyBackoffMs: unknowingBackoffMs} = this.settings
     const pause = Math.min(
       this.hasRecords() ? maximumBackoffMs : unknowingBackoffMs,
       backoffMs * 2 ** Math.min(this.failures, MAXIMUM_BACKOFF_DOUBLINGS)
--- a/src/forwarding/choose/backend-distance.ts
+++ b/src/forwarding/choose/backend-distance.ts
@@ -61,22 +61,22 @@
 
   /// Cost of a call of `bytes` to the back end.
   getCall(view: BackendView, bytes: number): Expense {
-    return this.cost.getCall(this.ownZone, view.record.zone, bytes)
+    return this.cost.getCallExpense(this.ownZone, view.record.zone, bytes)
   }
 
   /// Cost of copying `tokens` of a KV cache between two engines.
   getMove(from: BackendView, to: BackendView, tokens: number, engine: EngineTraits | undefined): Expense {
-    return this.cost.getMove(from.record.zone, to.record.zone, tokens, getLinks(engine))
+    return this.cost.getCopyExpense(from.record.zone, to.record.zone, tokens, getLinks(engine))
   }
 
   /// Prompt tokens that an engine is assumed to compute in a millisecond until its pace is known.
   getDefaultTokensPerMs(): number {
-    return this.cost.settings.tokensPerMs
+    return this.cost.settings.initialTokensPerMs
   }
 
   /// Average time of a request at back ends of the same service and stage. Milliseconds.
   getWorkMs(view: BackendView): number {
-    return this.workMs.get(getKind(view)) ?? this.cost.settings.workMs
+    return this.workMs.get(getKind(view)) ?? this.cost.settings.initialWorkMs
   }
 
   /// Expected wait for a slot there. Milliseconds.
--- a/src/gateway/after-next-poll.ts
+++ b/src/gateway/after-next-poll.ts
@@ -6,7 +6,7 @@
  * process was busy or stood still, and its caller may have left meanwhile; the end of its connection is read
  * one poll after its bytes. The first callback runs after this poll, the second after the next one.
  */
-export function afterNextPoll(callback: () => void): void {
+export function runAfterNextPoll(callback: () => void): void {
   setImmediate(() => setImmediate(callback));
 }
 
@@ -14,9 +14,9 @@
  * Closes a connection whose time at rest is over, unless something has come on it. Node closes such a
  * connection before it reads it: after a pause of this process it would reset a request that came in time.
  */
-export function closeUnlessRead(socket: Socket): void {
+export function closeIfIdle(socket: Socket): void {
   const { bytesRead } = socket;
-  afterNextPoll(() => {
+  runAfterNextPoll(() => {
     if (socket.bytesRead === bytesRead) socket.destroy();
   });
 }
--- a/src/gateway/caller-server.ts
+++ b/src/gateway/caller-server.ts
@@ -13,20 +13,20 @@
 import { parseChatBody, parseCompletionBody, type CompletionBody } from './completion-body.js';
 import { sendProblem } from './problem.js';
 import { readBody, readJson } from './read-body.js';
-import { StreamingReply, WholeReply, type CompletionForm, type ReplySink } from './reply-sink.js';
+import { StreamingReply, BufferedReply, type CompletionForm, type ReplySink } from './reply-sink.js';
 
 /** Where an application answer goes. */
 export interface ApplicationSink {
   respond(status: number, contentType: string, body: Uint8Array): void;
-  failed(error: PulleyledgeError): void;
+  fail(error: PulleyledgeError): void;
 }
 
 /** What the server hands on. Requests are identified by their request id from then on. */
 export interface CallerHandler {
-  completion(request: CompletionRequest, sink: ReplySink): void;
-  application(call: ApplicationCall, payload: ApplicationPayload, sink: ApplicationSink): void;
+  onCompletion(request: CompletionRequest, sink: ReplySink): void;
+  onApplicationCall(call: ApplicationCall, payload: ApplicationPayload, sink: ApplicationSink): void;
   /** The caller closed its connection before the answer was whole. */
-  cancelled(requestId: string): void;
+  onCancelled(requestId: string): void;
 }
 
 const TIMEOUT_HEADER = 'request-timeout-ms';
@@ -88,9 +88,9 @@
     timeoutMs: timeoutOf(request),
     key: keyOfRequest(request, JSON.stringify(body)),
   };
-  const Reply = body.stream ? StreamingReply : WholeReply;
+  const Reply = body.stream ? StreamingReply : BufferedReply;
   watchClose(response, requestId, handler);
-  handler.completion(completion, new Reply(response, requestId, form, body.service));
+  handler.onCompletion(completion, new Reply(response, requestId, form, body.service));
 }
 
 async function beginApplication(
@@ -118,12 +118,12 @@
     body,
   };
   watchClose(response, requestId, handler);
-  handler.application(call, payload, {
+  handler.onApplicationCall(call, payload, {
     respond(status, contentType, bytes) {
       response.writeHead(status, contentType === '' ? {} : { 'content-type': contentType });
       response.end(bytes);
     },
-    failed: (error) => sendProblem(response, error, requestId),
+    fail: (error) => sendProblem(response, error, requestId),
   });
 }
 
@@ -138,7 +138,7 @@
 
 function watchClose(response: ServerResponse, requestId: string, handler: CallerHandler): void {
   response.on('close', () => {
-    if (!response.writableFinished) handler.cancelled(requestId);
+    if (!response.writableFinished) handler.onCancelled(requestId);
   });
 }
 
--- a/src/gateway/forward-server.ts
+++ b/src/gateway/forward-server.ts
@@ -6,9 +6,9 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { startListening, stopListening } from '../adapters/listen.js';
-import type { KeptAnswer, StreamSink } from '../adapters/backend-client.js';
+import type { BufferedAnswer, StreamSink } from '../adapters/backend-client.js';
 import type { CallerLimits } from '../forwarding/routes/route.js';
-import { afterNextPoll, closeUnlessRead } from './after-next-poll.js';
+import { runAfterNextPoll, closeIfIdle } from './after-next-poll.js';
 import { STATUS_TOO_LARGE } from '../shared/http-status.js';
 import { SECOND_MS } from '../shared/units.js';
 
@@ -28,7 +28,7 @@
 
 /** Takes requests. */
 interface ForwardHandler {
-  received(request: ReceivedRequest, reply: CallerReply): void;
+  onRequest(request: ReceivedRequest, reply: CallerReply): void;
 }
 
 /** An answer of the daemon's own. */
@@ -64,7 +64,7 @@
   private over = false;
   private headSent = false;
   /** Called when the caller goes away before the answer is whole. */
-  onGone: () => void = () => undefined;
+  onCallerGone: () => void = () => undefined;
 
   constructor(
     private readonly response: ServerResponse,
@@ -73,28 +73,28 @@
   ) {
     this.lastId = resumedAfter;
     response.sendDate = false;
-    response.on('close', () => this.callerLeft());
+    response.on('close', () => this.onConnectionClosed());
   }
 
   /** Nothing more is written: the answer is whole, or there will be none. */
-  isOver(): boolean {
+  isFinished(): boolean {
     return this.over;
   }
 
   /** The caller has closed its connection, or its side of it. */
-  callerLeft(): void {
+  onConnectionClosed(): void {
     if (this.over) return;
     this.over = true;
-    this.onGone();
+    this.onCallerGone();
   }
 
   /** The id of the last event passed on. */
-  lastEventId(): string | undefined {
+  getLastEventId(): string | undefined {
     return this.headSent ? this.lastId : undefined;
   }
 
   /** Begins a streamed answer; the head of a back end that goes on with it is not the caller's business. */
-  head(status: number, headers: string[], framed: boolean): void {
+  writeHead(status: number, headers: string[], framed: boolean): void {
     if (this.over || this.headSent) return;
     this.headSent = true;
     this.markClosing();
@@ -104,14 +104,14 @@
   }
 
   /** Passes on whole events. */
-  events(bytes: Buffer, lastEventId: string | undefined): void {
+  writeEvents(bytes: Buffer, lastEventId: string | undefined): void {
     if (this.over) return;
     if (lastEventId !== undefined) this.lastId = lastEventId;
     this.response.write(bytes);
   }
 
   /** Ends the answer: a stream, or one that was kept. */
-  whole(answer: KeptAnswer): void {
+  sendAnswer(answer: BufferedAnswer): void {
     if (this.over) return;
     this.over = true;
     if (this.headSent) {
@@ -128,8 +128,8 @@
   }
 
   /** Answers with a failure of the daemon's own; an answer that has begun is broken off instead. */
-  own(answer: OwnAnswer): void {
-    if (this.headSent) this.broken();
+  sendFailure(answer: OwnAnswer): void {
+    if (this.headSent) this.abort();
     if (this.over) return;
     this.over = true;
     this.markClosing();
@@ -145,7 +145,7 @@
   }
 
   /** Breaks off an answer that cannot be finished, so that it does not look complete. */
-  broken(): void {
+  abort(): void {
     if (this.over) return;
     this.over = true;
     this.response.destroy();
@@ -191,7 +191,7 @@
     });
     this.server.on('request', (request, response) => this.accept(request, response));
     this.server.on('connection', (socket: Socket) => this.watch(socket));
-    this.server.on('timeout', closeUnlessRead);
+    this.server.on('timeout', closeIfIdle);
   }
 
   /** Starts to listen on `ip:port`. */
@@ -200,14 +200,14 @@
   }
 
   /** Takes new limits into force. */
-  limit(limits: CallerLimits): void {
+  setLimits(limits: CallerLimits): void {
     this.maximumBodyBytes = limits.maximumBodyBytes;
     this.server.headersTimeout = limits.headerTimeoutMs;
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
   }
 
   /** From now on answers ask callers to close their connections. */
-  beginClosing(): void {
+  startClosing(): void {
     this.closing = true;
   }
 
@@ -217,19 +217,19 @@
   }
 
   /** Requests without a whole answer. */
-  openRequests(): number {
+  getOpenRequestCount(): number {
     let requests = 0;
     for (const replies of this.connections.values()) requests += replies.size;
     return requests;
   }
 
   /** Open connections. */
-  openConnections(): number {
+  getOpenConnectionCount(): number {
     return this.connections.size;
   }
 
   /** Whether a new connection would be served: there is room, or one that rests can give way. */
-  hasRoom(): boolean {
+  hasCapacity(): boolean {
     return this.connections.size < this.maximumConnections || this.getLongestAtRest() !== undefined;
   }
 
@@ -250,7 +250,7 @@
       return;
     }
     const replies = new Set<CallerReply>();
-    const leave = (): void => replies.forEach((reply) => reply.callerLeft());
+    const leave = (): void => replies.forEach((reply) => reply.onConnectionClosed());
     this.connections.set(socket, replies);
     this.resting.set(socket, this.clock());
     socket.on('end', leave);
@@ -270,7 +270,7 @@
     const longest = this.getLongestAtRest();
     if (longest === undefined) return false;
     this.resting.delete(longest);
-    afterNextPoll(() => this.closeUnlessAsked(longest));
+    runAfterNextPoll(() => this.closeUnlessAsked(longest));
     return true;
   }
 
@@ -308,7 +308,12 @@
     request.on('data', (chunk: Buffer) => {
       length += chunk.length;
       if (length <= this.maximumBodyBytes) chunks.push(chunk);
-      else reply.own({ status: STATUS_TOO_LARGE, failure: 'payload-too-large', retryAfterMs: undefined });
+      else
+        reply.sendFailure({
+          status: STATUS_TOO_LARGE,
+          failure: 'payload-too-large',
+          retryAfterMs: undefined,
+        });
     });
     // A caller that breaks off is noticed by the end of its connection (see `watch`), which tells the reply.
     request.on('error', () => undefined);
@@ -323,8 +328,8 @@
         callerAddress: socket.remoteAddress ?? '',
         arrivedAt,
       };
-      afterNextPoll(() => {
-        if (!reply.isOver()) this.handler.received(received, reply);
+      runAfterNextPoll(() => {
+        if (!reply.isFinished()) this.handler.onRequest(received, reply);
       });
     });
   }
--- a/src/gateway/kept-connections.ts
+++ b/src/gateway/kept-connections.ts
@@ -8,7 +8,7 @@
 import type { Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { SECOND_MS } from '../shared/units.js';
-import { closeUnlessRead } from './after-next-poll.js';
+import { closeIfIdle } from './after-next-poll.js';
 
 /** For how long an answer tells its caller that the connection is kept. Milliseconds. */
 const TOLD_REST_MS = 5 * SECOND_MS;
@@ -26,7 +26,7 @@
 }
 
 /** The kept connections of one server. */
-export class KeptConnections {
+export class KeepAliveConnections {
   private readonly connections = new Map<Socket, CallerConnection>();
   private closing = false;
 
@@ -34,23 +34,23 @@
     server.keepAliveTimeout = TOLD_REST_MS + WAY_MARGIN_MS;
     server.on('connection', (socket: Socket) => this.add(socket));
     server.prependListener('request', ({ socket }, response) => this.addDue(socket, response));
-    server.on('timeout', closeUnlessRead);
+    server.on('timeout', closeIfIdle);
   }
 
   /** From now on answers tell callers to close their connections, also those whose requests have come already. */
-  beginClosing(): void {
+  startClosing(): void {
     this.closing = true;
     for (const { due } of this.connections.values()) closeAfterLast(due);
   }
 
   /** Whether an answer is due on any connection. */
-  hasDueAnswers(): boolean {
+  hasPendingResponses(): boolean {
     for (const { due } of this.connections.values()) if (due.size > 0) return true;
     return false;
   }
 
   /** Connections on which a request may still come, by what their callers were told. */
-  getExpectedCount(): number {
+  getReusableCount(): number {
     const now = performance.now();
     let count = 0;
     for (const { keptUntil } of this.connections.values()) if (keptUntil > now) count += 1;
--- a/src/gateway/operator-server.ts
+++ b/src/gateway/operator-server.ts
@@ -10,14 +10,14 @@
 
 /** What the server asks of the daemon. */
 interface OperatorHandler {
-  status(): CompletionDaemonStatus;
-  metrics(): Promise<{ contentType: string; text: string }>;
+  getStatus(): CompletionDaemonStatus;
+  getMetrics(): Promise<{ contentType: string; text: string }>;
   /** Resolves with the revision of the accepted edit; rejects with a PulleyledgeError. */
-  edit(editId: string, edits: readonly RowEdit[]): Promise<number>;
+  applyEdit(editId: string, edits: readonly RowEdit[]): Promise<number>;
 }
 
 /** What `GET /v1/services` answers. */
-export interface ServicesAnswer {
+export interface ServicesResponse {
   readonly revision: number;
   readonly services: readonly VersionedRow[];
 }
@@ -56,27 +56,27 @@
       sendJson(response, STATUS_OK, { ok: true });
       break;
     case 'GET /readyz': {
-      const { ready, reason } = handler.status();
+      const { ready, reason } = handler.getStatus();
       sendJson(response, ready ? STATUS_OK : STATUS_UNAVAILABLE, { ready, reason });
       break;
     }
     case 'GET /metrics': {
-      const { contentType, text } = await handler.metrics();
+      const { contentType, text } = await handler.getMetrics();
       response.writeHead(STATUS_OK, { 'content-type': contentType });
       response.end(text);
       break;
     }
     case 'GET /v1/status':
-      sendJson(response, STATUS_OK, handler.status());
+      sendJson(response, STATUS_OK, handler.getStatus());
       break;
     case 'GET /v1/services': {
-      const { configurationRevision, services } = handler.status();
-      sendJson(response, STATUS_OK, { revision: configurationRevision, services } satisfies ServicesAnswer);
+      const { configurationRevision, services } = handler.getStatus();
+      sendJson(response, STATUS_OK, { revision: configurationRevision, services } satisfies ServicesResponse);
       break;
     }
     case 'POST /v1/services': {
       const { editId, edits } = parseEdit(await readJson(request, MAXIMUM_EDIT_BYTES));
-      sendJson(response, STATUS_OK, { revision: await handler.edit(editId, edits) });
+      sendJson(response, STATUS_OK, { revision: await handler.applyEdit(editId, edits) });
       break;
     }
     default:
--- a/src/gateway/reply-sink.ts
+++ b/src/gateway/reply-sink.ts
@@ -6,9 +6,9 @@
 
 /** Where the answer of one request goes. Called in order; nothing follows `end` or `failed`. */
 export interface ReplySink {
-  tokens(texts: readonly string[]): void;
+  writeTokens(texts: readonly string[]): void;
   end(tokens: number, finishReason: string): void;
-  failed(error: PulleyledgeError, tokensSent: number): void;
+  fail(error: PulleyledgeError, tokensSent: number): void;
 }
 
 /** Which of the two call forms is answered. */
@@ -36,7 +36,7 @@
     this.head = `data: {"id":${id},"object":"${object}","model":${model},"choices":[{"index":0,`;
   }
 
-  tokens(texts: readonly string[]): void {
+  writeTokens(texts: readonly string[]): void {
     this.start();
     const text = JSON.stringify(texts.join(''));
     const content = this.form === 'chat' ? `"delta":{"content":${text}}` : `"text":${text}`;
@@ -51,7 +51,7 @@
     this.response.end(`${this.head}${content},"finish_reason":${reason}}],${usage}}\n\ndata: [DONE]\n\n`);
   }
 
-  failed(error: PulleyledgeError): void {
+  fail(error: PulleyledgeError): void {
     if (!this.started) sendProblem(this.response, error, this.requestId);
     else this.response.end(`event: error\ndata: ${JSON.stringify(toProblem(error, this.requestId))}\n\n`);
   }
@@ -64,7 +64,7 @@
 }
 
 /** Collects the whole answer; a broken one becomes a problem document and never looks complete. */
-export class WholeReply implements ReplySink {
+export class BufferedReply implements ReplySink {
   private readonly texts: string[] = [];
 
   constructor(
@@ -74,7 +74,7 @@
     private readonly service: string,
   ) {}
 
-  tokens(texts: readonly string[]): void {
+  writeTokens(texts: readonly string[]): void {
     this.texts.push(...texts);
   }
 
@@ -92,7 +92,7 @@
     this.response.end(JSON.stringify(body));
   }
 
-  failed(error: PulleyledgeError): void {
+  fail(error: PulleyledgeError): void {
     sendProblem(this.response, error, this.requestId);
   }
 }
--- a/src/limits/slot-ownership.ts
+++ b/src/limits/slot-ownership.ts
@@ -28,6 +28,6 @@
   }
 
   private memberIds(): string[] {
-    return this.membership.active().map((member) => member.id);
+    return this.membership.getActive().map((member) => member.id);
   }
 }
--- a/src/membership/member-rules.ts
+++ b/src/membership/member-rules.ts
@@ -15,7 +15,7 @@
 }
 
 /** A daemon's first belief about itself. */
-export function initialMember(identity: DaemonIdentity): Member {
+export function createInitialMember(identity: DaemonIdentity): Member {
   return { ...identity, incarnation: 1, state: 'alive' };
 }
 
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -75,17 +75,17 @@
   }
 
   /** Every member that is not dead or leaving, itself included. */
-  active(): readonly Member[] {
+  getActive(): readonly Member[] {
     return this.list.getActive();
   }
 
   /** Ids of the active members; the same array until one of them changes. */
-  activeIds(): readonly string[] {
+  getActiveIds(): readonly string[] {
     return this.list.getActiveIds();
   }
 
   /** Every record, dead ones included. */
-  all(): readonly Member[] {
+  getAll(): readonly Member[] {
     return this.list.getAll();
   }
 
@@ -95,27 +95,27 @@
   }
 
   /** Counts for the majority rule: daemons in good contact, and all that count. */
-  contact(): ContactCount {
+  getContact(): ContactCount {
     return this.list.getContact();
   }
 
   /** Daemons that may be at work: among so many is divided what all of them together may do. */
-  countSharing(): number {
+  getSharingDaemonCount(): number {
     return this.list.countNames();
   }
 
   /** Whether something is known of every seed. A group that started cut off from the others may not know how many there are. */
-  knowsSeeds(): boolean {
+  hasAllSeeds(): boolean {
     return this.seeds.every((address) => address === this.self.address || this.list.hasAddress(address));
   }
 
   /** When a probe of this daemon was last answered. -Infinity before the first. */
-  lastContact(): number {
+  getLastContactAt(): number {
     return this.lastContactAt;
   }
 
   /** Whether another daemon has answered, or there is none to ask. */
-  joined(): boolean {
+  hasJoined(): boolean {
     return this.joinedAt !== undefined || this.seeds.length === 0;
   }
 
@@ -124,7 +124,7 @@
     this.self = { ...this.self, state: 'leaving' };
     this.list.set(this.self, now);
     this.enqueueGossip(this.self.id);
-    for (const member of this.active()) {
+    for (const member of this.getActive()) {
       this.send(member.address, { kind: 'sync', reply: false, members: [toUpdate(this.self)] });
     }
   }
@@ -143,7 +143,7 @@
 
   private probeOneDead(now: number): void {
     this.nextDeadProbeAt = now + this.settings.deadProbeIntervalMs;
-    const dead = this.all().filter((member) => member.state === 'dead');
+    const dead = this.getAll().filter((member) => member.state === 'dead');
     if (dead.length > 0) this.probe(dead[this.random.below(dead.length)].id, now);
   }
 
@@ -224,7 +224,9 @@
   }
 
   private askOthersToProbe(probe: Probe): void {
-    const others = this.active().filter((member) => member.id !== this.self.id && member.id !== probe.target);
+    const others = this.getActive().filter(
+      (member) => member.id !== this.self.id && member.id !== probe.target,
+    );
     for (let count = 0; count < this.settings.indirectProbes && others.length > 0; count += 1) {
       const [helper] = others.splice(this.random.below(others.length), 1);
       this.send(helper.address, { kind: 'pingRequest', sequence: probe.sequence, target: probe.target });
@@ -282,7 +284,7 @@
   }
 
   private membersToProbe(inOwnZone: boolean): string[] {
-    const members = this.all().filter((member) => member.id !== this.self.id && member.state !== 'dead');
+    const members = this.getAll().filter((member) => member.id !== this.self.id && member.state !== 'dead');
     return members
       .filter((member) => (member.zone === this.self.zone) === inOwnZone)
       .map((member) => member.id);
@@ -314,21 +316,21 @@
    * groups that formed around different seeds would otherwise never hear of each other.
    */
   private syncWithOne(now: number): void {
-    const others = this.active().filter((member) => member.id !== this.self.id);
+    const others = this.getActive().filter((member) => member.id !== this.self.id);
     const known = new Set(others.map((member) => member.address));
     const strangers = this.seeds.filter((address) => address !== this.self.address && !known.has(address));
     // In a large fleet a few daemons try a lost seed, not all of them at once.
     const tryStranger = this.random.next() < STRANGER_TRIES / Math.max(1, known.size);
     const candidates = strangers.length > 0 && tryStranger ? strangers : [...known];
-    const early = this.syncCount < EARLY_SYNCS || !this.joined();
+    const early = this.syncCount < EARLY_SYNCS || !this.hasJoined();
     this.syncCount += 1;
     const late = strangers.length > 0 ? this.settings.strangerSyncIntervalMs : this.settings.syncIntervalMs;
     const interval = early ? EARLY_SYNC_INTERVAL_MS : late;
     this.nextSyncAt = now + interval * (0.75 + this.random.next() / 2);
     if (candidates.length === 0) return;
     const address = candidates[this.random.below(candidates.length)];
-    if (candidates === strangers || early || !this.joined()) {
-      const members = this.joined() ? this.fullList() : [toUpdate(this.self)];
+    if (candidates === strangers || early || !this.hasJoined()) {
+      const members = this.hasJoined() ? this.fullList() : [toUpdate(this.self)];
       this.send(address, { kind: 'sync', reply: true, members });
     } else {
       this.send(address, { kind: 'syncDigest', digest: this.list.getDigest() });
@@ -342,7 +344,7 @@
   }
 
   private fullList(): MemberUpdate[] {
-    return this.all().map(toUpdate);
+    return this.getAll().map(toUpdate);
   }
 
   private applyAll(updates: readonly MemberUpdate[], now: number): void {
--- a/src/parts/duty-part.ts
+++ b/src/parts/duty-part.ts
@@ -22,9 +22,9 @@
       identity.id,
       settings,
       {
-        members,
-        services: () => routes()?.configuration.services ?? [],
-        backendsOf: service => directory.ofService(service)
+        getMembers: members,
+        getServices: () => routes()?.configuration.services ?? [],
+        getBackends: service => directory.ofService(service)
       },
       effect => this.onDutyEffect(effect),
       now
@@ -32,28 +32,28 @@
   }
 
   override receiveClock(wallMs: number, now: number): void {
-    this.manager.clock.setOwn(wallMs, now)
+    this.manager.clock.setLocalTime(wallMs, now)
   }
 
   /// Adds the wall-clock time to probes and their answers, by which daemons agree on it.
   override addToMembership(message: MembershipMessage, now: number): MembershipMessage {
     if (message.kind !== "ping" && message.kind !== "ack") return message
-    const wallMs = this.manager.clock.getOwn(now)
+    const wallMs = this.manager.clock.getLocalTime(now)
     return wallMs === undefined ? message : {...message, wallMs}
   }
 
   override onRequestBegan(tenant: string, at: number): void {
-    this.manager.requestBegan(tenant, at)
+    this.manager.onRequestStarted(tenant, at)
   }
 
   override onMachineSuspended(): void {
-    this.manager.clockStoodStill()
+    this.manager.onMachineSuspended()
   }
 
   override receivePeer(fromId: string, _fromAddress: string, message: PeerMessage, now: number): void {
     if (message.kind === "usageCounts") this.manager.receiveCounts(fromId, message)
     const carriesTime = message.kind === "ping" || message.kind === "ack"
-    if (carriesTime && message.wallMs !== undefined) this.manager.clock.apply(fromId, message.wallMs, now)
+    if (carriesTime && message.wallMs !== undefined) this.manager.clock.addSample(fromId, message.wallMs, now)
   }
 
   override receiveAnswer(event: AnswerEvent, now: number): void {
--- a/src/parts/region-part.ts
+++ b/src/parts/region-part.ts
@@ -72,7 +72,7 @@
     figures.share_elsewhere = all > 0 ? attempts.otherRegion / all : 0
     figures.regions_cut_off = this.cutOff.size
     for (const region of places.getOtherRegions(this.context.identity.zone))
-      figures[`round_trip_ms_${region}`] = roundTrips.getMs(region, "otherRegion")
+      figures[`round_trip_ms_${region}`] = roundTrips.getRoundTripMs(region, "otherRegion")
     return figures
   }
 
--- a/src/places/distance-cost.ts
+++ b/src/places/distance-cost.ts
@@ -36,26 +36,26 @@
   ) {}
 
   /// A call with so many bytes from one zone to a back end of another.
-  getCall(from: string, to: string, bytes: number): Expense {
+  getCallExpense(from: string, to: string, bytes: number): Expense {
     const distance = this.places.getDistance(from, to)
     if (!this.places.hasSeveralRegions()) {
       const timeMs = this.settings.roundTripMs[distance]
       return {timeMs, costMs: timeMs}
     }
-    const timeMs = this.roundTrips.getMs(this.places.getRegion(to), distance)
+    const timeMs = this.roundTrips.getRoundTripMs(this.places.getRegion(to), distance)
     const price = (bytes / BYTES_PER_MEGABYTE) * this.settings.callMsPerMegabyte[distance]
     return {timeMs, costMs: timeMs + price}
   }
 
   /// So many tokens of a KV cache copied from an engine of one zone to one of another.
-  getMove(from: string, to: string, tokens: number, links: EngineLinks | undefined): Expense {
+  getCopyExpense(from: string, to: string, tokens: number, links: EngineLinks | undefined): Expense {
     if (!links || tokens <= 0) return NO_EXPENSE
     const distance = this.places.getDistance(from, to)
     return this.getCopy(distance, tokens, links, this.getLinkMs(from, to, distance))
   }
 
   private getCopy(distance: DistanceClass, tokens: number, links: EngineLinks, linkMs: number): Expense {
-    const {moveTimeFactor, moveMsPerGigabyte} = this.settings
+    const {copyTimeFactor: moveTimeFactor, copyMsPerGigabyte: moveMsPerGigabyte} = this.settings
     const bytes = tokens * links.tokenBytes
     const copyMs = (bytes * MS_PER_BYTE_AT_ONE_MBPS * moveTimeFactor[distance]) / links.linkMbps
     const timeMs = copyMs + linkMs
@@ -66,8 +66,8 @@
   /// the two ways.
   private getLinkMs(from: string, to: string, distance: DistanceClass): number {
     const {places, roundTrips} = this
-    if (distance !== "otherRegion") return roundTrips.getMs(undefined, distance)
+    if (distance !== "otherRegion") return roundTrips.getRoundTripMs(undefined, distance)
     const far = [from, to].map(zone => places.getRegion(zone))
-    return Math.max(...far.map(region => roundTrips.getMs(region, distance)))
+    return Math.max(...far.map(region => roundTrips.getRoundTripMs(region, distance)))
   }
 }
--- a/src/places/distance-settings.ts
+++ b/src/places/distance-settings.ts
@@ -14,21 +14,21 @@
   /// and 34 ms.
   readonly callMsPerMegabyte: ByDistance
   /// How much longer a copy of a KV cache takes than within a zone. Default 1, 2, 10.
-  readonly moveTimeFactor: ByDistance
+  readonly copyTimeFactor: ByDistance
   /// Waiting that a gigabyte of KV cache moved is worth. Milliseconds. Default 60, 120, 180.
-  readonly moveMsPerGigabyte: ByDistance
+  readonly copyMsPerGigabyte: ByDistance
   /// Prompt tokens that an engine computes in a millisecond until its pace is known. Default 90.
-  readonly tokensPerMs: number
+  readonly initialTokensPerMs: number
   /// Time that a back end takes over a request until some have been answered. Milliseconds. Default 20.
-  readonly workMs: number
+  readonly initialWorkMs: number
 }
 
 /// Default settings.
 export const DEFAULT_DISTANCE_SETTINGS: DistanceSettings = {
   roundTripMs: {sameZone: 0, sameRegion: 2, otherRegion: 16},
   callMsPerMegabyte: {sameZone: 0, sameRegion: 500, otherRegion: 2000},
-  moveTimeFactor: {sameZone: 1, sameRegion: 2, otherRegion: 10},
-  moveMsPerGigabyte: {sameZone: 60, sameRegion: 120, otherRegion: 180},
-  tokensPerMs: 90,
-  workMs: 20
+  copyTimeFactor: {sameZone: 1, sameRegion: 2, otherRegion: 10},
+  copyMsPerGigabyte: {sameZone: 60, sameRegion: 120, otherRegion: 180},
+  initialTokensPerMs: 90,
+  initialWorkMs: 20
 }
--- a/src/places/round-trips.ts
+++ b/src/places/round-trips.ts
@@ -26,7 +26,7 @@
   }
 
   /// The round trip to `region`, which lies so far away.
-  getMs(region: string | undefined, distance: DistanceClass): number {
+  getRoundTripMs(region: string | undefined, distance: DistanceClass): number {
     return this.learned.get(getKey(region, distance)) ?? this.defaults[distance]
   }
 }
--- a/src/process/completion-actors.ts
+++ b/src/process/completion-actors.ts
@@ -29,7 +29,7 @@
   readonly engines: EngineClient;
   readonly applications: ApplicationClient;
   /** The payload of an application call, kept by the gateway until the call is over. */
-  readonly payloadOf: (requestId: string) => ApplicationPayload | undefined;
+  readonly getPayload: (requestId: string) => ApplicationPayload | undefined;
   readonly onReply: (effect: ReplyEffect) => void;
   /** Called after each event with its kind and the milliseconds that the state machine took. */
   readonly onTransition: (event: string, milliseconds: number) => void;
@@ -129,7 +129,9 @@
     const { platform } = this.parts;
     if (effect.kind === 'tableRequest') {
       const { tag, request } = effect;
-      void platform.table(request).then((result) => this.dispatch({ kind: 'tableResult', tag, result }));
+      void platform
+        .sendTableRequest(request)
+        .then((result) => this.dispatch({ kind: 'tableResult', tag, result }));
     } else {
       void platform
         .listMachines(effect.cells)
@@ -173,7 +175,7 @@
 
   private startApplicationCall(effect: EffectOf<'startApplicationCall'>): void {
     const { attemptId, requestId, address, remainingMs } = effect;
-    const payload = this.parts.payloadOf(requestId);
+    const payload = this.parts.getPayload(requestId);
     // The caller has left: its cancellation is before this in the queue, and nobody waits for the call.
     if (!payload) return;
     const cancel = this.parts.applications.start({ address, payload, remainingMs }, (event) => {
--- a/src/process/completion-metrics.ts
+++ b/src/process/completion-metrics.ts
@@ -103,28 +103,28 @@
   }
 
   /** Counts a message between daemons. */
-  peerTraffic(direction: 'sent' | 'received', kind: string, bytes: number): void {
+  addPeerMessage(direction: 'sent' | 'received', kind: string, bytes: number): void {
     this.peerBytes.inc({ direction, kind }, bytes);
     this.peerMessages.inc({ direction, kind });
   }
 
   /** Counts time in the state machine. */
-  transition(event: string, milliseconds: number): void {
+  addTransition(event: string, milliseconds: number): void {
     this.transitionSeconds.inc({ event }, milliseconds / SECOND_MS);
   }
 
   /** Counts tokens passed on. */
-  tokensSent(count: number): void {
+  addTokens(count: number): void {
     this.tokens.inc(count);
   }
 
   /** Records the time to the first token. */
-  firstTokenAfter(milliseconds: number): void {
+  addFirstToken(milliseconds: number): void {
     this.firstToken.observe(milliseconds / SECOND_MS);
   }
 
   /** Counts a request that is over. */
-  requestOver(outcome: string): void {
+  addRequest(outcome: string): void {
     this.requests.inc({ outcome });
   }
 }
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -10,8 +10,8 @@
 import type { CompletionDaemonStatus, RowEdit } from '../daemon/completion-messages.js';
 import { PulleyledgeError } from '../errors/index.js';
 import { createCallerServer, type ApplicationSink, type CallerHandler } from '../gateway/caller-server.js';
-import { afterNextPoll } from '../gateway/after-next-poll.js';
-import { KeptConnections } from '../gateway/kept-connections.js';
+import { runAfterNextPoll } from '../gateway/after-next-poll.js';
+import { KeepAliveConnections } from '../gateway/kept-connections.js';
 import { createOperatorServer } from '../gateway/operator-server.js';
 import type { ReplySink } from '../gateway/reply-sink.js';
 import type { ApplicationCall } from '../routing/application-messages.js';
@@ -62,7 +62,7 @@
   /** The last such header of each kind of system, as it came. */
   private readonly unreadableRetryAfter = new Map<string, string>();
   private readonly callerServer: Server;
-  private readonly callerConnections: KeptConnections;
+  private readonly callerConnections: KeepAliveConnections;
   private readonly operatorServer: Server;
   private readonly metrics: CompletionMetrics;
   private readonly logger: Logger;
@@ -93,7 +93,7 @@
     this.peers = this.createPeers(identity);
     this.actors = this.createActors();
     this.callerServer = createCallerServer(this.callerHandler(), settings.maximumBodyBytes);
-    this.callerConnections = new KeptConnections(this.callerServer);
+    this.callerConnections = new KeepAliveConnections(this.callerServer);
     this.operatorServer = this.createOperators();
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** The settings were written anew. */
-  reloaded(fields: ReloadFields): void {
+  onReload(fields: ReloadFields): void {
     this.logger.info({ event: 'process.reloaded', ...fields });
   }
 
@@ -137,12 +137,12 @@
   private async runStop(): Promise<void> {
     this.stopping = true;
     this.actors.dispatch({ kind: 'beginDrain' });
-    this.callerConnections.beginClosing();
+    this.callerConnections.startClosing();
     await delay(this.settings.drainNoticeMs);
     await stopListening(this.callerServer);
     const { drainTimeoutMs } = this.settings;
     await waitUntil(
-      () => !this.hasRequests() && this.callerConnections.getExpectedCount() === 0,
+      () => !this.hasRequests() && this.callerConnections.getReusableCount() === 0,
       drainTimeoutMs,
     );
     this.daemon.closeForNew();
@@ -153,14 +153,14 @@
     this.logger.info({
       event: 'process.stopped',
       unfinished: this.openRequests(),
-      closedEarly: this.callerConnections.getExpectedCount(),
+      closedEarly: this.callerConnections.getReusableCount(),
     });
     await this.close();
   }
 
   /** Whether a request waits for its answer, or is being read or answered. */
   private hasRequests(): boolean {
-    return this.openRequests() > 0 || this.callerConnections.hasDueAnswers();
+    return this.openRequests() > 0 || this.callerConnections.hasPendingResponses();
   }
 
   private async close(): Promise<void> {
@@ -180,7 +180,7 @@
         this.actors.dispatch({ kind: 'peerMessage', fromId, fromAddress, message }),
       onProtocolError: (error, remote) =>
         this.logger.warn({ event: 'peer.protocol-error', code: error.code, ...error.context, remote }),
-      onTraffic: (direction, kind, bytes) => this.metrics.peerTraffic(direction, kind, bytes),
+      onTraffic: (direction, kind, bytes) => this.metrics.addPeerMessage(direction, kind, bytes),
     });
   }
 
@@ -191,18 +191,18 @@
       platform: this.platform,
       engines: this.engines,
       applications: this.applications,
-      payloadOf: (requestId) => this.calls.get(requestId)?.payload,
+      getPayload: (requestId) => this.calls.get(requestId)?.payload,
       onReply: (effect) => this.reply(effect),
-      onTransition: (event, milliseconds) => this.metrics.transition(event, milliseconds),
+      onTransition: (event, milliseconds) => this.metrics.addTransition(event, milliseconds),
     });
   }
 
   private createOperators(): Server {
     const { registry } = this.metrics;
     return createOperatorServer({
-      status: () => this.status(),
-      metrics: async () => ({ contentType: registry.contentType, text: await registry.metrics() }),
-      edit: (editId, edits) => this.edit(editId, edits),
+      getStatus: () => this.status(),
+      getMetrics: async () => ({ contentType: registry.contentType, text: await registry.metrics() }),
+      applyEdit: (editId, edits) => this.edit(editId, edits),
     });
   }
 
@@ -229,7 +229,7 @@
 
   private callerHandler(): CallerHandler {
     return {
-      completion: (request: CompletionRequest, sink: ReplySink) => {
+      onCompletion: (request: CompletionRequest, sink: ReplySink) => {
         this.completions.set(request.requestId, {
           sink,
           receivedAt: request.receivedAt,
@@ -237,11 +237,11 @@
         });
         this.actors.dispatch({ kind: 'submitCompletion', request });
       },
-      application: (call: ApplicationCall, payload: ApplicationPayload, sink: ApplicationSink) => {
+      onApplicationCall: (call: ApplicationCall, payload: ApplicationPayload, sink: ApplicationSink) => {
         this.calls.set(call.requestId, { sink, payload });
         this.actors.dispatch({ kind: 'submitApplication', call });
       },
-      cancelled: (requestId: string) => {
+      onCancelled: (requestId: string) => {
         const open = this.completions.delete(requestId) || this.calls.delete(requestId);
         if (open) this.actors.dispatch({ kind: 'cancelRequest', requestId });
       },
@@ -285,10 +285,10 @@
     if (!open) return;
     if (!open.firstTokenSeen) {
       open.firstTokenSeen = true;
-      this.metrics.firstTokenAfter(performance.now() - open.receivedAt);
+      this.metrics.addFirstToken(performance.now() - open.receivedAt);
     }
-    this.metrics.tokensSent(texts.length);
-    open.sink.tokens(texts);
+    this.metrics.addTokens(texts.length);
+    open.sink.writeTokens(texts);
   }
 
   private replyFailed(requestId: string, error: PulleyledgeError, tokensSent: number): void {
@@ -300,8 +300,8 @@
       tokensSent,
       ...error.context,
     });
-    this.completions.get(requestId)?.sink.failed(error, tokensSent);
-    this.calls.get(requestId)?.sink.failed(error);
+    this.completions.get(requestId)?.sink.fail(error, tokensSent);
+    this.calls.get(requestId)?.sink.fail(error);
     this.requestOver(requestId, error.code);
   }
 
@@ -315,7 +315,7 @@
   private requestOver(requestId: string, outcome: string): void {
     this.completions.delete(requestId);
     this.calls.delete(requestId);
-    this.metrics.requestOver(outcome);
+    this.metrics.addRequest(outcome);
   }
 }
 
@@ -326,7 +326,7 @@
 async function waitUntil(condition: () => boolean, timeoutMs: number): Promise<void> {
   const deadline = performance.now() + timeoutMs;
   for (;;) {
-    await new Promise<void>(afterNextPoll);
+    await new Promise<void>(runAfterNextPoll);
     if (condition() || performance.now() > deadline) return;
     await delay(DRAIN_POLL_MS);
   }
--- a/src/process/decision-log.ts
+++ b/src/process/decision-log.ts
@@ -55,7 +55,7 @@
   }
 
   /** A step of a request: kept or dropped with the request's other lines. */
-  request(event: string, requestId: string, fields: Readonly<Record<string, unknown>>): void {
+  writeRequestEvent(event: string, requestId: string, fields: Readonly<Record<string, unknown>>): void {
     this.roll();
     this.offered += 1;
     const kept = hashText(requestId) / HASH_RANGE < this.share;
@@ -65,14 +65,14 @@
   }
 
   /** A failure of a request, a change of state, a step of the process: dropped only over the upper bound. */
-  important(event: string, fields: Readonly<Record<string, unknown>>): void {
+  writeImportantEvent(event: string, fields: Readonly<Record<string, unknown>>): void {
     this.roll();
     if (this.lines < this.settings.maximumLinesPerSecond) this.write(event, fields);
     else this.drop();
   }
 
   /** Lines dropped since the start. */
-  dropped(): number {
+  getDroppedLineCount(): number {
     return this.droppedTotal;
   }
 
--- a/src/process/forwarding-metrics.ts
+++ b/src/process/forwarding-metrics.ts
@@ -9,15 +9,15 @@
 
 /** What gauges read when they are asked. */
 interface ForwardingState {
-  ready(): boolean;
-  requestsInHand(): number;
-  configurationVersion(): number;
+  isReady(): boolean;
+  getOpenRequestCount(): number;
+  getConfigurationVersion(): number;
   /** Milliseconds. */
-  configurationAgeMs(): number;
-  members(): number;
-  droppedLogLines(): number;
+  getConfigurationAgeMs(): number;
+  getMemberCount(): number;
+  getDroppedLineCount(): number;
   /** Figures of the daemon's parts, by part and name. */
-  partFigures(): Readonly<Record<string, Readonly<Record<string, number>>>>;
+  getPartFigures(): Readonly<Record<string, Readonly<Record<string, number>>>>;
 }
 
 /** Upper bounds of the histogram of times to the first byte. Seconds. */
@@ -31,28 +31,32 @@
   {
     name: 'pulleyledge_ready',
     help: 'Whether callers should be sent here',
-    read: (state) => Number(state.ready()),
+    read: (state) => Number(state.isReady()),
   },
   {
     name: 'pulleyledge_forward_requests',
     help: 'Requests in hand',
-    read: (state) => state.requestsInHand(),
+    read: (state) => state.getOpenRequestCount(),
   },
   {
     name: 'pulleyledge_configuration_version',
     help: 'Configuration in force',
-    read: (state) => state.configurationVersion(),
+    read: (state) => state.getConfigurationVersion(),
   },
   {
     name: 'pulleyledge_configuration_age_seconds',
     help: 'Time since the store last confirmed the configuration',
-    read: (state) => state.configurationAgeMs() / SECOND_MS,
+    read: (state) => state.getConfigurationAgeMs() / SECOND_MS,
+  },
+  {
+    name: 'pulleyledge_members_alive',
+    help: 'Daemons believed to run',
+    read: (state) => state.getMemberCount(),
   },
-  { name: 'pulleyledge_members_alive', help: 'Daemons believed to run', read: (state) => state.members() },
   {
     name: 'pulleyledge_log_lines_dropped',
     help: 'Log lines dropped since the start',
-    read: (state) => state.droppedLogLines(),
+    read: (state) => state.getDroppedLineCount(),
   },
 ];
 
@@ -111,7 +115,7 @@
   }
 
   /** Counts a decision on a request. */
-  decided({ event, fields }: Decision): void {
+  addDecision({ event, fields }: Decision): void {
     const service = this.serviceLabel(fields.service);
     const reason = String(fields.failure ?? fields.reason ?? '');
     this.decisions.inc({ event, service, reason });
@@ -126,12 +130,12 @@
   }
 
   /** Counts a call to the store. */
-  storeCalled(call: string, outcome: string): void {
+  addStoreCall(call: string, outcome: string): void {
     this.storeCalls.inc({ call, outcome });
   }
 
   /** Counts a call to the platform in the name of the fleet. */
-  dutyCalled(call: string, outcome: string): void {
+  addDutyCall(call: string, outcome: string): void {
     this.dutyCalls.inc({ call, outcome });
   }
 
@@ -155,7 +159,7 @@
     labelNames: ['part', 'figure'],
     registers: [registry],
     collect: () => {
-      for (const [part, values] of Object.entries(state.partFigures()))
+      for (const [part, values] of Object.entries(state.getPartFigures()))
         for (const [figure, value] of Object.entries(values)) figures.set({ part, figure }, value);
     },
   });
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -19,14 +19,14 @@
 import { ForwardingMetrics } from './forwarding-metrics.js';
 import { createMetricsServer, createReadyServer } from './status-servers.js';
 import { OpenRequests } from './open-requests.js';
-import { OutsideCalls, type OutsideSystems } from './outside-calls.js';
+import { ExternalCalls, type ExternalSystems } from './outside-calls.js';
 import { DecisionLog } from './decision-log.js';
 import type { ForwardingProcessSettings } from './forwarding-process-settings.js';
 import { spawnActor } from './spawn-actor.js';
 import { UnansweredCalls } from './unanswered-calls.js';
 
 /** The outside systems. */
-interface ForwardingAdapters extends OutsideSystems {
+interface ForwardingAdapters extends ExternalSystems {
   readonly dialect: BackendDialect;
 }
 
@@ -82,7 +82,7 @@
   private readonly system = nact.start();
   private readonly peers: PeerTransport;
   private readonly backends: BackendClient;
-  private readonly outside: OutsideCalls;
+  private readonly outside: ExternalCalls;
   private readonly server: ForwardServer;
   private readonly readyServer: Server;
   private readonly metricsServer: Server;
@@ -112,12 +112,12 @@
     this.backends = this.createBackends();
     this.requests = new OpenRequests(adapters.dialect, this.backends, (event) => this.send(event));
     this.server = new ForwardServer(
-      { received: (request, reply) => this.requests.add(request, reply) },
+      { onRequest: (request, reply) => this.requests.add(request, reply) },
       now,
       settings.maximumCallerConnections,
     );
     this.metrics = this.createMetrics();
-    this.outside = new OutsideCalls(this.backends, adapters, this.metrics, (event) => this.send(event));
+    this.outside = new ExternalCalls(this.backends, adapters, this.metrics, (event) => this.send(event));
     this.metricsServer = createMetricsServer(this.metrics);
     this.readyServer = createReadyServer(settings.readyPath, () => this.ready());
   }
@@ -128,14 +128,14 @@
       onMessage: (fromId, fromAddress, message) =>
         this.send({ kind: 'peerMessage', fromId, fromAddress, message }),
       onProtocolError: (error, remote) =>
-        this.log.important('peer.protocol-error', { code: error.code, ...error.context, remote }),
+        this.log.writeImportantEvent('peer.protocol-error', { code: error.code, ...error.context, remote }),
       onTraffic: () => undefined,
     });
   }
 
   private createBackends(): BackendClient {
     const unanswered = new UnansweredCalls((call, reason, count) =>
-      this.log.important('backend.call-unanswered', { call, reason, count }),
+      this.log.writeImportantEvent('backend.call-unanswered', { call, reason, count }),
     );
     return new BackendClient(
       this.adapters.dialect,
@@ -148,19 +148,19 @@
 
   private createMetrics(): ForwardingMetrics {
     return new ForwardingMetrics({
-      ready: () => this.ready(),
-      requestsInHand: () => this.daemon.countOpenRequests(),
-      configurationVersion: () => this.daemon.configurationVersion(),
-      configurationAgeMs: () => this.daemon.configurationAgeMs(now()),
-      members: () => this.daemon.members(),
-      droppedLogLines: () => this.log.dropped(),
-      partFigures: () => this.daemon.getPartFigures(now()),
+      isReady: () => this.ready(),
+      getOpenRequestCount: () => this.daemon.countOpenRequests(),
+      getConfigurationVersion: () => this.daemon.configurationVersion(),
+      getConfigurationAgeMs: () => this.daemon.configurationAgeMs(now()),
+      getMemberCount: () => this.daemon.members(),
+      getDroppedLineCount: () => this.log.getDroppedLineCount(),
+      getPartFigures: () => this.daemon.getPartFigures(now()),
     });
   }
 
   /** Opens the servers and starts the timers. */
   async start(): Promise<void> {
-    this.log.important('process.started', { zone: this.settings.zone, node: process.version });
+    this.log.writeImportantEvent('process.started', { zone: this.settings.zone, node: process.version });
     this.tick();
     this.flushTimer = setInterval(() => this.logStream.flush(), LOG_FLUSH_MS);
     await Promise.all([
@@ -172,13 +172,13 @@
   }
 
   /** The settings were written anew. */
-  reloaded(fields: Readonly<Record<string, unknown>>): void {
-    this.log.important('process.reloaded', fields);
+  onReload(fields: Readonly<Record<string, unknown>>): void {
+    this.log.writeImportantEvent('process.reloaded', fields);
   }
 
   /** A record of the store cannot be read; the last good one stays in force. */
-  badRecord(key: string, error: PulleyledgeError): void {
-    this.log.important('record.rejected', { key, code: error.code, ...error.context });
+  onInvalidRecord(key: string, error: PulleyledgeError): void {
+    this.log.writeImportantEvent('record.rejected', { key, code: error.code, ...error.context });
   }
 
   /**
@@ -193,17 +193,18 @@
     const startedAt = now();
     const latest = startedAt + this.settings.stopGraceMs - STOP_MARGIN_MS;
     this.send({ kind: 'beginDrain' });
-    this.server.beginClosing();
+    this.server.startClosing();
     while (now() < latest) {
       const noticed = now() - startedAt > NOTICE_MS;
       if (noticed) this.send({ kind: 'closeForNew' });
-      if (noticed && this.server.openRequests() === 0 && this.server.openConnections() === 0) break;
+      if (noticed && this.server.getOpenRequestCount() === 0 && this.server.getOpenConnectionCount() === 0)
+        break;
       await delay(DRAIN_POLL_MS);
     }
     await this.waitForLastCallers();
     this.stopTimers();
-    this.log.important('process.stopped', {
-      unfinished: this.server.openRequests(),
+    this.log.writeImportantEvent('process.stopped', {
+      unfinished: this.server.getOpenRequestCount(),
       afterMs: Math.round(now() - startedAt),
     });
     this.logStream.flushSync();
@@ -217,7 +218,7 @@
     await this.server.stopListening(LAST_CALLERS_MS);
     const latest = now() + LAST_ANSWERS_MS;
     do await delay(LAST_ANSWERS_POLL_MS);
-    while (this.server.openRequests() > 0 && now() < latest);
+    while (this.server.getOpenRequestCount() > 0 && now() < latest);
   }
 
   /** Closes every server and connection at once. */
@@ -235,7 +236,7 @@
 
   /** Whether callers should connect here: new connections are taken, and what comes on them can be served. */
   private ready(): boolean {
-    return this.daemon.ready() && this.server.hasRoom();
+    return this.daemon.ready() && this.server.hasCapacity();
   }
 
   /**
@@ -243,7 +244,7 @@
    */
   private tick(): void {
     this.send({ kind: 'tick', wallMs: Date.now() });
-    const pauseMs = this.requests.count() > 0 ? TICK_MS : IDLE_TICK_MS;
+    const pauseMs = this.requests.getCount() > 0 ? TICK_MS : IDLE_TICK_MS;
     this.tickTimer = setTimeout(() => this.tick(), pauseMs);
   }
 
@@ -285,7 +286,7 @@
       case 'replyWhole':
       case 'replyFailure':
       case 'replyBroken':
-        this.requests.reply(effect);
+        this.requests.sendReply(effect);
         break;
       case 'freeKv':
         this.backends.freeKv(effect.source);
@@ -300,10 +301,10 @@
         this.peers.send(effect.address, effect.message);
         break;
       case 'configurationInForce':
-        this.server.limit(effect.configuration.limits);
+        this.server.setLimits(effect.configuration.limits);
         break;
       case 'backendGone':
-        this.backends.forget(effect.backendId);
+        this.backends.removeBackend(effect.backendId);
         break;
       default:
         this.outside.perform(effect);
@@ -312,14 +313,14 @@
 
   private logChange(effect: Extract<ForwardingEffect, { kind: 'change' }>): void {
     this.metrics.addChange(effect);
-    this.log.important(effect.event, effect.fields);
+    this.log.writeImportantEvent(effect.event, effect.fields);
   }
 
   private logDecision(effect: Extract<ForwardingEffect, { kind: 'decision' }>): void {
-    this.metrics.decided(effect);
+    this.metrics.addDecision(effect);
     const failed = effect.event === 'request.refused' || effect.event === 'request.failed';
-    if (failed) this.log.important(effect.event, { requestId: effect.callerId, ...effect.fields });
-    else this.log.request(effect.event, effect.callerId, effect.fields);
+    if (failed) this.log.writeImportantEvent(effect.event, { requestId: effect.callerId, ...effect.fields });
+    else this.log.writeRequestEvent(effect.event, effect.callerId, effect.fields);
   }
 
   /** Without its metrics a daemon still serves. */
@@ -330,7 +331,7 @@
       await startListening(this.metricsServer, metricsAddress);
     } catch (error) {
       if (!(error instanceof ListenError)) throw error;
-      this.log.important('metrics.unavailable', { code: error.code, ...error.context });
+      this.log.writeImportantEvent('metrics.unavailable', { code: error.code, ...error.context });
     }
   }
 }
--- a/src/process/open-requests.ts
+++ b/src/process/open-requests.ts
@@ -32,7 +32,7 @@
   ) {}
 
   /** Requests without a whole answer whose callers wait. */
-  count(): number {
+  getCount(): number {
     return this.open.size;
   }
 
@@ -40,10 +40,10 @@
   add(received: ReceivedRequest, reply: CallerReply): void {
     this.numbered += 1;
     const id = this.numbered.toString(ID_RADIX);
-    const head = this.dialect.callerHead(received.headers);
+    const head = this.dialect.parseCallerHead(received.headers);
     const { method, path, host, headers, body, callerAddress } = received;
     this.open.set(id, { reply, request: { method, path, headers, head, body } });
-    reply.onGone = () => {
+    reply.onCallerGone = () => {
       if (this.open.delete(id)) this.send({ kind: 'cancel', requestId: id });
     };
     this.send({
@@ -85,18 +85,18 @@
   }
 
   /** Answers a request, which is open no more. */
-  reply(effect: ReplyEffect): void {
+  sendReply(effect: ReplyEffect): void {
     switch (effect.kind) {
       case 'replyWhole': {
-        const answer = this.backends.take(effect.attemptId);
-        if (answer) this.take(effect.requestId)?.whole(answer);
+        const answer = this.backends.takeAnswer(effect.attemptId);
+        if (answer) this.take(effect.requestId)?.sendAnswer(answer);
         break;
       }
       case 'replyFailure':
-        this.take(effect.requestId)?.own(effect);
+        this.take(effect.requestId)?.sendFailure(effect);
         break;
       case 'replyBroken':
-        this.take(effect.requestId)?.broken();
+        this.take(effect.requestId)?.abort();
         break;
     }
   }
--- a/src/process/outside-calls.ts
+++ b/src/process/outside-calls.ts
@@ -11,7 +11,7 @@
 import type { ForwardingMetrics } from './forwarding-metrics.js';
 
 /** The outside systems beside the back ends. */
-export interface OutsideSystems {
+export interface ExternalSystems {
   readonly store: RecordStore;
   readonly table: TableStore;
   /** Undefined where the platform asks for no duties. */
@@ -35,10 +35,10 @@
 >;
 
 /** The calls of one process. */
-export class OutsideCalls {
+export class ExternalCalls {
   constructor(
     private readonly backends: BackendClient,
-    private readonly systems: OutsideSystems,
+    private readonly systems: ExternalSystems,
     private readonly metrics: ForwardingMetrics,
     private readonly send: (event: ForwardingEvent) => void,
   ) {}
@@ -98,13 +98,13 @@
   private readKvChanges({ call }: Effect<'readKvChanges'>): void {
     const { backend } = call;
     void this.backends
-      .kvChanges(call)
+      .readKvChanges(call)
       .then((answer) => this.send({ kind: 'kvChangesRead', backend, answer }));
   }
 
   private askEngine({ backend }: Effect<'askEngine'>): void {
     void this.backends
-      .engineStatus(backend)
+      .readEngineStatus(backend)
       .then((status) => this.send({ kind: 'engineStatus', backend, status }));
   }
 
@@ -121,21 +121,21 @@
 
   private callDuty({ call, authority }: Effect<'callDuty'>): void {
     void this.systems.duties?.perform(call, authority).then((result) => {
-      this.metrics.dutyCalled(call.kind, result.kind);
+      this.metrics.addDutyCall(call.kind, result.kind);
       this.send({ kind: 'dutyResult', call, result });
     });
   }
 
   private readRecords(read: RecordRead): void {
     void this.systems.store.read(read).then((result) => {
-      this.metrics.storeCalled(read.collection, result.kind);
+      this.metrics.addStoreCall(read.collection, result.kind);
       this.send({ kind: 'recordsRead', collection: read.collection, result });
     });
   }
 
   private callTable(request: TableRequest, onResult: (result: TableResult) => void): void {
     void this.systems.table.perform(request).then((result) => {
-      this.metrics.storeCalled(request.kind, result.kind);
+      this.metrics.addStoreCall(request.kind, result.kind);
       onResult(result);
     });
   }
--- a/test/advertised-limits.test.ts
+++ b/test/advertised-limits.test.ts
@@ -1,6 +1,6 @@
 /** Back ends that advertise in their answers a request rate for all daemons together. */
 import { expect } from 'chai';
-import { labRoute } from '../lab/forwarding-site.js';
+import { makeLabRoute } from '../lab/forwarding-site.js';
 import { SignalSite } from '../simulation/signal-site.js';
 import type { FleetNode } from '../simulation/forwarding-fleet.js';
 
@@ -243,8 +243,8 @@
 
   it('more urgent requests are served first when every back end advertises one', () => {
     const routes = [
-      labRoute({ name: 'urgent', pathPrefix: '/u/', priority: 0 }),
-      labRoute({ name: 'other', pathPrefix: '/a/', priority: 2 }),
+      makeLabRoute({ name: 'urgent', pathPrefix: '/u/', priority: 0 }),
+      makeLabRoute({ name: 'other', pathPrefix: '/a/', priority: 2 }),
     ];
     const site = new SignalSite({ daemons: 9, backends: 3, seed: SEED, routes });
     const load = { [URGENT]: 10, [PATH]: 100 };
--- a/test/attempt-arrivals.test.ts
+++ b/test/attempt-arrivals.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabRoute } from '../lab/forwarding-site.js';
 import { ScriptedBackend } from '../lab/scripted-backend.js';
 import { HttpDialect } from '../platform/http-dialect.js';
 import { BackendClient } from '../src/adapters/backend-client.js';
@@ -47,7 +47,7 @@
 
 function makeSite(route: Partial<Route>, engines: boolean): Forwarding {
   const backends = engines ? ENGINES : PLAIN;
-  return new Forwarding([labRoute({ timeoutMs: 60_000, ...route })], backends, AMPLE);
+  return new Forwarding([makeLabRoute({ timeoutMs: 60_000, ...route })], backends, AMPLE);
 }
 
 /** Plays one request to its end and returns the repeats that back ends saw. */
@@ -119,7 +119,7 @@
     await Promise.all(open);
     await client.close();
     backend.close();
-    const paths = backend.arrived.map(({ head }) => head.split(' ')[1]);
+    const paths = backend.received.map(({ head }) => head.split(' ')[1]);
     expect(paths.length).to.be.greaterThan(ATTEMPTS / 2);
     expect(paths.length).to.equal(new Set(paths).size);
   });
@@ -138,7 +138,7 @@
   const start: AttemptStart = {
     requestId: attemptId,
     attemptId,
-    backend: labBackend('b1', address),
+    backend: makeLabBackend('b1', address),
     tenant: undefined,
     prefillOnly: false,
     kvSource: undefined,
--- a/test/caller-gone.test.ts
+++ b/test/caller-gone.test.ts
@@ -5,8 +5,13 @@
 import { connect, type Socket } from 'node:net';
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend, labRoute, startForwardingSite, type ForwardingSite } from '../lab/forwarding-site.js';
-import { headerOf, ScriptedBackend, type ArrivedRequest } from '../lab/scripted-backend.js';
+import {
+  makeLabBackend,
+  makeLabRoute,
+  startForwardingSite,
+  type ForwardingSite,
+} from '../lab/forwarding-site.js';
+import { findHeader, ScriptedBackend, type ReceivedRequest } from '../lab/scripted-backend.js';
 import { HttpDialect } from '../platform/http-dialect.js';
 import { BackendClient, type StreamSink } from '../src/adapters/backend-client.js';
 import type { AttemptStart } from '../src/forwarding/forward-messages.js';
@@ -38,7 +43,7 @@
   constructor(
     readonly id: string,
     readonly stage: EngineStage | undefined,
-    private readonly behave: (callerId: string, request: ArrivedRequest) => Behaviour,
+    private readonly behave: (callerId: string, request: ReceivedRequest) => Behaviour,
     private readonly prefillMs = 0,
   ) {}
 
@@ -50,9 +55,9 @@
     this.backend.close();
   }
 
-  private serve(request: ArrivedRequest, socket: Socket): void {
+  private serve(request: ReceivedRequest, socket: Socket): void {
     const { head } = request;
-    const callerId = headerOf(head, 'x-attempt-id');
+    const callerId = findHeader(head, 'x-attempt-id');
     if (callerId === undefined) {
       this.serveSmallCall(head, socket);
       return;
@@ -74,7 +79,7 @@
 
   private act(behaviour: Behaviour, callerId: string, head: string, socket: Socket): void {
     const headers = `X-Attempt-Id: ${callerId}\r\n${SIGNED}`;
-    const source = headerOf(head, 'x-kv-source');
+    const source = findHeader(head, 'x-kv-source');
     switch (behaviour) {
       case 'hold':
         break;
@@ -245,11 +250,11 @@
     servers = stage.servers();
     await Promise.all(servers.map((server) => server.listen()));
     const records = servers.map(({ id, address, stage: engineStage }) => ({
-      ...labBackend(id, address),
+      ...makeLabBackend(id, address),
       slots: 64,
       stage: engineStage,
     }));
-    site = await startForwardingSite([labRoute({ maximumAttempts: 4, ...stage.route })], records);
+    site = await startForwardingSite([makeLabRoute({ maximumAttempts: 4, ...stage.route })], records);
   }
 
   afterEach(async () => {
@@ -385,9 +390,9 @@
   resumeAfter: undefined,
 };
 const NO_STREAM: StreamSink = {
-  head: () => undefined,
-  events: () => undefined,
-  lastEventId: () => undefined,
+  writeHead: () => undefined,
+  writeEvents: () => undefined,
+  getLastEventId: () => undefined,
 };
 
 describe('connections to servers when callers leave', () => {
@@ -403,10 +408,10 @@
     });
     const events: string[] = [];
     const begin = (attemptId: string): void => {
-      const backend = labBackend('s1', order.address);
+      const backend = makeLabBackend('s1', order.address);
       const start = { ...ATTEMPT, requestId: attemptId, attemptId, backend };
       const headers = ['X-Attempt-Id', attemptId];
-      const head = dialect.callerHead(headers);
+      const head = dialect.parseCallerHead(headers);
       const request = { method: 'POST', path: '/a/x', headers, head, body: Buffer.from('pay') };
       client.start(start, request, NO_STREAM, ({ kind }) => events.push(`${attemptId} ${kind}`));
     };
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend } from '../lab/forwarding-site.js';
+import { makeLabBackend } from '../lab/forwarding-site.js';
 import { CapacityDemand, DEFAULT_CAPACITY_DEMAND_SETTINGS } from '../src/capacity/capacity-demand.js';
 import {
   CapacityManager,
@@ -108,7 +108,7 @@
   private start(zone: string, spot: boolean): void {
     if (this.ids(zone, spot).length >= (this.desired.get(`${zone} ${spot}`) ?? 0)) return;
     this.count += 1;
-    const record = labBackend(`b${this.count}`, `10.0.0.${this.count}:80`);
+    const record = makeLabBackend(`b${this.count}`, `10.0.0.${this.count}:80`);
     this.directory.put({ ...record, zone, isSpot: spot });
   }
 
@@ -239,7 +239,7 @@
   it('are counted with the replacement factor for each initial ordinary engine, and only for these', () => {
     const directory = new BackendDirectory(DEFAULT_BACKEND_HEALTH_SETTINGS);
     for (let i = 0; i < 12; i += 1)
-      directory.put({ ...labBackend(`e${i}`, `10.0.0.${i}:80`), isSpot: i >= 8 });
+      directory.put({ ...makeLabBackend(`e${i}`, `10.0.0.${i}:80`), isSpot: i >= 8 });
     const demand = new CapacityDemand(DEFAULT_CAPACITY_DEMAND_SETTINGS);
     for (let now = 0; now <= 6000; now += TICK_MS) demand.update(directory.ofService('service'), true, now);
     expect(demand.getWanted(RULES, 6000)).to.equal(16);
@@ -250,7 +250,10 @@
   function makeDemand(engines: number): { demand: CapacityDemand; directory: BackendDirectory } {
     const directory = new BackendDirectory(DEFAULT_BACKEND_HEALTH_SETTINGS);
     for (let i = 0; i < engines; i += 1)
-      directory.put({ ...labBackend(`e${i}`, `10.0.0.${i}:80`), stage: i % 3 === 0 ? 'decode' : 'prefill' });
+      directory.put({
+        ...makeLabBackend(`e${i}`, `10.0.0.${i}:80`),
+        stage: i % 3 === 0 ? 'decode' : 'prefill',
+      });
     return { demand: new CapacityDemand(DEFAULT_CAPACITY_DEMAND_SETTINGS), directory };
   }
 
--- a/test/crash-site.ts
+++ b/test/crash-site.ts
@@ -1,5 +1,5 @@
 /** A simulated fleet with back ends that crash: under requests that crash any back end that executes them, and on their own. */
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { FLEET_SETTINGS, ForwardingFleet, type FleetNode } from '../simulation/forwarding-fleet.js';
 import type { StartedAttempt } from '../simulation/forwarding-fleet.js';
 import { SeededRandom } from '../src/shared/random.js';
@@ -80,7 +80,7 @@
     });
     this.fleet.isListening = (address) =>
       this.slots.some(({ isRunning }, slot) => isRunning && address === getAddress(slot));
-    const value = labConfiguration(1, [labRoute({ timeoutMs: 8000, maximumAttempts: attempts })]);
+    const value = makeLabConfiguration(1, [makeLabRoute({ timeoutMs: 8000, maximumAttempts: attempts })]);
     this.fleet.write({ collection: 'configuration', revision: 0, value });
     for (let slot = 0; slot < backends; slot += 1) this.start(slot, 0);
     this.fleet.time.runUntil(TRAFFIC_START_MS);
@@ -169,7 +169,7 @@
   private start(slot: number, count: number): void {
     const id = this.keepsIds ? `b${slot}` : `b${slot}.${count}`;
     this.slots[slot] = { id, isRunning: true, openAttempts: new Set() };
-    const value = { ...labBackend(id, getAddress(slot)), bornMs: Math.round(this.fleet.time.now()) };
+    const value = { ...makeLabBackend(id, getAddress(slot)), bornMs: Math.round(this.fleet.time.now()) };
     this.fleet.write({ collection: 'backends', id, revision: 0, value });
   }
 
--- a/test/daemon-parts.test.ts
+++ b/test/daemon-parts.test.ts
@@ -8,7 +8,7 @@
 import { createParts } from '../src/parts/daemon-parts.js';
 import type { PartContext } from '../src/parts/daemon-part.js';
 import { SeededRandom } from '../src/shared/random.js';
-import { checkPlatformSettings, processSettings } from '../platform/settings.js';
+import { checkPlatformSettings, createProcessSettings } from '../platform/settings.js';
 import { formatSettings } from '../lab/soak/settings-file.js';
 import { SOAK_BOUNDS } from '../lab/soak/soak-record.js';
 import { makePermits } from './forwarding-harness.js';
@@ -18,7 +18,7 @@
 function makeContext({ hasDuties }: { hasDuties: boolean }): PartContext {
   const ports = { front: ADDRESS, ready: ADDRESS, control: ADDRESS, metrics: 2 };
   const file = formatSettings('daemon-1', 'zone-a', ports, [], SOAK_BOUNDS, ADDRESS, ADDRESS);
-  const { daemon } = processSettings(checkPlatformSettings(file));
+  const { daemon } = createProcessSettings(checkPlatformSettings(file));
   const directory = new BackendDirectory(DEFAULT_FORWARDING_SETTINGS.health);
   const duties = hasDuties ? daemon.duties : undefined;
   return {
--- a/test/drawn-day.ts
+++ b/test/drawn-day.ts
@@ -2,7 +2,7 @@
  * A random run of a fleet of forwarding daemons in virtual time, with callers, back ends that answer, and
  * faults.
  */
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { DutyModel } from '../lab/duty-model.js';
 import { FLEET_SETTINGS, ForwardingFleet, type FleetNode } from '../simulation/forwarding-fleet.js';
 import { DEFAULT_CAPACITY_DEMAND_SETTINGS } from '../src/capacity/capacity-demand.js';
@@ -32,14 +32,14 @@
   quota: { ratePerSecond: 4000 + 2000 * index, burst: 9000, countsTokens: index !== 1, plainCost: 300 },
 }));
 const ROUTES: Route[] = [
-  labRoute({ name: 'plain', pathPrefix: '/a/', targets: [{ service: 'plain', weight: 1 }] }),
-  labRoute({
+  makeLabRoute({ name: 'plain', pathPrefix: '/a/', targets: [{ service: 'plain', weight: 1 }] }),
+  makeLabRoute({
     name: 'once',
     pathPrefix: '/n/',
     kind: 'nonIdempotent',
     targets: [{ service: 'plain', weight: 1 }],
   }),
-  labRoute({
+  makeLabRoute({
     name: 'stream',
     pathPrefix: '/s/',
     kind: 'stream',
@@ -48,7 +48,7 @@
     targetLatencyMs: 500,
     timeoutMs: 4000,
   }),
-  labRoute({
+  makeLabRoute({
     name: 'split',
     pathPrefix: '/w/',
     kind: 'stream',
@@ -134,7 +134,7 @@
 
   private configure(): void {
     this.version += 1;
-    const base = labConfiguration(this.version, ROUTES, this.seed % 2 === 0 ? TENANTS : null);
+    const base = makeLabConfiguration(this.version, ROUTES, this.seed % 2 === 0 ? TENANTS : null);
     const value: RouteConfiguration = {
       ...base,
       services: [
@@ -158,7 +158,7 @@
     const place = this.backends.size;
     const previous = this.backends.get(id);
     const value: BackendRecord = {
-      ...labBackend(id, previous?.address ?? `10.1.0.${place}:80`),
+      ...makeLabBackend(id, previous?.address ?? `10.1.0.${place}:80`),
       service: stage ? 'service' : 'plain',
       zone: `zone-${Number(id.slice(1)) % (this.regions === 1 ? 3 : 4)}`,
       stage,
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { DutyModel } from '../lab/duty-model.js';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import {
   FLEET_SETTINGS,
   ForwardingFleet,
@@ -55,10 +55,10 @@
     this.platform = new DutyModel(fenced, LEASE_MS);
     const settings = { ...FLEET_SETTINGS, duties: makeDuties(fenced) };
     this.fleet = new ForwardingFleet(daemons, seed, settings, this.platform);
-    const value = labConfiguration(1, [labRoute({})], TENANTS);
+    const value = makeLabConfiguration(1, [makeLabRoute({})], TENANTS);
     this.fleet.write({ collection: 'configuration', revision: 0, value });
     for (const id of ['a', 'b'])
-      this.fleet.write({ collection: 'backends', id, revision: 0, value: labBackend(id, '10.1.0.1:80') });
+      this.fleet.write({ collection: 'backends', id, revision: 0, value: makeLabBackend(id, '10.1.0.1:80') });
     this.fleet.time.runUntil(SETTLED_MS);
   }
 
@@ -72,7 +72,7 @@
 
   /** The daemon that last took the lease; the first one before any has. */
   holder(): FleetNode {
-    const row = this.fleet.table.peek('leases', DUTY_CELL)?.value as { holder: string } | undefined;
+    const row = this.fleet.table.getRow('leases', DUTY_CELL)?.value as { holder: string } | undefined;
     return this.fleet.nodes.find((node) => node.id === row?.holder) ?? this.fleet.nodes[0];
   }
 
@@ -218,12 +218,12 @@
   it('the time of the fleet is the median of many clocks', () => {
     const clock = new FleetClock('self');
     expect(clock.getTime(0)).to.equal(undefined);
-    clock.setOwn(5_000_000, 1000);
+    clock.setLocalTime(5_000_000, 1000);
     expect(clock.getTime(1500)).to.equal(5_000_500);
-    for (let i = 0; i < 8; i += 1) clock.apply(`d${i}`, 1_000_000 + i, 1000);
+    for (let i = 0; i < 8; i += 1) clock.addSample(`d${i}`, 1_000_000 + i, 1000);
     expect(clock.getTime(1000)).to.equal(1_000_004);
-    expect(clock.getOwn(1000)).to.equal(5_000_000);
-    clock.setOwn(1_020_000, 20_000);
+    expect(clock.getLocalTime(1000)).to.equal(5_000_000);
+    clock.setLocalTime(1_020_000, 20_000);
     expect(clock.getTime(20_000)).to.equal(1_020_000);
   });
 
@@ -247,7 +247,7 @@
   });
 
   it('a request counts once for its tenant, when a back end is first known to have begun it', () => {
-    const daemon = new Forwarding([labRoute({})], PLAIN);
+    const daemon = new Forwarding([makeLabRoute({})], PLAIN);
     daemon.tenants.apply(TENANTS);
     daemon.begin({ keyDigest: 'key of anna' }, 100);
     daemon.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 110);
