--- a/test/end-record.test.ts
+++ b/test/end-record.test.ts
@@ -119,7 +119,7 @@
       for (const until = this.now + ms; this.now < until; this.now += 50) {
         this.archive.tick(false, this.now);
         for (const { request } of this.calls.splice(0)) {
-          const result = deliver(this.platform.table(request, this.now)) ?? {
+          const result = deliver(this.platform.applyTableRequest(request, this.now)) ?? {
             kind: 'noAnswer',
             reason: 'lost',
           };
@@ -148,7 +148,7 @@
   it('are removed with the answer that discards them, and rows of other writers are ignored', () => {
     const platform = new PlatformModel({ perSecond: 10_000, burst: 10_000 });
     const writes = [{ table: 'quarantine' as const, key: 'foreign', expectedRevision: 0, value: { key: 7 } }];
-    platform.table({ kind: 'commit', writeId: 'other', writes }, 0);
+    platform.applyTableRequest({ kind: 'commit', writeId: 'other', writes }, 0);
     const first = new ArchiveHarness('first', platform, 1000);
     first.archive.add(crash, WALL_MS + 1000, 1000);
     first.run(500);
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -65,9 +65,9 @@
     const log = new DecisionLog({ daemon: 'd' }, { write }, settings, () => now);
     for (let step = 0; step < 10_000; step += 1) {
       now = step;
-      log.request('request.accepted', `r${step}`, {});
-      log.request('request.answered', `r${step}`, {});
-      if (step % 100 === 0) log.important('request.failed', { requestId: `f${step}` });
+      log.writeRequestEvent('request.accepted', `r${step}`, {});
+      log.writeRequestEvent('request.answered', `r${step}`, {});
+      if (step % 100 === 0) log.writeImportantEvent('request.failed', { requestId: `f${step}` });
     }
     expect(lines.length).to.be.at.most(10 * (settings.maximumLinesPerSecond + 1));
     const later = lines.slice(Math.floor(lines.length / 2));
@@ -82,6 +82,6 @@
       0,
     );
     expect(told).to.be.greaterThan(10_000);
-    expect(told).to.be.at.most(log.dropped());
+    expect(told).to.be.at.most(log.getDroppedLineCount());
   });
 });
--- a/test/fault-soak.test.ts
+++ b/test/fault-soak.test.ts
@@ -10,7 +10,7 @@
   formatEvent,
   SoakRecord,
   type CallerRecord,
-  type RunRecord,
+  type ExecutionRecord,
 } from '../lab/soak/soak-record.js';
 import type { ArrivalRecord } from '../lab/soak/retry-check.js';
 import { SOAK_TENANTS } from '../lab/soak/soak-routes.js';
@@ -48,13 +48,13 @@
     status: 200,
     signature: 'b1',
     body: formatBody(id),
-    whole: true,
+    complete: true,
     ...fields,
   });
 }
 
-function addRun(record: SoakRecord, fields: Partial<RunRecord> = {}): void {
-  record.runs.push({
+function addRun(record: SoakRecord, fields: Partial<ExecutionRecord> = {}): void {
+  record.executions.push({
     requestId: 'q1',
     backend: 'b1',
     service: 'application',
@@ -106,7 +106,7 @@
   [
     'a stream that was cut inside an event and says so',
     (record) => (
-      addRequest(record, { form: 'streaming', body: `${EVENTS[0]}id: 2`, whole: false }),
+      addRequest(record, { form: 'streaming', body: `${EVENTS[0]}id: 2`, complete: false }),
       addRun(record)
     ),
   ],
@@ -128,22 +128,27 @@
     'no answer at the time-out of a daemon that was paused',
     (record) => {
       addRequest(record, { status: undefined, endedAt: 12_500 });
-      record.disturbances.push({ what: 'daemon-1', kind: 'pause', from: 9000, until: 11_000 });
+      record.disturbances.push({ target: 'daemon-1', kind: 'pause', from: 9000, until: 11_000 });
     },
   ],
   [
     'cut by a planned stop',
     (record) => {
       addRequest(record, { status: undefined, endedAt: 10_200 });
-      record.disturbances.push({ what: 'daemon-1', kind: 'restart daemon-1', from: 10_050, until: 13_000 });
+      record.disturbances.push({ target: 'daemon-1', kind: 'restart daemon-1', from: 10_050, until: 13_000 });
     },
   ],
   [
     'cut by a planned stop while back ends were harmed',
     (record) => {
       addRequest(record, { status: undefined, endedAt: 10_200 });
-      record.disturbances.push({ what: 'daemon-1', kind: 'restart daemon-1', from: 10_050, until: 13_000 });
-      record.disturbances.push({ what: 'backends', kind: 'crash of back end 1', from: 9000, until: 11_000 });
+      record.disturbances.push({ target: 'daemon-1', kind: 'restart daemon-1', from: 10_050, until: 13_000 });
+      record.disturbances.push({
+        target: 'backends',
+        kind: 'crash of back end 1',
+        from: 9000,
+        until: 11_000,
+      });
     },
   ],
   [
@@ -165,7 +170,7 @@
   [
     'new work for a back end that is leaving',
     (record) => {
-      record.drains.set('b1', 5000);
+      record.drainStarts.set('b1', 5000);
       addRequest(record, {});
       addRun(record);
     },
@@ -303,7 +308,8 @@
       8000,
       () => random.next(),
     );
-    for (const { atMs, fault } of plan) snapshot.add(`${atMs} ms: ${fault.getName()}, ${fault.lastsMs} ms`);
+    for (const { atMs, fault } of plan)
+      snapshot.add(`${atMs} ms: ${fault.getName()}, ${fault.durationMs} ms`);
     snapshot.check();
   });
 
@@ -328,7 +334,7 @@
     };
     // The bound counts from 3,000 + contact 3,000 + margin 500 on.
     [4000, 6400, 7000, 7100, 7200].forEach((at, i) => arriveAt(`c${i}`, at, 'daemon-1'));
-    record.disturbances.push({ what: 'daemon-2', kind: 'kill', from: 6000, until: 7000 });
+    record.disturbances.push({ target: 'daemon-2', kind: 'kill', from: 6000, until: 7000 });
     arriveAt('d1', 8000, 'daemon-2');
     expect(record.findCrashOutcomes()).to.deep.equal([{ body, ends: 3, lateRetries: 3 }]);
     expect(record.check().map(({ promise }) => promise)).not.to.include(KEPT_AWAY);
@@ -341,7 +347,8 @@
     const snapshot = new Snapshot('fault-soak-plan');
     const random = new SeededRandom(7);
     const plan = makePlan({ daemons: ['d1', 'd2', 'd3'], places: 10 }, 20_000, () => random.next());
-    for (const { atMs, fault } of plan) snapshot.add(`${atMs} ms: ${fault.getName()}, ${fault.lastsMs} ms`);
+    for (const { atMs, fault } of plan)
+      snapshot.add(`${atMs} ms: ${fault.getName()}, ${fault.durationMs} ms`);
     snapshot.check();
   });
 
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,7 +1,7 @@
 /** The replica of configuration and back ends: never back, whatever the store and peers answer. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import {
   FleetReplica,
   DEFAULT_FLEET_REPLICA_SETTINGS,
@@ -24,11 +24,11 @@
 }
 
 function configuration(revision: number, version: number): StoredRecord {
-  return { collection: 'configuration', revision, value: labConfiguration(version, [labRoute({})]) };
+  return { collection: 'configuration', revision, value: makeLabConfiguration(version, [makeLabRoute({})]) };
 }
 
 function backend(id: string, revision: number, present = true): StoredRecord {
-  const value = present ? labBackend(id, '10.0.0.1:80') : undefined;
+  const value = present ? makeLabBackend(id, '10.0.0.1:80') : undefined;
   return { collection: 'backends', id, revision, value };
 }
 
@@ -41,49 +41,61 @@
 
 function known(fleet: FleetReplica): string[] {
   return fleet
-    .records()
+    .getRecords()
     .flatMap((record) => (record.collection === 'backends' && record.value ? [record.id] : []));
 }
 
 describe('fleet replica', () => {
   it('an old snapshot after a gap neither reverts the configuration nor brings a removed back end back', () => {
     const { fleet } = replica();
-    fleet.receive('configuration', { kind: 'snapshot', revision: 10, records: [configuration(10, 3)] }, 0);
-    fleet.receive(
+    fleet.receiveReadResult(
+      'configuration',
+      { kind: 'snapshot', revision: 10, records: [configuration(10, 3)] },
+      0,
+    );
+    fleet.receiveReadResult(
       'backends',
       { kind: 'snapshot', revision: 10, records: [backend('a', 5), backend('b', 6)] },
       0,
     );
-    fleet.receive('backends', { kind: 'changes', revision: 12, records: [backend('a', 12, false)] }, 10);
-    fleet.receive('backends', { kind: 'historyGone' }, 20);
-    fleet.receive(
+    fleet.receiveReadResult(
+      'backends',
+      { kind: 'changes', revision: 12, records: [backend('a', 12, false)] },
+      10,
+    );
+    fleet.receiveReadResult('backends', { kind: 'historyGone' }, 20);
+    fleet.receiveReadResult(
       'backends',
       { kind: 'snapshot', revision: 9, records: [backend('a', 5), backend('b', 6)] },
       30,
     );
-    fleet.receive('configuration', { kind: 'snapshot', revision: 9, records: [configuration(8, 2)] }, 30);
+    fleet.receiveReadResult(
+      'configuration',
+      { kind: 'snapshot', revision: 9, records: [configuration(8, 2)] },
+      30,
+    );
     expect(known(fleet)).to.deep.equal(['b']);
-    expect(fleet.configuration()?.version).to.equal(3);
+    expect(fleet.getConfiguration()?.version).to.equal(3);
   });
 
   it('a back end that a newer snapshot lacks is removed; one with a newer record stays', () => {
     const { fleet } = replica();
-    fleet.receive(
+    fleet.receiveReadResult(
       'backends',
       { kind: 'snapshot', revision: 6, records: [backend('a', 5), backend('b', 6)] },
       0,
     );
     fleet.receiveSnapshot('peer', knowing(-1, -1), [backend('c', 20)], 5);
-    fleet.receive('backends', { kind: 'snapshot', revision: 15, records: [backend('b', 6)] }, 10);
+    fleet.receiveReadResult('backends', { kind: 'snapshot', revision: 15, records: [backend('b', 6)] }, 10);
     expect(known(fleet)).to.deep.equal(['b', 'c']);
   });
 
   it('without the store a daemon learns configuration and back ends from a peer, and knows that they may be old', () => {
     const { fleet } = replica();
-    fleet.receive('configuration', { kind: 'noAnswer', reason: 'timeout' }, 0);
+    fleet.receiveReadResult('configuration', { kind: 'noAnswer', reason: 'timeout' }, 0);
     fleet.receiveSnapshot('peer', knowing(-1, -1), [configuration(10, 3), backend('a', 5)], 50);
-    expect(fleet.configuration()?.version).to.equal(3);
-    expect(fleet.knowsBackends()).to.equal(true);
+    expect(fleet.getConfiguration()?.version).to.equal(3);
+    expect(fleet.hasBackends()).to.equal(true);
     expect(fleet.configurationMayBeStale(100)).to.equal(true);
   });
 
@@ -91,12 +103,16 @@
     const { fleet, effects } = replica();
     fleet.tick(0);
     expect(effects.filter((effect) => effect.kind === 'readRecords')).to.have.length(2);
-    fleet.receive('configuration', { kind: 'rejected', status: 429 }, 10);
+    fleet.receiveReadResult('configuration', { kind: 'rejected', status: 429 }, 10);
     fleet.tick(11);
     expect(effects.filter((effect) => effect.kind === 'readRecords')).to.have.length(2);
     fleet.tick(2000);
-    fleet.receive('configuration', { kind: 'snapshot', revision: 1, records: [configuration(1, 1)] }, 2500);
-    expect(fleet.ageMs('configuration', 2500)).to.equal(500);
+    fleet.receiveReadResult(
+      'configuration',
+      { kind: 'snapshot', revision: 1, records: [configuration(1, 1)] },
+      2500,
+    );
+    expect(fleet.getAgeMs('configuration', 2500)).to.equal(500);
     expect(effects.map((effect) => effect.kind))
       .to.include('storeLost')
       .and.to.include('storeRegained');
@@ -111,9 +127,9 @@
         for (const { revision, fromPeer } of plan) {
           const records = [configuration(revision, revision)];
           if (fromPeer) fleet.receiveSnapshot('peer', knowing(-1, -1), records, revision);
-          else fleet.receive('configuration', { kind: 'snapshot', revision, records }, revision);
+          else fleet.receiveReadResult('configuration', { kind: 'snapshot', revision, records }, revision);
           newest = Math.max(newest, revision);
-          expect(fleet.configuration()?.version).to.equal(newest);
+          expect(fleet.getConfiguration()?.version).to.equal(newest);
         }
       }),
       { seed: SEED, numRuns: 200 },
--- a/test/forwarding-bytes.test.ts
+++ b/test/forwarding-bytes.test.ts
@@ -4,8 +4,13 @@
 import { connect, type AddressInfo, type Socket } from 'node:net';
 import { Worker } from 'node:worker_threads';
 import { expect } from 'chai';
-import { labBackend, labRoute, startForwardingSite, type ForwardingSite } from '../lab/forwarding-site.js';
-import { headerOf, ScriptedBackend, type BackendScript } from '../lab/scripted-backend.js';
+import {
+  makeLabBackend,
+  makeLabRoute,
+  startForwardingSite,
+  type ForwardingSite,
+} from '../lab/forwarding-site.js';
+import { findHeader, ScriptedBackend, type BackendScript } from '../lab/scripted-backend.js';
 import { CallerReply } from '../src/gateway/forward-server.js';
 import type { Route } from '../src/forwarding/routes/route.js';
 
@@ -40,8 +45,8 @@
     backend = new ScriptedBackend(script);
     const address = await backend.listen();
     site = await startForwardingSite(
-      [labRoute({ maximumAttempts: 1, ...route })],
-      [labBackend('b1', address)],
+      [makeLabRoute({ maximumAttempts: 1, ...route })],
+      [makeLabBackend('b1', address)],
     );
   }
 
@@ -101,7 +106,7 @@
     await start((_request, socket) => socket.destroy(), { kind: 'nonIdempotent', maximumAttempts: 2 });
     const answer = await ask(site.callers, 'POST /a/x HTTP/1.1\r\nX-Attempt-Id: id1', 'pay');
     expect(answer.text).to.match(/^HTTP\/1.1 502 /);
-    expect(backend.arrived).to.have.length(1);
+    expect(backend.received).to.have.length(1);
   });
 
   it('a request that may not be repeated takes no connection that has rested', async () => {
@@ -113,7 +118,7 @@
         if (restedMs > 300) socket.resetAndDestroy();
         else
           socket.write(
-            `HTTP/1.1 200 OK\r\nX-Attempt-Id: ${headerOf(request.head, 'x-attempt-id')}\r\n${SIGNED}Content-Length: 2\r\n\r\nok`,
+            `HTTP/1.1 200 OK\r\nX-Attempt-Id: ${findHeader(request.head, 'x-attempt-id')}\r\n${SIGNED}Content-Length: 2\r\n\r\nok`,
           );
       },
       { kind: 'nonIdempotent' },
@@ -132,7 +137,7 @@
     });
     const answer = await ask(site.callers, GET);
     expect(answer.text).to.match(/^HTTP\/1.1 503 /);
-    expect(Number(headerOf(answer.text, 'Retry-After'))).to.be.greaterThan(0);
+    expect(Number(findHeader(answer.text, 'Retry-After'))).to.be.greaterThan(0);
   });
 
   it('headers that belong to the system are not passed on from callers', async () => {
@@ -143,11 +148,11 @@
       site.callers,
       `${GET}\r\nX-Expect-Instance: other\r\nX-Kv-Source: 1.2.3.4:5/abc\r\nX-Own: kept`,
     );
-    const [{ head }] = backend.arrived;
-    expect(headerOf(head, 'X-Expect-Instance')).to.equal('b1');
-    expect(headerOf(head, 'X-Kv-Source')).to.equal(undefined);
-    expect(headerOf(head, 'X-Own')).to.equal('kept');
-    expect(Number(headerOf(head, 'X-Deadline-Ms'))).to.be.within(1, 1500);
+    const [{ head }] = backend.received;
+    expect(findHeader(head, 'X-Expect-Instance')).to.equal('b1');
+    expect(findHeader(head, 'X-Kv-Source')).to.equal(undefined);
+    expect(findHeader(head, 'X-Own')).to.equal('kept');
+    expect(Number(findHeader(head, 'X-Deadline-Ms'))).to.be.within(1, 1500);
   });
 
   it('a request held to its time-out gets its answer then', async () => {
@@ -266,9 +271,9 @@
   it('is broken off, not answered a second time, when the request fails before the machine knew', async () => {
     const server = createServer((_request, response) => {
       const reply = new CallerReply(response, () => false, undefined);
-      reply.head(200, ['X-Own', '1'], true);
-      reply.events(Buffer.from('id: 1\n\n'), '1');
-      setTimeout(() => reply.own({ status: 504, failure: 'deadline', retryAfterMs: undefined }), 50);
+      reply.writeHead(200, ['X-Own', '1'], true);
+      reply.writeEvents(Buffer.from('id: 1\n\n'), '1');
+      setTimeout(() => reply.sendFailure({ status: 504, failure: 'deadline', retryAfterMs: undefined }), 50);
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const { port } = server.address() as AddressInfo;
--- a/test/forwarding-harness.ts
+++ b/test/forwarding-harness.ts
@@ -1,5 +1,5 @@
 /** Runs the forwarding machine of one daemon without sockets, for tests in virtual time. */
-import { labBackend, labConfiguration } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration } from '../lab/forwarding-site.js';
 import { BackendDirectory } from '../src/forwarding/backends/backend-directory.js';
 import { BackendDistance } from '../src/forwarding/choose/backend-distance.js';
 import { BackendPicker } from '../src/forwarding/choose/backend-picker.js';
@@ -64,7 +64,7 @@
     slack = 50,
     regionByZone: RegionByZone = {},
   ) {
-    const table = new RouteTable(labConfiguration(1, routes));
+    const table = new RouteTable(makeLabConfiguration(1, routes));
     for (const record of backends) this.directory.put(record);
     this.distance = makeDistance(regionByZone, this.roundTrips);
     const picker = new BackendPicker(
@@ -138,10 +138,10 @@
   }
 }
 
-export const PLAIN = ['b1', 'b2', 'b3'].map((id) => labBackend(id, `10.0.0.1:${id.slice(1)}`));
+export const PLAIN = ['b1', 'b2', 'b3'].map((id) => makeLabBackend(id, `10.0.0.1:${id.slice(1)}`));
 
 export function engine(id: string, stage: EngineStage): BackendRecord {
-  return { ...labBackend(id, `10.0.1.1:${id.length}`), stage };
+  return { ...makeLabBackend(id, `10.0.1.1:${id.length}`), stage };
 }
 
 export const ENGINES = [
--- a/test/forwarding.test.ts
+++ b/test/forwarding.test.ts
@@ -1,7 +1,7 @@
 /** Decisions of forwarding in virtual time: which back end gets a request, what is retried, what callers get. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import type { Route } from '../src/forwarding/routes/route.js';
 import { RouteTable } from '../src/forwarding/routes/route-table.js';
 import { WeightedChoice } from '../src/forwarding/routes/weighted-choice.js';
@@ -14,10 +14,10 @@
 describe('routes', () => {
   it('the longest prefix of the host wins; port, query and the case of the host are ignored', () => {
     const table = new RouteTable(
-      labConfiguration(1, [
-        labRoute({ name: 'short', pathPrefix: '/a/' }),
-        labRoute({ name: 'long', pathPrefix: '/a/b/' }),
-        labRoute({ name: 'other', host: 'other.example', pathPrefix: '/' }),
+      makeLabConfiguration(1, [
+        makeLabRoute({ name: 'short', pathPrefix: '/a/' }),
+        makeLabRoute({ name: 'long', pathPrefix: '/a/b/' }),
+        makeLabRoute({ name: 'other', host: 'other.example', pathPrefix: '/' }),
       ]),
     );
     expect(table.findRoute('SITE.example:80', '/a/b/c?x=/')?.name).to.equal('long');
@@ -30,7 +30,7 @@
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 1, maxLength: 4 }), (weights) => {
         const targets = weights.map((weight, index) => ({ service: `s${index}`, weight }));
-        const route = labRoute({ targets });
+        const route = makeLabRoute({ targets });
         const choice = new WeightedChoice();
         const counts = new Map<string, number>();
         const round = weights.reduce((sum, weight) => sum + weight, 0);
@@ -47,7 +47,7 @@
 
 describe('forwarding', () => {
   it('a non-idempotent request is never retried once a back end may have received it', () => {
-    const site = new Forwarding([labRoute({ kind: 'nonIdempotent', maximumAttempts: 3 })], PLAIN);
+    const site = new Forwarding([makeLabRoute({ kind: 'nonIdempotent', maximumAttempts: 3 })], PLAIN);
     site.begin();
     site.event({ kind: 'broken', reason: 'reset' }, 10);
     expect(site.starts()).to.have.length(1);
@@ -55,7 +55,7 @@
   });
 
   it('a request that no back end received is retried elsewhere, whatever its kind, without charge to the budget', () => {
-    const site = new Forwarding([labRoute({ kind: 'nonIdempotent' })], PLAIN, 0);
+    const site = new Forwarding([makeLabRoute({ kind: 'nonIdempotent' })], PLAIN, 0);
     site.begin();
     site.event({ kind: 'unreachable', reason: 'refused' }, 10);
     expect(site.starts().map((start) => start.backend.id)).to.have.length(2);
@@ -63,7 +63,7 @@
   });
 
   it('a rejected request is refused as not executed when the retry budget is used up', () => {
-    const site = new Forwarding([labRoute({})], PLAIN, 0);
+    const site = new Forwarding([makeLabRoute({})], PLAIN, 0);
     site.begin();
     site.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 10);
     expect(site.starts()).to.have.length(1);
@@ -73,7 +73,7 @@
   });
 
   it('a request is executed at no more back ends than its route allows', () => {
-    const site = new Forwarding([labRoute({ maximumAttempts: 2 })], PLAIN);
+    const site = new Forwarding([makeLabRoute({ maximumAttempts: 2 })], PLAIN);
     site.begin();
     site.event({ kind: 'broken', reason: 'reset' }, 10);
     site.event({ kind: 'broken', reason: 'reset' }, 20);
@@ -82,7 +82,7 @@
   });
 
   it('at the timeout the answer is immediate: refused as not executed only if that is certain', () => {
-    const site = new Forwarding([labRoute({ kind: 'nonIdempotent', timeoutMs: 500 })], PLAIN);
+    const site = new Forwarding([makeLabRoute({ kind: 'nonIdempotent', timeoutMs: 500 })], PLAIN);
     site.begin();
     site.manager.tick(499);
     expect(site.failures()).to.deep.equal([]);
@@ -92,14 +92,14 @@
   });
 
   it('a back end gets no more time than the deadlines of the caller and the route leave', () => {
-    const site = new Forwarding([labRoute({ timeoutMs: 800 })], PLAIN);
+    const site = new Forwarding([makeLabRoute({ timeoutMs: 800 })], PLAIN);
     site.begin({ callerDeadlineMs: 600 });
     site.event({ kind: 'unreachable', reason: 'refused' }, 100);
     expect(site.starts().map((start) => start.remainingMs)).to.deep.equal([600, 500]);
   });
 
   it('a request whose caller disconnects is aborted and removed from its back end', () => {
-    const site = new Forwarding([labRoute({})], PLAIN);
+    const site = new Forwarding([makeLabRoute({})], PLAIN);
     site.begin();
     site.manager.cancel('r1', 10);
     expect(site.getEffects('abortAttempt')).to.have.length(1);
@@ -108,7 +108,7 @@
   });
 
   it('a path without a route gets 404 only while the configuration is confirmed, else 503', () => {
-    const site = new Forwarding([labRoute({})], PLAIN);
+    const site = new Forwarding([makeLabRoute({})], PLAIN);
     site.begin({ path: '/none' });
     site.stale = true;
     site.begin({ id: 'r2', path: '/none' });
@@ -116,7 +116,7 @@
   });
 
   it('requests after admission has closed are refused with a Retry-After', () => {
-    const site = new Forwarding([labRoute({})], PLAIN);
+    const site = new Forwarding([makeLabRoute({})], PLAIN);
     site.manager.closeForNew();
     site.begin();
     expect(site.failures()).to.deep.equal([503]);
@@ -125,14 +125,14 @@
 
   it('a back end gets no more concurrent requests than this daemon’s share of its connections', () => {
     const [only] = PLAIN;
-    const site = new Forwarding([labRoute({})], [{ ...only, slots: 1000 }]);
+    const site = new Forwarding([makeLabRoute({})], [{ ...only, slots: 1000 }]);
     for (let count = 0; count < 95; count += 1) site.begin({ id: `r${count}` });
     expect(site.starts()).to.have.length(90);
     expect(site.failures()).to.deep.equal([503, 503, 503, 503, 503]);
   });
 
   it('no further requests go to an address that another incarnation has taken over', () => {
-    const site = new Forwarding([labRoute({})], PLAIN);
+    const site = new Forwarding([makeLabRoute({})], PLAIN);
     site.begin();
     const [{ backend }] = site.starts();
     site.event({ kind: 'notExecuted', status: 421, wrongIncarnation: true }, 10);
@@ -142,7 +142,7 @@
 
 describe('streams', () => {
   it('a resumable stream is resumed at another back end after its last complete event', () => {
-    const site = new Forwarding([labRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
+    const site = new Forwarding([makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
     site.event({ kind: 'streamProgress', lastEventId: '7' }, 20);
@@ -151,7 +151,7 @@
   });
 
   it('a prompt is computed separately again only where the attempts of the route allow that and the generation', () => {
-    const route = labRoute({ ...STREAM, resumable: true, maximumAttempts: 2 });
+    const route = makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 });
     const site = new Forwarding([route], [...ENGINES, engine('p3', 'prefill'), engine('d3', 'decode')]);
     site.begin({ prompt: prompt(400, 100) });
     site.event({ kind: 'prefilled', handle: 'h1' }, 10);
@@ -165,7 +165,7 @@
   });
 
   it('a stream is not moved because of a process pause', () => {
-    const site = new Forwarding([labRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
+    const site = new Forwarding([makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
     site.begin({ callerDeadlineMs: 9000 });
     site.event({ kind: 'streamStarted' }, 10);
     for (let now = 20; now < 200; now += 20) site.manager.tick(now);
@@ -177,7 +177,7 @@
   });
 
   it('a stream whose second engine is lost too is resumed at a third', () => {
-    const route = labRoute({ ...STREAM, resumable: true, maximumAttempts: 4 });
+    const route = makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 4 });
     const site = new Forwarding([route], [...ENGINES, engine('p3', 'prefill'), engine('d3', 'decode')]);
     site.begin({ prompt: prompt(400, 100) });
     site.event({ kind: 'prefilled', handle: 'h1' }, 10);
@@ -189,7 +189,7 @@
   });
 
   it('a stream whose second engine answers with a failure is broken off, not ended as if it were complete', () => {
-    const site = new Forwarding([labRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
+    const site = new Forwarding([makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
     site.event({ kind: 'streamProgress', lastEventId: '7' }, 20);
@@ -200,7 +200,7 @@
   });
 
   it('a stream that is not resumable is broken off, never finished by another attempt', () => {
-    const site = new Forwarding([labRoute(STREAM)], PLAIN);
+    const site = new Forwarding([makeLabRoute(STREAM)], PLAIN);
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
     site.event({ kind: 'broken', reason: 'reset' }, 30);
@@ -209,7 +209,7 @@
   });
 
   it('a long prompt is computed by a prefill engine and generated by a decode engine', () => {
-    const site = new Forwarding([labRoute(STREAM)], ENGINES);
+    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
     site.begin({ prompt: prompt(3000, 13_000) });
     expect(site.starts()[0]).to.include({ prefillOnly: true });
     expect(site.starts()[0].backend.stage).to.equal('prefill');
@@ -220,7 +220,7 @@
   });
 
   it('a KV cache that will not be used is freed', () => {
-    const site = new Forwarding([labRoute(STREAM)], ENGINES);
+    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
     site.begin({ prompt: prompt(3000, 13_000) });
     site.event({ kind: 'prefilled', handle: 'h1' }, 100);
     site.manager.cancel('r1', 110);
@@ -233,7 +233,7 @@
       engine(`p${name}`, 'prefill'),
       engine(`d${name}`, 'decode'),
     ]);
-    const site = new Forwarding([labRoute({ ...STREAM, maximumAttempts: 9 })], engines, slack);
+    const site = new Forwarding([makeLabRoute({ ...STREAM, maximumAttempts: 9 })], engines, slack);
     const requests = 12;
     for (let i = 0; i < requests; i += 1) {
       site.begin({ id: `r${i}`, prompt: prompt(2000, 0) });
@@ -257,7 +257,7 @@
 
   it('a long prompt yields to short ones of the same priority, never to a lower priority', () => {
     const urgency = (priority: number, own: number): number => {
-      const site = new Forwarding([labRoute({ ...STREAM, priority })], ENGINES);
+      const site = new Forwarding([makeLabRoute({ ...STREAM, priority })], ENGINES);
       site.begin({ prompt: prompt(own, 0) });
       return site.starts()[0].urgency;
     };
@@ -266,7 +266,7 @@
   });
 
   it('if every decode engine is unhealthy one of them is tried anyway: no prefill engine can replace it', () => {
-    const site = new Forwarding([labRoute(STREAM)], ENGINES);
+    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
     for (const id of ['d1', 'd2']) site.directory.get(id)?.health.onUnreachable(0);
     site.begin({ prompt: prompt(100, 50) });
     site.begin({ id: 'r2', prompt: prompt(3000, 13_000) });
@@ -277,7 +277,7 @@
   });
 
   it('a short prompt goes to a decode engine directly', () => {
-    const site = new Forwarding([labRoute(STREAM)], ENGINES);
+    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
     site.begin({ prompt: prompt(100, 50) });
     expect(site.starts()[0].backend.stage).to.equal('decode');
     expect(site.starts()[0].prefillOnly).to.equal(false);
@@ -286,7 +286,7 @@
   it('prompts with the same shared parts go to one home engine, which every daemon computes by itself', () => {
     const homes = new Set<string>();
     for (let daemon = 0; daemon < 5; daemon += 1) {
-      const site = new Forwarding([labRoute(STREAM)], ENGINES);
+      const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
       site.begin({ prompt: prompt(3000 + daemon, 13_000, 'subject') });
       homes.add(site.starts()[0].backend.id);
     }
@@ -294,7 +294,7 @@
   });
 
   it('a busy engine is not taken for a silent one: the stall limit grows with the queued prompts', () => {
-    const site = new Forwarding([labRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
+    const site = new Forwarding([makeLabRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
     site.begin({ prompt: prompt(50_000, 2000), callerDeadlineMs: 9000 });
     site.manager.tick(2500);
     expect(site.starts()).to.have.length(1);
@@ -305,7 +305,7 @@
 
 describe('a home engine that has not computed the shared parts yet', () => {
   it('is allowed the time that the whole prompt takes', () => {
-    const site = new Forwarding([labRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
+    const site = new Forwarding([makeLabRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
     site.begin({ prompt: prompt(2000, 40_000), callerDeadlineMs: 9000 });
     site.manager.tick(2000);
     expect(site.starts()).to.have.length(1);
@@ -313,7 +313,7 @@
   });
 
   it('saves their tokens once they are known to be in its KV cache', () => {
-    const site = new Forwarding([labRoute(STREAM)], ENGINES);
+    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
     site.begin({ prompt: prompt(2000, 13_000) });
     site.event({ kind: 'prefilled', handle: 'h' }, 300);
     site.begin({ id: 'r2', prompt: prompt(1000, 13_000) }, 400);
--- a/test/free-ports.test.ts
+++ b/test/free-ports.test.ts
@@ -7,22 +7,22 @@
 import { expect } from 'chai';
 import { once } from 'node:events';
 import { createServer } from 'node:net';
-import { BLOCK_PORTS, findFreePorts } from '../lab/free-ports.js';
+import { PORTS_PER_BLOCK, findFreePorts } from '../lab/free-ports.js';
 
 const FIRST_PORT = 20_000;
 
 function getBlock(port: number): number {
-  return Math.floor((port - FIRST_PORT) / BLOCK_PORTS);
+  return Math.floor((port - FIRST_PORT) / PORTS_PER_BLOCK);
 }
 
 describe('ports for tests', () => {
   it('are never of a block that another process holds', async () => {
     const [port] = await findFreePorts(1);
-    const held = FIRST_PORT + (getBlock(port) + 1) * BLOCK_PORTS;
+    const held = FIRST_PORT + (getBlock(port) + 1) * PORTS_PER_BLOCK;
     const holder = createServer().listen(held, '127.0.0.1');
     // It may be held already by another run beside this one: the check is the same.
     await Promise.race([once(holder, 'listening'), new Promise((resolve) => holder.once('error', resolve))]);
-    const ports = await findFreePorts(3 * BLOCK_PORTS);
+    const ports = await findFreePorts(3 * PORTS_PER_BLOCK);
     expect(ports.filter((other) => getBlock(other) === getBlock(held))).to.deep.equal([]);
     expect(new Set([port, ...ports]).size).to.equal(1 + ports.length);
     holder.close();
@@ -30,7 +30,7 @@
 
   it('come from blocks that no other process can hold meanwhile', async () => {
     const [port] = await findFreePorts(1);
-    const first = createServer().listen(FIRST_PORT + getBlock(port) * BLOCK_PORTS, '127.0.0.1');
+    const first = createServer().listen(FIRST_PORT + getBlock(port) * PORTS_PER_BLOCK, '127.0.0.1');
     const [error] = (await once(first, 'error')) as [NodeJS.ErrnoException];
     expect(error.code).to.equal('EADDRINUSE');
   });
--- a/test/kept-connections.test.ts
+++ b/test/kept-connections.test.ts
@@ -12,7 +12,7 @@
 import { once } from 'node:events';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { LocalSite } from '../lab/launcher.js';
-import { siteProfile } from '../lab/site-profiles.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import { delay } from '../src/shared/delay.js';
 import { SeededRandom } from '../src/shared/random.js';
 
@@ -101,9 +101,9 @@
   let relay: Server;
 
   beforeEach(async () => {
-    site = new LocalSite(siteProfile('trust-tt-north'), { engines: 2, daemons: 1, applications: 1 });
+    site = new LocalSite(getSiteProfile('trust-tt-north'), { engines: 2, daemons: 1, applications: 1 });
     await site.start();
-    relay = await startRelay(site.callers()[0]);
+    relay = await startRelay(site.getCallerAddresses()[0]);
   });
 
   afterEach(async () => {
--- a/test/kv-index.test.ts
+++ b/test/kv-index.test.ts
@@ -1,7 +1,7 @@
 /** What a daemon knows of engines' KV caches: parts, changes that engines report, and which engines it follows. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend } from '../lab/forwarding-site.js';
+import { makeLabBackend } from '../lab/forwarding-site.js';
 import { HttpDialect } from '../platform/http-dialect.js';
 import { BackendDirectory } from '../src/forwarding/backends/backend-directory.js';
 import { DEFAULT_BACKEND_HEALTH_SETTINGS } from '../src/forwarding/backends/backend-health.js';
@@ -93,8 +93,8 @@
   readonly follower: KvFollower;
 
   constructor(engines = ['e1'], daemons = 1) {
-    for (const id of engines) this.directory.put({ ...labBackend(id, '10.0.0.1:1'), stage: 'prefill' });
-    this.directory.put(labBackend('plain', '10.0.0.2:1'));
+    for (const id of engines) this.directory.put({ ...makeLabBackend(id, '10.0.0.1:1'), stage: 'prefill' });
+    this.directory.put(makeLabBackend('plain', '10.0.0.2:1'));
     this.follower = new KvFollower(
       DEFAULT_KV_FOLLOWER_SETTINGS,
       { countMembers: () => daemons, capacityTokens: () => CAPACITY },
@@ -168,7 +168,7 @@
   it('are parsed as the engine sends them', () => {
     const body =
       '{"epoch":240377,"next_token":3,"lost":false,"events":[[1,"+","","ee",52,"m"],[2,"-","","9f",0,"m"]]}';
-    expect(dialect.kvChanges(200, body)).to.deep.equal({
+    expect(dialect.parseKvChanges(200, body)).to.deep.equal({
       epoch: '240377',
       next: 3,
       lost: false,
@@ -188,11 +188,11 @@
       '{"epoch":1}',
       '{"epoch":1,"next_token":2,"events":[[1,"+","","a",-5,"m"]]}',
     ];
-    for (const body of bodies) expect(dialect.kvChanges(200, body)).to.equal(undefined);
-    expect(dialect.kvChanges(429, '{"epoch":1,"next_token":2,"events":[]}')).to.equal(undefined);
+    for (const body of bodies) expect(dialect.parseKvChanges(200, body)).to.equal(undefined);
+    expect(dialect.parseKvChanges(429, '{"epoch":1,"next_token":2,"events":[]}')).to.equal(undefined);
     fc.assert(
       fc.property(fc.json(), (body) => {
-        const answer = dialect.kvChanges(200, body);
+        const answer = dialect.parseKvChanges(200, body);
         if (answer) expect(answer.next).to.satisfy(Number.isFinite);
       }),
       { seed: SEED, numRuns: 200 },
--- a/test/lapsed-records.test.ts
+++ b/test/lapsed-records.test.ts
@@ -1,6 +1,6 @@
 /** Back ends whose records were gone when the store came back: back within moments, or gone. */
 import { expect } from 'chai';
-import { labBackend } from '../lab/forwarding-site.js';
+import { makeLabBackend } from '../lab/forwarding-site.js';
 import {
   DEFAULT_FLEET_REPLICA_SETTINGS,
   FleetReplica,
@@ -12,10 +12,10 @@
 import { Snapshot } from './snapshot.js';
 
 const SEED = 20261206;
-const GRACE_MS = DEFAULT_FLEET_REPLICA_SETTINGS.lapseGraceMs;
+const GRACE_MS = DEFAULT_FLEET_REPLICA_SETTINGS.expiryGraceMs;
 
 function record(id: string, revision: number, state: 'ready' | 'draining' | 'gone' = 'ready'): StoredRecord {
-  const value = state === 'gone' ? undefined : { ...labBackend(id, '10.0.0.1:80'), state };
+  const value = state === 'gone' ? undefined : { ...makeLabBackend(id, '10.0.0.1:80'), state };
   return { collection: 'backends', id, revision, value };
 }
 
@@ -31,14 +31,14 @@
 
   constructor() {
     const records = [record('a', 1), record('b', 2), record('c', 3, 'draining')];
-    this.fleet.receive('backends', { kind: 'snapshot', revision: 3, records }, 100);
+    this.fleet.receiveReadResult('backends', { kind: 'snapshot', revision: 3, records }, 100);
     this.effects.length = 0;
   }
 
   /** The store does not answer from `from` until `to`. */
   lose(from: number, to: number): void {
     for (let now = from; now <= to; now += 500)
-      this.fleet.receive('backends', { kind: 'noAnswer', reason: 'timeout' }, now);
+      this.fleet.receiveReadResult('backends', { kind: 'noAnswer', reason: 'timeout' }, now);
   }
 
   removed(): string[] {
@@ -58,9 +58,13 @@
     const snapshot = new Snapshot('lapsed-records');
     const tell = (what: string) => snapshot.add(`${what}: removed ${site.removed().join(', ') || 'none'}`);
     site.lose(500, 4000);
-    site.fleet.receive('backends', { kind: 'changes', revision: 6, records: GONE }, 4500);
+    site.fleet.receiveReadResult('backends', { kind: 'changes', revision: 6, records: GONE }, 4500);
     tell('the store is back');
-    site.fleet.receive('backends', { kind: 'changes', revision: 7, records: [record('a', 7)] }, 5500);
+    site.fleet.receiveReadResult(
+      'backends',
+      { kind: 'changes', revision: 7, records: [record('a', 7)] },
+      5500,
+    );
     site.fleet.tick(4500 + GRACE_MS - 1);
     tell('one is back, just before the time is over');
     site.fleet.tick(4500 + GRACE_MS);
@@ -72,25 +76,26 @@
 
   it('without an outage, or after a short one, a back end is gone at once', () => {
     const calm = new Replica();
-    calm.fleet.receive('backends', { kind: 'changes', revision: 6, records: GONE }, 4500);
+    calm.fleet.receiveReadResult('backends', { kind: 'changes', revision: 6, records: GONE }, 4500);
     expect(calm.removed()).to.deep.equal(['a', 'b', 'c']);
     const short = new Replica();
     short.lose(500, 1500);
-    short.fleet.receive('backends', { kind: 'changes', revision: 6, records: GONE }, 2000);
+    short.fleet.receiveReadResult('backends', { kind: 'changes', revision: 6, records: GONE }, 2000);
     expect(short.removed()).to.deep.equal(['a', 'b', 'c']);
   });
 
   it('a history that the store has forgotten is no outage', () => {
     const site = new Replica();
-    for (let now = 500; now <= 4000; now += 500) site.fleet.receive('backends', { kind: 'historyGone' }, now);
-    site.fleet.receive('backends', { kind: 'snapshot', revision: 9, records: [] }, 4500);
+    for (let now = 500; now <= 4000; now += 500)
+      site.fleet.receiveReadResult('backends', { kind: 'historyGone' }, now);
+    site.fleet.receiveReadResult('backends', { kind: 'snapshot', revision: 9, records: [] }, 4500);
     expect(site.removed()).to.deep.equal(['a', 'b', 'c']);
   });
 
   it('peers that did not ask the store themselves wait as long as its reader', () => {
     const [reader, peer] = [new Replica(), new Replica()];
     reader.lose(500, 4000);
-    reader.fleet.receive('backends', { kind: 'changes', revision: 6, records: GONE }, 4500);
+    reader.fleet.receiveReadResult('backends', { kind: 'changes', revision: 6, records: GONE }, 4500);
     const [message] = reader.told();
     peer.fleet.receiveChanges('reader', message, 4510);
     expect(peer.removed()).to.deep.equal(['c']);
@@ -101,8 +106,12 @@
   it('once the time after the outage is over, removals count at once again', () => {
     const site = new Replica();
     site.lose(500, 4000);
-    site.fleet.receive('backends', { kind: 'changes', revision: 3, records: [] }, 4500);
-    site.fleet.receive('backends', { kind: 'changes', revision: 6, records: GONE }, 4500 + GRACE_MS);
+    site.fleet.receiveReadResult('backends', { kind: 'changes', revision: 3, records: [] }, 4500);
+    site.fleet.receiveReadResult(
+      'backends',
+      { kind: 'changes', revision: 6, records: GONE },
+      4500 + GRACE_MS,
+    );
     expect(site.removed()).to.deep.equal(['a', 'b', 'c']);
   });
 });
--- a/test/late-reads.test.ts
+++ b/test/late-reads.test.ts
@@ -49,7 +49,7 @@
   };
   const replica = new FleetReplica(DEFAULT_FLEET_REPLICA_SETTINGS, new SeededRandom(SEED), emit, now);
   replica.setRank(5);
-  replica.receive('backends', { kind: 'snapshot', revision: 10, records: [] }, now);
+  replica.receiveReadResult('backends', { kind: 'snapshot', revision: 10, records: [] }, now);
   readAt = Infinity;
   for (now = 10; now < 3000; now += 10) {
     const to = 15 + now;
@@ -72,14 +72,14 @@
     const replica = new FleetReplica(DEFAULT_FLEET_REPLICA_SETTINGS, new SeededRandom(SEED), emit, 0);
     replica.setRank(3);
     const lagging = { revision: 10, records: [] };
-    replica.receive('backends', { kind: 'snapshot', ...lagging }, 0);
+    replica.receiveReadResult('backends', { kind: 'snapshot', ...lagging }, 0);
     const told = { collection: 'backends' as const, from: 15, to: 20, changed: 20, records: [] };
     replica.receiveChanges('peer', { kind: 'recordsChanged', ...told }, 10);
     reads = 0;
     for (let now = 20; now < 1020; now += 10) {
       const before = reads;
       replica.tick(now);
-      if (reads > before) replica.receive('backends', { kind: 'changes', ...lagging }, now + 4);
+      if (reads > before) replica.receiveReadResult('backends', { kind: 'changes', ...lagging }, now + 4);
     }
     expect(reads).to.be.within(1, 8);
   });
@@ -94,15 +94,19 @@
     const emit = ({ kind }: FleetEffect): void => void told.push(kind);
     const replica = new FleetReplica(DEFAULT_FLEET_REPLICA_SETTINGS, new SeededRandom(SEED), emit, 0);
     replica.setRank(3);
-    replica.receive('backends', { kind: 'snapshot', revision: 10, records: [], storeMs: 0 }, 0);
-    replica.receive('backends', { kind: 'noAnswer', reason: 'timeout' }, 1500);
+    replica.receiveReadResult('backends', { kind: 'snapshot', revision: 10, records: [], storeMs: 0 }, 0);
+    replica.receiveReadResult('backends', { kind: 'noAnswer', reason: 'timeout' }, 1500);
     const word = (now: number) => ({ complete: 11, changed: 10, ageMs: 0, storeMs: now });
     for (let now = 2000; now < 20_000; now += 1000)
       replica.receiveKnowledge({ configuration: word(now), backends: word(now) }, now);
     replica.tick(22_000);
-    replica.receive('backends', { kind: 'noAnswer', reason: 'timeout' }, 22_350);
+    replica.receiveReadResult('backends', { kind: 'noAnswer', reason: 'timeout' }, 22_350);
     replica.tick(23_000);
-    replica.receive('backends', { kind: 'changes', revision: 12, records: [], storeMs: 23_004 }, 23_004);
+    replica.receiveReadResult(
+      'backends',
+      { kind: 'changes', revision: 12, records: [], storeMs: 23_004 },
+      23_004,
+    );
     expect(told.filter((kind) => kind.startsWith('store'))).to.deep.equal(['storeLost', 'storeRegained']);
   });
 });
--- a/test/load-relay.test.ts
+++ b/test/load-relay.test.ts
@@ -1,6 +1,6 @@
 /// What daemons of a large fleet know of each other's loads and failures, and what that costs them. Virtual time.
 import { expect } from 'chai';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { ForwardingFleet, type FleetNode } from '../simulation/forwarding-fleet.js';
 import { rankRelays, type RelayRanking } from '../src/fleet/relay-ranking.js';
 import { Snapshot } from './snapshot.js';
@@ -14,10 +14,10 @@
 
 function settledFleet(count: number, regions = 1): ForwardingFleet {
   const fleet = new ForwardingFleet(count, SEED, undefined, undefined, regions);
-  const value = labConfiguration(1, [labRoute({ kind: 'nonIdempotent', timeoutMs: 8000 })]);
+  const value = makeLabConfiguration(1, [makeLabRoute({ kind: 'nonIdempotent', timeoutMs: 8000 })]);
   fleet.write({ collection: 'configuration', revision: 0, value });
   for (const id of ['a', 'b'])
-    fleet.write({ collection: 'backends', id, revision: 0, value: labBackend(id, '10.1.0.1:80') });
+    fleet.write({ collection: 'backends', id, revision: 0, value: makeLabBackend(id, '10.1.0.1:80') });
   fleet.time.runUntil(SETTLED_MS);
   return fleet;
 }
--- a/test/lost-back-ends.test.ts
+++ b/test/lost-back-ends.test.ts
@@ -1,6 +1,6 @@
 /** Effects of back ends that become silent or disappear for good on the requests there and on their region. */
 import { expect } from 'chai';
-import { labBackend, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabRoute } from '../lab/forwarding-site.js';
 import { findCutOffRegions } from '../src/forwarding/backends/region-contact.js';
 import { DEFAULT_DISTANCE_SETTINGS } from '../src/places/distance-settings.js';
 import { RoundTrips } from '../src/places/round-trips.js';
@@ -12,7 +12,7 @@
 
 describe('lost back ends', () => {
   it('all requests that wait at a back end that became silent are sent elsewhere at the same time', () => {
-    const route = labRoute({ kind: 'idempotent', timeoutMs: DEADLINE_MS, targetLatencyMs: 400 });
+    const route = makeLabRoute({ kind: 'idempotent', timeoutMs: DEADLINE_MS, targetLatencyMs: 400 });
     const site = new Forwarding([route], PLAIN);
     for (let count = 0; count < 9; count += 1) site.begin({ id: `r${count}`, callerDeadlineMs: DEADLINE_MS });
     const started = site.starts();
@@ -30,12 +30,12 @@
 
   it('two back ends that disappear for good do not cut off their region for good', () => {
     const far = Array.from({ length: 8 }, (_, index) => ({
-      ...labBackend(`far${index}`, `10.0.0.2:${index}`),
+      ...makeLabBackend(`far${index}`, `10.0.0.2:${index}`),
       zone: 'zone-c',
     }));
-    const near = { ...labBackend('near', '10.0.0.1:1'), zone: 'zone-a' };
+    const near = { ...makeLabBackend('near', '10.0.0.1:1'), zone: 'zone-a' };
     const regions = { 'zone-a': 'r1', 'zone-c': 'r2' };
-    const site = new Forwarding([labRoute({})], [near, ...far], 50, regions);
+    const site = new Forwarding([makeLabRoute({})], [near, ...far], 50, regions);
     for (const { id } of far) site.directory.get(id)?.health.addSuccess(100);
     site.directory.get('far0')?.health.onUnreachable(1000);
     site.directory.get('far1')?.health.onUnreachable(1100);
@@ -48,6 +48,6 @@
     const roundTrips = new RoundTrips(DEFAULT_DISTANCE_SETTINGS.roundTripMs);
     for (let count = 0; count < 10; count += 1) roundTrips.addSample('r1', 'sameZone', 2);
     roundTrips.addSample('r1', 'sameZone', 3000);
-    expect(roundTrips.getMs('r1', 'sameZone')).to.be.lessThan(5);
+    expect(roundTrips.getRoundTripMs('r1', 'sameZone')).to.be.lessThan(5);
   });
 });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,7 +1,7 @@
 /** Membership: convergence, failure, refutation, healing of partitions, restarts. */
 import { expect } from 'chai';
 import { DEFAULT_MEMBERSHIP_SETTINGS } from '../src/membership/membership-settings.js';
-import { initialMember, overrides } from '../src/membership/member-rules.js';
+import { createInitialMember, overrides } from '../src/membership/member-rules.js';
 import { Membership } from '../src/membership/membership.js';
 import type { Member } from '../src/membership/membership-messages.js';
 import { ProbeOrder } from '../src/membership/probe-order.js';
@@ -36,7 +36,7 @@
         target?.receive(id, address, effect.message, this.now);
       });
     };
-    const self = initialMember({ id, address, zone, region: 'main' });
+    const self = createInitialMember({ id, address, zone, region: 'main' });
     this.machines.set(
       address,
       new Membership(
@@ -62,7 +62,7 @@
   aliveCounts(): number[] {
     return [...this.machines]
       .filter(([address]) => !this.down.has(address))
-      .map(([, machine]) => machine.contact().alive);
+      .map(([, machine]) => machine.getContact().alive);
   }
 }
 
@@ -110,7 +110,7 @@
     group.cut = (from, to) => left(from) !== left(to);
     group.run(40_000);
     expect(group.aliveCounts()).to.deep.equal([...Array(5).fill(5), ...Array(7).fill(7)]);
-    const minority = group.machines.get('10.0.0.1:7')?.contact();
+    const minority = group.machines.get('10.0.0.1:7')?.getContact();
     expect(minority).to.deep.equal({ alive: 5, known: 12 });
     group.cut = () => false;
     group.run(60_000);
@@ -123,7 +123,7 @@
     group.machines.delete('10.0.0.3:7');
     group.add('10.0.0.3:7', 'd3.2', 'zone-0');
     group.run(12_000);
-    const contact = group.machines.get('10.0.0.1:7')?.contact();
+    const contact = group.machines.get('10.0.0.1:7')?.getContact();
     expect(contact).to.deep.equal({ alive: 6, known: 6 });
   });
 
@@ -154,7 +154,7 @@
     group.run(300);
     const others = [...group.machines].filter(([address]) => address !== '10.0.0.2:7');
     for (const [, machine] of others)
-      expect(machine.active().map((member) => member.id)).not.to.include('d2.1');
+      expect(machine.getActive().map((member) => member.id)).not.to.include('d2.1');
     const leaving: Member = {
       id: 'x',
       address: 'x',
--- a/test/names.test.ts
+++ b/test/names.test.ts
@@ -12,8 +12,12 @@
 import * as z from 'zod';
 import { HttpDialect } from '../platform/http-dialect.js';
 import { configurationSchema, readConfiguration, readServer, serverSchema } from '../platform/records.js';
-import { checkPlatformSettings, platformSettingsSchema, processSettings } from '../platform/settings.js';
-import { siteProfile } from '../lab/site-profiles.js';
+import {
+  checkPlatformSettings,
+  platformSettingsSchema,
+  createProcessSettings,
+} from '../platform/settings.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import { createSiteOptions } from '../simulation/site-options.js';
 import { SimulatedSite } from '../simulation/simulated-site.js';
 import { peerMessageSchema } from '../src/adapters/peer-codec.js';
@@ -94,13 +98,13 @@
 
   it('metrics and their labels', () => {
     const forwarding = new ForwardingMetrics({
-      ready: () => true,
-      requestsInHand: () => 0,
-      configurationVersion: () => 1,
-      configurationAgeMs: () => 1,
-      members: () => 1,
-      droppedLogLines: () => 0,
-      partFigures: () => ({ quotas: { owned: 1 } }),
+      isReady: () => true,
+      getOpenRequestCount: () => 0,
+      getConfigurationVersion: () => 1,
+      getConfigurationAgeMs: () => 1,
+      getMemberCount: () => 1,
+      getDroppedLineCount: () => 0,
+      getPartFigures: () => ({ quotas: { owned: 1 } }),
     });
     const requests = { active: 0, waiting: 0, applicationCalls: 0 };
     const status = { ready: true, requests, members: [], leases: [], roleChanges: 0 };
@@ -141,15 +145,15 @@
       expectedOrders: 2,
     } as const;
     checkSnapshot('headers', [
-      dialect.requestHeaders(
+      dialect.createRequestHeaders(
         ['X-Mine', '1', 'X-Api-Key', 'k', 'Last-Event-Id', '3', 'X-Attempt-Id', 'i'],
         start,
       ),
-      dialect.freeKvCall({ address: '10.0.0.2:80', handle: 'h/1' }),
-      dialect.kvChangesCall({ backend: start.backend, since: 3, waitMs: 100 }),
-      dialect.engineStatusCall(),
-      dialect.orderCall(order),
-      [200, 202, 409, 421].map((status) => dialect.orderResult(status)),
+      dialect.createFreeKvCall({ address: '10.0.0.2:80', handle: 'h/1' }),
+      dialect.createKvChangesCall({ backend: start.backend, since: 3, waitMs: 100 }),
+      dialect.createEngineStatusCall(),
+      dialect.createOrderCall(order),
+      [200, 202, 409, 421].map((status) => dialect.parseOrderResult(status)),
     ]);
   });
 
@@ -176,7 +180,7 @@
   });
 
   it('the status document', () => {
-    const site = new SimulatedSite(createSiteOptions(siteProfile('cundinamarca'), 1));
+    const site = new SimulatedSite(createSiteOptions(getSiteProfile('cundinamarca'), 1));
     site.time.runUntil(8000);
     checkSnapshot('status', describeShape(site.daemons[0].daemon.status(8000)));
   });
@@ -228,7 +232,7 @@
       'fencing_enforced=false\nwindow_s=5\nusage_late_s=10\nquota_window_s=5\nquota_overage=0.1\nquota_slack=1000\n' +
       '[limits]\nmax_fds=4100\n[platform]\naddr="10.0.0.9:1"\n[cloud]\naddr="10.0.0.9:2"\nduties=["metering","autoscale"]\n';
     const snapshot = new Snapshot('names-settings-meaning');
-    snapshot.add(listLeaves(processSettings(checkPlatformSettings(text))).join('\n'));
+    snapshot.add(listLeaves(createProcessSettings(checkPlatformSettings(text))).join('\n'));
     snapshot.check();
   });
 });
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,6 +1,6 @@
 /** How overdue prompts are handled, and shared parts that another engine keeps. */
 import { expect } from 'chai';
-import { labRoute } from '../lab/forwarding-site.js';
+import { makeLabRoute } from '../lab/forwarding-site.js';
 import type { Route } from '../src/forwarding/routes/route.js';
 import { ENGINES, Forwarding, prompt } from './forwarding-harness.js';
 
@@ -10,7 +10,7 @@
 
 /** A site without requests in flight, whose engines have been measured to compute 100 prompt tokens per millisecond. */
 function makeMeasuredSite(): Forwarding {
-  const site = new Forwarding([labRoute(STREAM)], ENGINES);
+  const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
   for (let count = 0; count < 20; count += 1) {
     const tokens = 1000 * (1 + (count % 4));
     const now = count * 1000;
--- a/test/paused-server.test.ts
+++ b/test/paused-server.test.ts
@@ -9,7 +9,7 @@
 import { once } from 'node:events';
 import { Worker } from 'node:worker_threads';
 import { ForwardServer } from '../src/gateway/forward-server.js';
-import { KeptConnections } from '../src/gateway/kept-connections.js';
+import { KeepAliveConnections } from '../src/gateway/kept-connections.js';
 import { findFreeAddresses } from '../lab/free-ports.js';
 
 /** For how long a connection is kept at rest. Milliseconds. */
@@ -60,7 +60,7 @@
 describe('a request that comes in time while the process stands still', () => {
   it('is answered by the server of completions', async () => {
     const server = createServer((_request, response) => response.end('here'));
-    new KeptConnections(server);
+    new KeepAliveConnections(server);
     server.keepAliveTimeout = KEPT_MS;
     const port = await listen(server);
     expect(await askAcrossPause(port)).to.equal('answered');
@@ -69,12 +69,15 @@
 
   it('is answered by the server of forwarded requests', async () => {
     const server = new ForwardServer(
-      { received: (_request, reply) => reply.own({ status: 200, failure: 'none', retryAfterMs: undefined }) },
+      {
+        onRequest: (_request, reply) =>
+          reply.sendFailure({ status: 200, failure: 'none', retryAfterMs: undefined }),
+      },
       () => performance.now(),
     );
     const [address] = await findFreeAddresses(1);
     await server.listen(address);
-    server.limit({
+    server.setLimits({
       maximumHeaderBytes: 1000,
       maximumBodyBytes: 1000,
       headerTimeoutMs: 5000,
@@ -86,7 +89,7 @@
 
   it('a connection that brings nothing is closed once its time is over', async () => {
     const server = createServer((_request, response) => response.end('here'));
-    new KeptConnections(server);
+    new KeepAliveConnections(server);
     server.keepAliveTimeout = KEPT_MS;
     const port = await listen(server);
     const workerData = { port, restMs: KEPT_MS + PAUSE_MS, settleMs: SETTLE_MS };
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -7,7 +7,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { readConfiguration, readServer } from '../platform/records.js';
-import { checkPlatformSettings, processSettings } from '../platform/settings.js';
+import { checkPlatformSettings, createProcessSettings } from '../platform/settings.js';
 import { StoreClient } from '../platform/store-client.js';
 import { TableClient } from '../platform/table-client.js';
 import { PulleyledgeError, SettingsError, ValidationError } from '../src/errors/index.js';
@@ -70,22 +70,22 @@
 
   it('the region of each zone is known to the daemon; without the table there is one region', () => {
     const zones = `${SETTINGS}\n[zones]\nz = "r"\ny = "q"`;
-    expect(processSettings(checkPlatformSettings(zones)).daemon.regionByZone).to.deep.equal({
+    expect(createProcessSettings(checkPlatformSettings(zones)).daemon.regionByZone).to.deep.equal({
       z: 'r',
       y: 'q',
     });
-    expect(processSettings(checkPlatformSettings(SETTINGS)).daemon.regionByZone).to.deep.equal({});
+    expect(createProcessSettings(checkPlatformSettings(SETTINGS)).daemon.regionByZone).to.deep.equal({});
   });
 
   it('each duty is done where the platform asks for it', () => {
     const duties = (names: string, bounds = ''): [boolean, boolean] | undefined => {
       const text = SETTINGS.replace('lease_ms = 3000', `lease_ms = 3000\n${bounds}`);
       const cloud = `${text}\n[cloud]\naddr = "10.200.0.1:80"\nduties = ${names}`;
-      const found = processSettings(checkPlatformSettings(cloud)).daemon.duties;
+      const found = createProcessSettings(checkPlatformSettings(cloud)).daemon.duties;
       return found && [found.reportsUsage, found.ordersServers];
     };
     const windows = 'window_s = 5\nusage_late_s = 10';
-    expect(processSettings(checkPlatformSettings(SETTINGS)).daemon.duties).to.equal(undefined);
+    expect(createProcessSettings(checkPlatformSettings(SETTINGS)).daemon.duties).to.equal(undefined);
     expect(duties('[]', windows)).to.equal(undefined);
     expect(duties('["metering"]')).to.equal(undefined);
     expect(duties('["metering"]', windows)).to.deep.equal([true, false]);
@@ -96,14 +96,16 @@
   it('patience, a lost read, a pause and a second read fit into the bound', () => {
     for (const boundMs of [2000, 3000, 4000, 6000]) {
       const text = SETTINGS.replace(/config_ms = \d+/, `config_ms = ${boundMs}`);
-      const { replica } = processSettings(checkPlatformSettings(text)).daemon;
+      const { replica } = createProcessSettings(checkPlatformSettings(text)).daemon;
       const longestPauseMs = replica.backoffMs * 1.5;
-      const secondReadAt = replica.maximumPatienceMs + replica.firstAnswerMs + longestPauseMs;
+      const secondReadAt = replica.maximumStandbyDelayMs + replica.firstAnswerTimeoutMs + longestPauseMs;
       expect(secondReadAt).to.be.at.most(boundMs - SECOND_READ_MS);
-      expect(replica.firstAnswerMs).to.be.within(100, replica.answerMs);
+      expect(replica.firstAnswerTimeoutMs).to.be.within(100, replica.answerTimeoutMs);
     }
     const short = SETTINGS.replace(/config_ms = \d+/, 'config_ms = 100');
-    expect(processSettings(checkPlatformSettings(short)).daemon.replica.firstAnswerMs).to.equal(100);
+    expect(createProcessSettings(checkPlatformSettings(short)).daemon.replica.firstAnswerTimeoutMs).to.equal(
+      100,
+    );
   });
 
   it('a missing or wrong field is named', () => {
@@ -188,7 +190,12 @@
       { key: 'c', ver: 5, gone: true },
     ];
     answer = () => ({ status: 200, body: { rows, ver: 9 } });
-    const result = await store.read({ collection: 'backends', after: undefined, waitMs: 0, answerMs: 800 });
+    const result = await store.read({
+      collection: 'backends',
+      after: undefined,
+      waitMs: 0,
+      answerTimeoutMs: 800,
+    });
     expect(bad).to.deep.equal(['b']);
     expect(result).to.include({ kind: 'snapshot', revision: 9 });
     if (result.kind === 'snapshot')
@@ -233,7 +240,7 @@
     ];
     answer = () => ({ status: 200, body: { rows, ver: 30 } });
     for (const after of [undefined, 2]) {
-      const result = await store.read({ collection: 'backends', after, waitMs: 0, answerMs: 800 });
+      const result = await store.read({ collection: 'backends', after, waitMs: 0, answerTimeoutMs: 800 });
       expect(result.kind).to.equal(after === undefined ? 'snapshot' : 'changes');
       if (result.kind !== 'snapshot' && result.kind !== 'changes') return;
       const named = result.records.flatMap((record) =>
--- a/test/policies.test.ts
+++ b/test/policies.test.ts
@@ -1,7 +1,7 @@
 /** Unit tests of policies that use no sockets: fair queue, picker, allocation, lease, retry budget. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { capabilityOf, DEFAULT_ENGINE_MODEL_SETTINGS } from '../lab/engine-model-settings.js';
+import { getCapability, DEFAULT_ENGINE_MODEL_SETTINGS } from '../lab/engine-model-settings.js';
 import { PlatformModel } from '../lab/platform-model.js';
 import {
   DEFAULT_ALLOCATION_SETTINGS,
@@ -19,7 +19,7 @@
 import { SeededRandom } from '../src/shared/random.js';
 
 const SEED = 20261202;
-const capability = capabilityOf(DEFAULT_ENGINE_MODEL_SETTINGS);
+const capability = getCapability(DEFAULT_ENGINE_MODEL_SETTINGS);
 
 function assignment(role: EngineRole, version = 1): EngineAssignment {
   return { role, model: 'm', version, adapters: [] };
@@ -252,7 +252,7 @@
         this.log.push(effect.kind);
         return;
       }
-      const result = this.platform.table(effect.request, this.now);
+      const result = this.platform.applyTableRequest(effect.request, this.now);
       const { now } = this;
       const lost = this.losesAnswers || !result;
       queueMicrotask(() =>
@@ -297,7 +297,7 @@
       await step();
     }
     expect(holder.lease.getHeldLease(3000)?.epoch).to.equal(1);
-    expect(platform.peek('leases', 'cell')?.revision).to.be.at.most(2);
+    expect(platform.getRow('leases', 'cell')?.revision).to.be.at.most(2);
   });
 });
 
--- a/test/promises.test.ts
+++ b/test/promises.test.ts
@@ -10,7 +10,7 @@
 import { faultsArbitrary } from '../simulation/drawn-faults.js';
 import { SimulatedSite } from '../simulation/simulated-site.js';
 import { createSiteOptions } from '../simulation/site-options.js';
-import { siteProfile } from '../lab/site-profiles.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import {
   DEFAULT_COMPLETION_DAEMON_SETTINGS,
   type CompletionDaemonSettings,
@@ -48,7 +48,7 @@
 }
 
 function createSiteWithoutLoad(): SimulatedSite {
-  return new SimulatedSite(createSiteOptions(siteProfile('cundinamarca'), 1));
+  return new SimulatedSite(createSiteOptions(getSiteProfile('cundinamarca'), 1));
 }
 
 function getViolatedGuarantees(result: FaultRunResult): PromiseName[] {
@@ -105,7 +105,7 @@
       for (const engine of site.engines.values()) {
         const control = engine.control.bind(engine);
         engine.control = (request, holder, tableEpoch) => {
-          const { epoch, sequence } = engine.model.state();
+          const { epoch, sequence } = engine.model.getState();
           const unfenced =
             request.kind === 'order'
               ? { ...request, epoch, sequence: sequence + 1, expiresAtClockMs: Infinity }
@@ -135,7 +135,7 @@
         const control = engine.control.bind(engine);
         engine.control = (request, holder, tableEpoch) => {
           const change = request.kind === 'order' && request.action.kind === 'drain';
-          const streams = engine.model.streamCount();
+          const streams = engine.model.getStreamCount();
           const result = control(request, holder, tableEpoch);
           if (change && result.kind === 'report') site.monitor.onChangeStarted(engine.name, streams);
           return result;
--- a/test/quota-requests.test.ts
+++ b/test/quota-requests.test.ts
@@ -1,6 +1,6 @@
 /** Effects of a quota on a request: 429, waiting, charges and refunds; and how quotas are parsed. */
 import { expect } from 'chai';
-import { labRoute } from '../lab/forwarding-site.js';
+import { makeLabRoute } from '../lab/forwarding-site.js';
 import { HttpDialect } from '../platform/http-dialect.js';
 import { digestKey } from '../platform/key-digest.js';
 import { readConfiguration } from '../platform/records.js';
@@ -25,7 +25,7 @@
   function makeForwarding(
     answer: QuotaAnswer,
     backends = PLAIN,
-    route = labRoute({ kind: 'idempotent' }),
+    route = makeLabRoute({ kind: 'idempotent' }),
   ): Forwarding {
     const daemon = new Forwarding([route], backends);
     daemon.tenants.apply([tenant]);
@@ -41,7 +41,7 @@
   }
 
   it('are refunded if only the prompt was being computed when the caller disconnected', () => {
-    const daemon = makeForwarding({ kind: 'granted' }, ENGINES, labRoute({ kind: 'stream' }));
+    const daemon = makeForwarding({ kind: 'granted' }, ENGINES, makeLabRoute({ kind: 'stream' }));
     begin(daemon, { prompt: prompt(500, 500), usageTokens: 1010 });
     daemon.manager.cancel('r1', 3);
     expect(daemon.quotaCharges).to.deep.equal([
@@ -115,7 +115,7 @@
   });
 
   it('charge a request again after a back end that may have executed it, not after one that rejected it', () => {
-    const route = labRoute({ kind: 'idempotent', maximumAttempts: 3 });
+    const route = makeLabRoute({ kind: 'idempotent', maximumAttempts: 3 });
     const rejected = makeForwarding({ kind: 'granted' }, PLAIN, route);
     begin(rejected);
     rejected.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 1);
@@ -132,7 +132,7 @@
   });
 
   it('charge a request once whose prompt is computed separately', () => {
-    const daemon = makeForwarding({ kind: 'granted' }, ENGINES, labRoute({ kind: 'stream' }));
+    const daemon = makeForwarding({ kind: 'granted' }, ENGINES, makeLabRoute({ kind: 'stream' }));
     begin(daemon, { prompt: prompt(500, 500), usageTokens: 1010 });
     daemon.event({ kind: 'prefilled', handle: 'h' }, 10);
     expect(daemon.starts().length).to.equal(2);
@@ -174,13 +174,13 @@
       quota: { ratePerSecond, burst: 1, countsTokens: true, plainCost: 1 },
     });
     for (const rate of [5, 7]) directory.apply([mary(rate)]);
-    expect(directory.findCaller(labRoute({}), 'd')?.tenant?.quota?.ratePerSecond).to.equal(7);
+    expect(directory.findCaller(makeLabRoute({}), 'd')?.tenant?.quota?.ratePerSecond).to.equal(7);
   });
 
   it('add both token numbers of a request and ignore invalid ones', () => {
     const dialect = new HttpDialect();
     const tokensOf = (value: string): number | undefined =>
-      dialect.callerHead(['X-Token-Usage', value]).usageTokens;
+      dialect.parseCallerHead(['X-Token-Usage', value]).usageTokens;
     expect(tokensOf('1460,80')).to.equal(1540);
     expect(tokensOf('1460')).to.equal(1460);
     for (const wrong of ['-5,3', 'many', '1,x']) expect(tokensOf(wrong)).to.equal(undefined);
--- a/test/quota-restarts.test.ts
+++ b/test/quota-restarts.test.ts
@@ -3,7 +3,7 @@
  * again, and requests too large for any bucket.
  */
 import { expect } from 'chai';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { FLEET_SETTINGS, ForwardingFleet } from '../simulation/forwarding-fleet.js';
 import { QuotaManager } from '../src/quotas/quota-manager.js';
 import { OwnedBucket } from '../src/quotas/quota-owner.js';
@@ -22,11 +22,11 @@
 function makeFleet(seed: number): ForwardingFleet {
   const fleet = new ForwardingFleet(DAEMONS, seed, { ...FLEET_SETTINGS, quotas: SETTINGS });
   const quota = { ...LIMIT, countsTokens: true, plainCost: TOKENS };
-  const configuration = labConfiguration(1, [labRoute({ kind: 'nonIdempotent', timeoutMs: 8000 })]);
+  const configuration = makeLabConfiguration(1, [makeLabRoute({ kind: 'nonIdempotent', timeoutMs: 8000 })]);
   const value = { ...configuration, tenants: [{ name: 't', keyDigests: ['k'], quota }] };
   fleet.write({ collection: 'configuration', revision: 0, value });
   for (let i = 0; i < 40; i += 1) {
-    const backend = labBackend(`b${i}`, `10.1.0.${i}:80`);
+    const backend = makeLabBackend(`b${i}`, `10.1.0.${i}:80`);
     fleet.write({ collection: 'backends', id: `b${i}`, revision: 0, value: backend });
   }
   return fleet;
--- a/test/ready-connections.test.ts
+++ b/test/ready-connections.test.ts
@@ -1,9 +1,14 @@
 /** A daemon that says it is ready takes new connections and serves what comes on them. */
 import { connect, type Socket } from 'node:net';
 import { expect } from 'chai';
-import { labBackend, labRoute, startForwardingSite, type ForwardingSite } from '../lab/forwarding-site.js';
-import { headerOf, ScriptedBackend } from '../lab/scripted-backend.js';
-import { checkPlatformSettings, processSettings } from '../platform/settings.js';
+import {
+  makeLabBackend,
+  makeLabRoute,
+  startForwardingSite,
+  type ForwardingSite,
+} from '../lab/forwarding-site.js';
+import { findHeader, ScriptedBackend } from '../lab/scripted-backend.js';
+import { checkPlatformSettings, createProcessSettings } from '../platform/settings.js';
 
 const LIMIT = 60;
 /** Longer than a connection must rest before it gives way. Milliseconds. */
@@ -20,12 +25,12 @@
     sockets = [];
     held = [];
     backend = new ScriptedBackend(({ head }, socket) => {
-      const id = headerOf(head, 'x-attempt-id') ?? '';
+      const id = findHeader(head, 'x-attempt-id') ?? '';
       if (id.startsWith('held')) held.push({ socket, id });
       else answer(socket, id);
     });
-    const record = { ...labBackend('b1', await backend.listen()), slots: 1000 };
-    const route = labRoute({ host: '127.0.0.1', timeoutMs: 20_000, targetLatencyMs: 20_000 });
+    const record = { ...makeLabBackend('b1', await backend.listen()), slots: 1000 };
+    const route = makeLabRoute({ host: '127.0.0.1', timeoutMs: 20_000, targetLatencyMs: 20_000 });
     site = await startForwardingSite([route], [record], null, LIMIT);
   });
 
@@ -151,13 +156,15 @@
 `;
 
   it('leave descriptors for as many requests at servers, and for files', () => {
-    const settings = processSettings(checkPlatformSettings(`${SETTINGS}[limits]\nmax_fds = 4100\n`));
+    const settings = createProcessSettings(checkPlatformSettings(`${SETTINGS}[limits]\nmax_fds = 4100\n`));
     expect(settings.maximumCallerConnections).to.equal(1755);
     expect(4100 - 200 - 2 * settings.maximumCallerConnections).to.be.greaterThan(300);
   });
 
   it('are not bounded where nothing is said of descriptors', () => {
-    expect(processSettings(checkPlatformSettings(SETTINGS)).maximumCallerConnections).to.equal(Infinity);
+    expect(createProcessSettings(checkPlatformSettings(SETTINGS)).maximumCallerConnections).to.equal(
+      Infinity,
+    );
   });
 });
 
--- a/test/real-process.test.ts
+++ b/test/real-process.test.ts
@@ -7,11 +7,11 @@
 import { request } from 'undici';
 import { LocalSite } from '../lab/launcher.js';
 import { LoadGenerator, type LoadPhase } from '../lab/load-generator.js';
-import { siteProfile } from '../lab/site-profiles.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import { OperatorClient } from '../src/cli/operator-client.js';
 import { SeededRandom } from '../src/shared/random.js';
 
-const PROFILE = siteProfile('trust-tt-north');
+const PROFILE = getSiteProfile('trust-tt-north');
 const PRODUCT = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
 const execute = promisify(execFile);
 /** A stopping daemon takes new connections for so long. Milliseconds; the default of the settings. */
@@ -44,7 +44,7 @@
   const sum: Totals = { sent: 0, whole: 0, broken: 0, wrong: 0, unanswered: 0, refused: [] };
   for (const [service, result] of load.results) {
     sum.sent += result.sent;
-    sum.whole += result.whole;
+    sum.whole += result.complete;
     sum.broken += result.broken;
     sum.wrong += result.wrong;
     sum.unanswered += result.unanswered;
@@ -94,7 +94,7 @@
    * some milliseconds of the listener's closing. Connections are accepted first now (`stopListening`).
    */
   it('a rolling restart by SIGTERM under load fails no request', async () => {
-    const load = new LoadGenerator(site.callers(), new SeededRandom(1));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(1));
     const running = load.run([phase(24, 8)]);
     for (let index = 0; index < site.daemons.length; index += 1) {
       const { child } = site.daemons[index];
@@ -109,7 +109,7 @@
   });
 
   it('a rolling restart of daemons that stand still as their notice ends fails no request', async () => {
-    const load = new LoadGenerator(site.callers(), new SeededRandom(1));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(1));
     const running = load.run([phase(24, 8)]);
     for (let index = 0; index < site.daemons.length; index += 1) {
       const { child } = site.daemons[index];
@@ -146,7 +146,7 @@
   });
 
   it('SIGKILL of a daemon and SIGSTOP of another beyond its lease: no wrong answer, nothing run twice', async () => {
-    const load = new LoadGenerator(site.callers(), new SeededRandom(2));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(2));
     const running = load.run([phase(20, 6)]);
     await pause(2000);
     site.daemons[0].child.kill('SIGKILL');
@@ -161,7 +161,7 @@
     expect(sum.whole).to.be.greaterThan(sum.sent / 3);
     expect(Math.max(...(await executions(site)))).to.equal(1);
     const statuses = await Promise.all(
-      site.daemons.map((daemon) => new OperatorClient(daemon.addresses.operator).status()),
+      site.daemons.map((daemon) => new OperatorClient(daemon.addresses.operator).getStatus()),
     );
     expect(
       statuses.flatMap((status) => status.leases).filter((lease) => lease.heldHere).length,
@@ -171,18 +171,18 @@
   it('a platform outage: completions go on, calls that may run once are refused truthfully', async () => {
     await site.setFaults(site.platform, { down: true });
     await pause(13_000);
-    const load = new LoadGenerator(site.callers(), new SeededRandom(3));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(3));
     await load.run([phase(5, 8)]);
-    expect(load.result('eligibility').whole).to.equal(load.result('eligibility').sent);
-    const calls = load.result('confirmation');
-    expect(calls.whole).to.equal(0);
+    expect(load.getResult('eligibility').complete).to.equal(load.getResult('eligibility').sent);
+    const calls = load.getResult('confirmation');
+    expect(calls.complete).to.equal(0);
     expect(calls.refused.get('ledger-unavailable')).to.equal(calls.sent);
     expect(await executions(site)).to.deep.equal([]);
     await site.setFaults(site.platform, { down: false });
     await pause(3000);
-    const after = new LoadGenerator(site.callers(), new SeededRandom(4));
+    const after = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(4));
     await after.run([phase(3, 8)]);
-    expect(after.result('confirmation').whole).to.equal(after.result('confirmation').sent);
+    expect(after.getResult('confirmation').complete).to.equal(after.getResult('confirmation').sent);
   });
 
   it('a refused and a silent engine: requests go elsewhere', async () => {
@@ -190,7 +190,7 @@
     await new Promise<void>((resolve) => silent.listen(0, '127.0.0.1', resolve));
     const { port } = silent.address() as { port: number };
     site.engines[0].child.kill('SIGKILL');
-    await site.announce({
+    await site.addMachine({
       id: 'silent',
       kind: 'engine',
       address: `127.0.0.1:${port}`,
@@ -199,7 +199,7 @@
       state: 'live',
     });
     await pause(2500);
-    const load = new LoadGenerator(site.callers(), new SeededRandom(5));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(5));
     await load.run([phase(5, 8)]);
     silent.close();
     const sum = totals(load);
@@ -212,7 +212,7 @@
     expect(edited.code, edited.stderr).to.equal(0);
     await pause(5000);
     for (const daemon of site.daemons) {
-      const { services } = await new OperatorClient(daemon.addresses.operator).services();
+      const { services } = await new OperatorClient(daemon.addresses.operator).getServices();
       expect(services.find((entry) => entry.name === 'eligibility')?.row?.weight).to.equal(7);
     }
     const loser = await pulleyledge(
@@ -240,7 +240,7 @@
       max_tokens: 5000,
       stream: true,
     });
-    const answer = await request(`http://${site.callers()[0]}/v1/completions`, {
+    const answer = await request(`http://${site.getCallerAddresses()[0]}/v1/completions`, {
       method: 'POST',
       body,
       signal: abort.signal,
@@ -249,7 +249,7 @@
     await pause(1000);
     abort.abort();
     await site.waitFor(async () => {
-      const { requests, engines } = await new OperatorClient(site.daemons[0].addresses.operator).status();
+      const { requests, engines } = await new OperatorClient(site.daemons[0].addresses.operator).getStatus();
       const streams = engines.reduce((sum, engine) => sum + engine.streams, 0);
       if (requests.active > 0 || streams > 0)
         throw new Error(`${requests.active} requests, ${streams} streams`);
@@ -258,7 +258,10 @@
 
   it('refusals are problem documents with notRun and Retry-After', async () => {
     const send = (body: unknown): ReturnType<typeof request> =>
-      request(`http://${site.callers()[0]}/v1/completions`, { method: 'POST', body: JSON.stringify(body) });
+      request(`http://${site.getCallerAddresses()[0]}/v1/completions`, {
+        method: 'POST',
+        body: JSON.stringify(body),
+      });
     const unknown = await send({ model: 'nothing', prompt: 'x' });
     expect(unknown.statusCode).to.equal(404);
     expect(unknown.headers['content-type']).to.equal('application/problem+json');
--- a/test/region-part.test.ts
+++ b/test/region-part.test.ts
@@ -7,7 +7,7 @@
 import { LeavingBackends } from '../src/forwarding/backends/leaving-backends.js';
 import { BackendLimits } from '../src/forwarding/permits/backend-limits.js';
 import { KvIndex } from '../src/forwarding/kv-cache/kv-index.js';
-import { labBackend } from '../lab/forwarding-site.js';
+import { makeLabBackend } from '../lab/forwarding-site.js';
 import type { Member } from '../src/membership/membership-messages.js';
 import type { PartContext } from '../src/parts/daemon-part.js';
 import { RegionPart } from '../src/parts/region-part.js';
@@ -84,7 +84,7 @@
     const { health } = DEFAULT_FORWARDING_SETTINGS;
     const directory = new BackendDirectory(health);
     for (const zone of ['zone-a', 'zone-a', 'zone-a', 'zone-c']) {
-      const record = { ...labBackend(zone, ''), zone };
+      const record = { ...makeLabBackend(zone, ''), zone };
       distance.addAttempt(new BackendView(record, health, directory.peers));
     }
     expect(part.getFigures()).to.include({
--- a/test/regions-cut.test.ts
+++ b/test/regions-cut.test.ts
@@ -1,6 +1,6 @@
 /** A region that is cut off while work is under way there, and heals: each request ends once, and nothing waits beyond its time. */
 import { expect } from 'chai';
-import { labBackend, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabRoute } from '../lab/forwarding-site.js';
 import { findCutOffRegions } from '../src/forwarding/backends/region-contact.js';
 import type { BackendRecord, EngineStage, RequestKind } from '../src/forwarding/routes/route.js';
 import { engine, Forwarding, prompt } from './forwarding-harness.js';
@@ -11,12 +11,12 @@
 const DEADLINE_MS = 5000;
 
 function at(zone: string, id: string, stage?: EngineStage): BackendRecord {
-  const record = stage ? engine(id, stage) : labBackend(id, '');
+  const record = stage ? engine(id, stage) : makeLabBackend(id, '');
   return { ...record, zone, address: `10.0.0.1:${id}` };
 }
 
 function makeSite(kind: RequestKind, ...backends: BackendRecord[]): Forwarding {
-  const route = labRoute({ kind, timeoutMs: DEADLINE_MS, targetLatencyMs: 500 });
+  const route = makeLabRoute({ kind, timeoutMs: DEADLINE_MS, targetLatencyMs: 500 });
   return new Forwarding([route], backends, SLACK, REGIONS);
 }
 
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -1,6 +1,6 @@
 /** A fleet over several regions: distances between places, the cost of distance, and its effect on each choice. */
 import { expect } from 'chai';
-import { labBackend, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabRoute } from '../lab/forwarding-site.js';
 import { DistanceCost, type EngineLinks } from '../src/places/distance-cost.js';
 import { DEFAULT_DISTANCE_SETTINGS } from '../src/places/distance-settings.js';
 import { Places } from '../src/places/places.js';
@@ -22,13 +22,13 @@
 }
 
 function makeRecord(zone: string, id: string, stage?: EngineStage): BackendRecord {
-  const record = stage ? engine(id, stage) : labBackend(id, '');
+  const record = stage ? engine(id, stage) : makeLabBackend(id, '');
   return { ...record, zone, address: `10.0.0.1:${id}` };
 }
 
 function makeSite(...backends: BackendRecord[]): Forwarding {
   return new Forwarding(
-    [labRoute({ kind: 'stream', timeoutMs: 5000, targetLatencyMs: 500 })],
+    [makeLabRoute({ kind: 'stream', timeoutMs: 5000, targetLatencyMs: 500 })],
     backends,
     SLACK,
     REGIONS,
@@ -72,23 +72,23 @@
 describe('cost of distance', () => {
   it('of a call is the round trip and the price of its bytes', () => {
     const cost = makeCost();
-    expect(cost.getCall('zone-a', 'zone-a', 17_000).costMs).to.equal(0);
-    expect(cost.getCall('zone-a', 'zone-b', 17_000)).to.deep.equal({ timeMs: 2, costMs: 10.5 });
-    expect(cost.getCall('zone-a', 'zone-c', 17_000)).to.deep.equal({ timeMs: 16, costMs: 50 });
+    expect(cost.getCallExpense('zone-a', 'zone-a', 17_000).costMs).to.equal(0);
+    expect(cost.getCallExpense('zone-a', 'zone-b', 17_000)).to.deep.equal({ timeMs: 2, costMs: 10.5 });
+    expect(cost.getCallExpense('zone-a', 'zone-c', 17_000)).to.deep.equal({ timeMs: 16, costMs: 50 });
   });
 
   it('of a copy is its time on the link between the zones and the price of its bytes', () => {
     const cost = makeCost();
-    const copyMs = (zone: string) => cost.getMove('zone-a', zone, 13_300, LINKS).timeMs;
+    const copyMs = (zone: string) => cost.getCopyExpense('zone-a', zone, 13_300, LINKS).timeMs;
     expect(copyMs('zone-a')).to.be.closeTo(5.3, 0.1);
     expect(copyMs('zone-b')).to.be.closeTo(2 * 5.3 + 2, 0.1);
     expect(copyMs('zone-c')).to.be.closeTo(10 * 5.3 + 16, 0.1);
-    expect(cost.getMove('zone-a', 'zone-c', 13_300, undefined).costMs).to.equal(0);
+    expect(cost.getCopyExpense('zone-a', 'zone-c', 13_300, undefined).costMs).to.equal(0);
   });
 
   it('in one region is the round trip alone, for any number of bytes', () => {
     const cost = makeCost({ 'zone-a': 'r1', 'zone-b': 'r1' });
-    expect(cost.getCall('zone-a', 'zone-b', 17_000)).to.deep.equal({ timeMs: 2, costMs: 2 });
+    expect(cost.getCallExpense('zone-a', 'zone-b', 17_000)).to.deep.equal({ timeMs: 2, costMs: 2 });
   });
 });
 
@@ -99,16 +99,16 @@
       for (let count = 0; count < times; count += 1) roundTrips.addSample(region, 'otherRegion', ms);
     };
     feed('r2', 400, 30);
-    expect(roundTrips.getMs('r2', 'otherRegion')).to.be.closeTo(400, 20);
-    expect(roundTrips.getMs('r3', 'otherRegion')).to.equal(16);
+    expect(roundTrips.getRoundTripMs('r2', 'otherRegion')).to.be.closeTo(400, 20);
+    expect(roundTrips.getRoundTripMs('r3', 'otherRegion')).to.equal(16);
     feed('r2', 16, 10);
-    expect(roundTrips.getMs('r2', 'otherRegion')).to.be.closeTo(16, 1);
+    expect(roundTrips.getRoundTripMs('r2', 'otherRegion')).to.be.closeTo(16, 1);
   });
 
   it('ignore invalid samples', () => {
     const roundTrips = new RoundTrips(DEFAULT_DISTANCE_SETTINGS.roundTripMs);
     for (const ms of [NaN, -1, Infinity]) roundTrips.addSample('r2', 'otherRegion', ms);
-    expect(roundTrips.getMs('r2', 'otherRegion')).to.equal(16);
+    expect(roundTrips.getRoundTripMs('r2', 'otherRegion')).to.equal(16);
   });
 });
 
@@ -273,7 +273,7 @@
   it('the log line of each attempt has the distance; in a fleet of one region none has', () => {
     const several = makeSite(makeRecord('zone-c', 'far'));
     several.begin();
-    const one = new Forwarding([labRoute({})], [makeRecord('zone-c', 'far')]);
+    const one = new Forwarding([makeLabRoute({})], [makeRecord('zone-c', 'far')]);
     one.begin();
     const distances = [several, one].map((site) =>
       site.effects.flatMap((effect) =>
--- a/test/reload-signal.test.ts
+++ b/test/reload-signal.test.ts
@@ -9,7 +9,7 @@
 import { fileURLToPath } from 'node:url';
 import { LocalSite } from '../lab/launcher.js';
 import { LoadGenerator } from '../lab/load-generator.js';
-import { siteProfile } from '../lab/site-profiles.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import { delay } from '../src/shared/delay.js';
 import { SeededRandom } from '../src/shared/random.js';
 
@@ -37,7 +37,7 @@
   afterEach(() => site?.stop());
 
   it('serves on through a series of SIGHUP, with valid and with wrong settings', async () => {
-    site = new LocalSite(siteProfile('trust-tt-north'), { engines: 2, daemons: 1, applications: 1 });
+    site = new LocalSite(getSiteProfile('trust-tt-north'), { engines: 2, daemons: 1, applications: 1 });
     await site.start();
     const targets = { firstTokenTargetMs: 30_000, betweenTokensTargetMs: 1000 };
     const reviews = {
@@ -47,17 +47,17 @@
       outputTokens: 40,
       ...targets,
     };
-    const load = new LoadGenerator(site.callers(), new SeededRandom(52));
+    const load = new LoadGenerator(site.getCallerAddresses(), new SeededRandom(52));
     const running = load.run([{ seconds: 4, classes: [reviews], calls: [] }]);
     for (let signal = 0; signal < SIGNALS; signal += 1) {
       await delay(SIGNAL_INTERVAL_MS);
-      if (signal === SIGNALS / 2) site.spoilSettings(0);
+      if (signal === SIGNALS / 2) site.writeInvalidSettings(0);
       site.daemons[0].child.kill('SIGHUP');
     }
     await running;
     const { child } = site.daemons[0];
     expect({ code: child.exitCode, signal: child.signalCode }).to.deep.equal({ code: null, signal: null });
-    const { sent, whole } = load.result('policy-review');
+    const { sent, complete: whole } = load.getResult('policy-review');
     expect(whole).to.equal(sent);
     const reloads = site.readLog(0).filter(({ event }) => event === 'process.reloaded');
     expect(reloads.map(({ valid }) => valid)).to.deep.equal([
--- a/test/restarted-back-ends.test.ts
+++ b/test/restarted-back-ends.test.ts
@@ -1,6 +1,6 @@
 /** A back end that restarts under its id: all state of its previous incarnation is dropped. */
 import { expect } from 'chai';
-import { labBackend } from '../lab/forwarding-site.js';
+import { makeLabBackend } from '../lab/forwarding-site.js';
 import {
   DEFAULT_FLEET_REPLICA_SETTINGS,
   FleetReplica,
@@ -14,7 +14,7 @@
 const BORN_MS = 1_800_000_000_000;
 
 function bornAt(bornMs: number | undefined): BackendRecord {
-  return { ...labBackend('b1', '10.0.0.1:80'), bornMs };
+  return { ...makeLabBackend('b1', '10.0.0.1:80'), bornMs };
 }
 
 /** Kinds of the back-end changes that a replica reports while it receives these records of one back end. */
@@ -27,7 +27,7 @@
     0,
   );
   records.forEach((value, i) =>
-    fleet.receive(
+    fleet.receiveReadResult(
       'backends',
       {
         kind: i === 0 ? 'snapshot' : 'changes',
--- a/test/retry-after-header.test.ts
+++ b/test/retry-after-header.test.ts
@@ -62,15 +62,15 @@
 
   it('counts in refusals of back ends only, and is told when it cannot be read', () => {
     const dialect = new HttpDialect();
-    expect(dialect.signals(503, ['Retry-After', '3']).retryAfterMs).to.equal(3000);
-    expect(dialect.signals(200, ['Retry-After', '3']).retryAfterMs).to.equal(undefined);
-    const { retryAfterMs, unreadable } = dialect.signals(503, ['Retry-After', 'soon']);
+    expect(dialect.parseSignals(503, ['Retry-After', '3']).retryAfterMs).to.equal(3000);
+    expect(dialect.parseSignals(200, ['Retry-After', '3']).retryAfterMs).to.equal(undefined);
+    const { retryAfterMs, unreadable } = dialect.parseSignals(503, ['Retry-After', 'soon']);
     expect(retryAfterMs).to.equal(undefined);
     expect(unreadable).to.deep.equal(['Retry-After: soon']);
   });
 
   it('leaves a limit that cannot be read without effect', () => {
-    const signals = (text: string) => new HttpDialect().signals(200, ['Server-Limit', text]);
+    const signals = (text: string) => new HttpDialect().parseSignals(200, ['Server-Limit', text]);
     expect(signals('0.5').requestsPerSecond).to.equal(0.5);
     expect(signals('many')).to.deep.include({
       requestsPerSecond: 'unreadable',
--- a/test/retry-budget.test.ts
+++ b/test/retry-budget.test.ts
@@ -6,7 +6,7 @@
  * stopped or killed one after another within one window.
  */
 import { expect } from 'chai';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { FLEET_SETTINGS, ForwardingFleet, type FleetNode } from '../simulation/forwarding-fleet.js';
 import { SeededRandom } from '../src/shared/random.js';
 
@@ -37,10 +37,10 @@
     daemons = DAEMONS,
   ) {
     this.fleet = new ForwardingFleet(daemons, seed);
-    const value = labConfiguration(1, [labRoute({ timeoutMs: 8000 })]);
+    const value = makeLabConfiguration(1, [makeLabRoute({ timeoutMs: 8000 })]);
     this.fleet.write({ collection: 'configuration', revision: 0, value });
     for (let i = 0; i < 12; i += 1) {
-      const backend = labBackend(`b${i}`, `10.1.0.${i}:80`);
+      const backend = makeLabBackend(`b${i}`, `10.1.0.${i}:80`);
       this.fleet.write({ collection: 'backends', id: `b${i}`, revision: 0, value: backend });
     }
   }
--- a/test/signal-check.test.ts
+++ b/test/signal-check.test.ts
@@ -1,8 +1,8 @@
 /** The soak's checks of what back ends say find what breaks it, and excuse daemons that were disturbed or not told. */
 import { expect } from 'chai';
 import {
-  findBrokenBackOffs,
-  findLateToLeaving,
+  findBackOffViolations,
+  findLateRequestsToLeaving,
   findLimitWindows,
   type DaemonArrival,
 } from '../lab/soak/signal-check.js';
@@ -47,15 +47,17 @@
   const told = [{ backend: 'b', daemon: 'd', at: 6000 }];
 
   it('find requests that were sent too late to a back end that leaves', () => {
-    expect(findLateToLeaving(told, ARRIVALS, () => true, 2000)).to.have.length(69);
-    expect(findLateToLeaving(told, ARRIVALS, () => false, 2000)).to.deep.equal([]);
-    expect(findLateToLeaving([], ARRIVALS, () => true, 2000)).to.deep.equal([]);
+    expect(findLateRequestsToLeaving(told, ARRIVALS, () => true, 2000)).to.have.length(69);
+    expect(findLateRequestsToLeaving(told, ARRIVALS, () => false, 2000)).to.deep.equal([]);
+    expect(findLateRequestsToLeaving([], ARRIVALS, () => true, 2000)).to.deep.equal([]);
   });
 
   it('find back-offs with more than two requests', () => {
     const backOff = { ...told[0], until: 7000 };
-    expect(findBrokenBackOffs([backOff], ARRIVALS, () => true)).to.deep.equal([{ span: backOff, seen: 5 }]);
-    expect(findBrokenBackOffs([{ ...backOff, until: 6700 }], ARRIVALS, () => true)).to.deep.equal([]);
-    expect(findBrokenBackOffs([backOff], ARRIVALS, () => false)).to.deep.equal([]);
+    expect(findBackOffViolations([backOff], ARRIVALS, () => true)).to.deep.equal([
+      { span: backOff, seen: 5 },
+    ]);
+    expect(findBackOffViolations([{ ...backOff, until: 6700 }], ARRIVALS, () => true)).to.deep.equal([]);
+    expect(findBackOffViolations([backOff], ARRIVALS, () => false)).to.deep.equal([]);
   });
 });
--- a/test/signal-hunt.test.ts
+++ b/test/signal-hunt.test.ts
@@ -8,7 +8,7 @@
 import { once } from 'node:events';
 import { LocalSite } from '../lab/launcher.js';
 import { LoadGenerator, type LoadPhase } from '../lab/load-generator.js';
-import { siteProfile } from '../lab/site-profiles.js';
+import { getSiteProfile } from '../lab/site-profiles.js';
 import { delay } from '../src/shared/delay.js';
 import { exponential, SeededRandom } from '../src/shared/random.js';
 
@@ -40,7 +40,7 @@
 
 /** A site whose daemons receive random signals. */
 class SignalledSite {
-  readonly site = new LocalSite(siteProfile('trust-tt-north'), {
+  readonly site = new LocalSite(getSiteProfile('trust-tt-north'), {
     engines: 4,
     daemons: DAEMONS,
     applications: 2,
@@ -102,7 +102,7 @@
       const random = new SeededRandom(seed);
       signalled = new SignalledSite(random);
       await signalled.site.start();
-      const load = new LoadGenerator(signalled.site.callers(), new SeededRandom(seed + 1));
+      const load = new LoadGenerator(signalled.site.getCallerAddresses(), new SeededRandom(seed + 1));
       const running = load.run(makePhases(new SeededRandom(seed + 2)));
       const signalling = signalled.site.daemons.map((_daemon, index) => signalled.sendSignals(index));
       await running;
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -1,8 +1,13 @@
 /** Connections that pass nothing any more, without a reset, while new ones work. */
 import { expect } from 'chai';
-import { labBackend, labRoute, startForwardingSite, type ForwardingSite } from '../lab/forwarding-site.js';
+import {
+  makeLabBackend,
+  makeLabRoute,
+  startForwardingSite,
+  type ForwardingSite,
+} from '../lab/forwarding-site.js';
 import { findFreeAddresses } from '../lab/free-ports.js';
-import { headerOf, ScriptedBackend } from '../lab/scripted-backend.js';
+import { findHeader, ScriptedBackend } from '../lab/scripted-backend.js';
 import { FaultProxy } from '../lab/soak/fault-proxy.js';
 import { PeerTransport, type PeerTransportListener } from '../src/adapters/peer-transport.js';
 import type { PeerMessage } from '../src/daemon/peer-messages.js';
@@ -55,7 +60,7 @@
   it('are replaced well before the daemons count as out of contact', async () => {
     const address = await proxy.start();
     await sendFor(address, 600);
-    proxy.silenceLive();
+    proxy.silenceOpenConnections();
     const silencedAt = performance.now();
     await sendFor(address, FOUND_MS);
     const after = received.filter((at) => at > silencedAt + 100);
@@ -67,9 +72,9 @@
     const address = await proxy.start();
     near.send(address, ping());
     await delay(FOUND_MS);
-    const before = near.connectionsMade();
+    const before = near.getConnectionsMade();
     await sendFor(address, FOUND_MS);
-    expect(near.connectionsMade()).to.equal(before);
+    expect(near.getConnectionsMade()).to.equal(before);
   });
 });
 
@@ -83,7 +88,7 @@
 
   beforeEach(async () => {
     const answer = (request: { head: string }, socket: { write(text: string): unknown }): void => {
-      const id = headerOf(request.head, 'x-attempt-id');
+      const id = findHeader(request.head, 'x-attempt-id');
       if (id !== undefined && held.has(id)) return;
       const identity = id === undefined ? 'X-Instance-Id: b1\r\n' : `X-Attempt-Id: ${id}\r\n`;
       socket.write(`HTTP/1.1 200 OK\r\n${identity}${SIGNED}Content-Length: 2\r\n\r\nok`);
@@ -112,11 +117,11 @@
 
   it('one makes the older ones suspect: requests after a second take new ones', async () => {
     site = await startForwardingSite(
-      [labRoute({ host: '127.0.0.1' })],
-      [labBackend('b1', await proxy.start())],
+      [makeLabRoute({ host: '127.0.0.1' })],
+      [makeLabBackend('b1', await proxy.start())],
     );
     await Promise.all(Array.from({ length: 8 }, (_, index) => ask(`warm${index}`)));
-    proxy.silenceLive();
+    proxy.silenceOpenConnections();
     const first = ask('first');
     await delay(1600);
     const later = await Promise.all(Array.from({ length: 7 }, (_, index) => ask(`later${index}`)));
@@ -126,11 +131,11 @@
   });
 
   it('a request that waits on one is moved, when its server answers on new ones', async () => {
-    const route = labRoute({ host: '127.0.0.1', timeoutMs: 8000, maximumAttempts: 2 });
-    const proxied = labBackend('b1', await proxy.start());
+    const route = makeLabRoute({ host: '127.0.0.1', timeoutMs: 8000, maximumAttempts: 2 });
+    const proxied = makeLabBackend('b1', await proxy.start());
     site = await startForwardingSite([route], [proxied]);
     await Promise.all([ask('warm1'), ask('warm2'), ask('warm3')]);
-    proxy.silenceLive();
+    proxy.silenceOpenConnections();
     const waiting = ['first', 'second', 'third'].map((id) => ask(id, 8000));
     const answered: number[] = [];
     for (let count = 0; count < 15; count += 1) {
@@ -141,7 +146,7 @@
       collection: 'backends',
       id: 'b2',
       revision: 9,
-      value: labBackend('b2', await spare.listen()),
+      value: makeLabBackend('b2', await spare.listen()),
     });
     const moved = await Promise.all(waiting);
     expect(new Set(answered)).to.deep.equal(new Set([200]));
@@ -151,20 +156,20 @@
 
   it('a server that is only slow keeps its connections', async () => {
     site = await startForwardingSite(
-      [labRoute({ host: '127.0.0.1' })],
-      [labBackend('b1', await proxy.start())],
+      [makeLabRoute({ host: '127.0.0.1' })],
+      [makeLabBackend('b1', await proxy.start())],
     );
     await Promise.all(Array.from({ length: 4 }, (_, index) => ask(`warm${index}`)));
     held.add('slow');
     const slow = ask('slow', 1900);
-    const before = proxy.connectionsMade();
+    const before = proxy.getConnectionCount();
     const end = performance.now() + 1800;
     while (performance.now() < end) {
       await ask('quick');
       await delay(50);
     }
     await slow;
-    expect(proxy.connectionsMade()).to.equal(before);
+    expect(proxy.getConnectionCount()).to.equal(before);
   });
 });
 
--- a/test/stage-regions.test.ts
+++ b/test/stage-regions.test.ts
@@ -12,7 +12,7 @@
 import { BackendView } from '../src/forwarding/backends/backend-view.js';
 import { PeerLoads } from '../src/forwarding/backends/peer-loads.js';
 import type { EngineStage } from '../src/forwarding/routes/route.js';
-import { labBackend } from '../lab/forwarding-site.js';
+import { makeLabBackend } from '../lab/forwarding-site.js';
 import { FLEET_SETTINGS } from '../simulation/forwarding-fleet.js';
 
 const SEED = 20261202;
@@ -130,7 +130,7 @@
   return places.map(
     ([zone, stage], index) =>
       new BackendView(
-        { ...labBackend(`${zone}/${index}`, `10.0.0.${index}:80`), zone, stage },
+        { ...makeLabBackend(`${zone}/${index}`, `10.0.0.${index}:80`), zone, stage },
         DEFAULT_BACKEND_HEALTH_SETTINGS,
         new PeerLoads(),
       ),
--- a/test/stages.test.ts
+++ b/test/stages.test.ts
@@ -1,7 +1,7 @@
 /** Stage changes of engines: only under the lease, a few at a time, with the expected number of orders. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { LAB_STAGES } from '../lab/stage-settings.js';
 import type { FleetNode } from '../simulation/fleet-node.js';
 import { ForwardingFleet } from '../simulation/forwarding-fleet.js';
@@ -18,7 +18,7 @@
   return stages.map(
     (stage, index) =>
       new BackendView(
-        { ...labBackend(`e${index}`, `10.0.0.${index}:80`), stage },
+        { ...makeLabBackend(`e${index}`, `10.0.0.${index}:80`), stage },
         DEFAULT_BACKEND_HEALTH_SETTINGS,
         new PeerLoads(),
       ),
@@ -133,14 +133,14 @@
 describe('stages of several services', () => {
   it('each service of model engines gets a coordinator that requests its lease', () => {
     const fleet = new ForwardingFleet(9, 1);
-    const configuration = labConfiguration(1, [labRoute({})]);
+    const configuration = makeLabConfiguration(1, [makeLabRoute({})]);
     const [service] = configuration.services;
     const services = ['service', 'other'].map((name) => ({ ...service, name }));
     fleet.write({ collection: 'configuration', revision: 0, value: { ...configuration, services } });
     for (const { name } of services)
       for (let index = 0; index < 4; index += 1) {
         const id = `${name}-${index}`;
-        const engine = { ...labBackend(id, '10.1.0.1:80'), service: name, stage: 'prefill' as const };
+        const engine = { ...makeLabBackend(id, '10.1.0.1:80'), service: name, stage: 'prefill' as const };
         fleet.write({ collection: 'backends', id, revision: 0, value: engine });
       }
     fleet.time.runUntil(8000);
@@ -160,10 +160,14 @@
 
   function startFleet(): ForwardingFleet {
     const fleet = new ForwardingFleet(4, 1);
-    fleet.write({ collection: 'configuration', revision: 0, value: labConfiguration(1, [labRoute({})]) });
+    fleet.write({
+      collection: 'configuration',
+      revision: 0,
+      value: makeLabConfiguration(1, [makeLabRoute({})]),
+    });
     for (let index = 0; index < 6; index += 1) {
       const engine = {
-        ...labBackend(`e${index}`, '10.1.0.1:80'),
+        ...makeLabBackend(`e${index}`, '10.1.0.1:80'),
         service: SERVICE,
         stage: 'prefill' as const,
       };
--- a/test/stop-listening.test.ts
+++ b/test/stop-listening.test.ts
@@ -7,7 +7,7 @@
 import { connect, type AddressInfo } from 'node:net';
 import { once } from 'node:events';
 import { Worker } from 'node:worker_threads';
-import { KeptConnections } from '../src/gateway/kept-connections.js';
+import { KeepAliveConnections } from '../src/gateway/kept-connections.js';
 import { stopListening } from '../src/adapters/listen.js';
 import { delay } from '../src/shared/delay.js';
 
@@ -34,7 +34,7 @@
 describe('a server that closes the connections that callers keep', () => {
   it('answers all requests that were sent on one without waiting, and tells to close with the last answer', async () => {
     const server = createServer((_request, response) => void setTimeout(() => response.end('here'), 50));
-    const connections = new KeptConnections(server);
+    const connections = new KeepAliveConnections(server);
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
     const socket = connect((server.address() as AddressInfo).port, '127.0.0.1');
@@ -43,12 +43,15 @@
     const ended = once(socket, 'close');
     socket.write('GET / HTTP/1.1\r\nhost: a\r\n\r\n'.repeat(3));
     await delay(20);
-    connections.beginClosing();
-    expect(connections.hasDueAnswers()).to.equal(true);
+    connections.startClosing();
+    expect(connections.hasPendingResponses()).to.equal(true);
     await ended;
     expect(text.match(/HTTP\/1.1 200 OK/g)).to.have.length(3);
     expect(text.match(/connection: close/gi)).to.have.length(1);
-    expect({ due: connections.hasDueAnswers(), expected: connections.getExpectedCount() }).to.deep.equal({
+    expect({
+      due: connections.hasPendingResponses(),
+      expected: connections.getReusableCount(),
+    }).to.deep.equal({
       due: false,
       expected: 0,
     });
--- a/test/store-reader.ts
+++ b/test/store-reader.ts
@@ -1,5 +1,5 @@
 /** Fleets in virtual time before a store with a few back ends, and which of their daemons follows the store. */
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { ForwardingFleet, type FleetNode } from '../simulation/forwarding-fleet.js';
 import type { StoredRecord } from '../src/fleet/record-store.js';
 
@@ -8,14 +8,14 @@
 
 /** What the store holds of a back end; nothing when it is gone. */
 export function makeBackendRecord(id: string, state: 'ready' | 'draining' | 'gone'): StoredRecord {
-  const value = state === 'gone' ? undefined : { ...labBackend(id, '10.1.0.1:80'), state };
+  const value = state === 'gone' ? undefined : { ...makeLabBackend(id, '10.1.0.1:80'), state };
   return { collection: 'backends', id, revision: 0, value };
 }
 
 /** A settled fleet that knows these back ends, all ready. */
 export function startSettledFleet(count: number, seed: number, backends: readonly string[]): ForwardingFleet {
   const fleet = new ForwardingFleet(count, seed);
-  const value = labConfiguration(1, [labRoute({})]);
+  const value = makeLabConfiguration(1, [makeLabRoute({})]);
   fleet.write({ collection: 'configuration', revision: 0, value });
   for (const id of backends) fleet.write(makeBackendRecord(id, 'ready'));
   fleet.time.runUntil(SETTLED_MS);
--- a/test/store-readers.test.ts
+++ b/test/store-readers.test.ts
@@ -1,6 +1,6 @@
 /** Which daemons read the store, and how soon a change is in force everywhere when the reader fails. Virtual time. */
 import { expect } from 'chai';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { ForwardingFleet, type FleetNode } from '../simulation/forwarding-fleet.js';
 import { Snapshot } from './snapshot.js';
 import { findReader } from './store-reader.js';
@@ -17,12 +17,12 @@
   return {
     collection: 'configuration' as const,
     revision: 0,
-    value: labConfiguration(version, [labRoute({})]),
+    value: makeLabConfiguration(version, [makeLabRoute({})]),
   };
 }
 
 function backend(id: string, state: 'ready' | 'draining' | 'gone') {
-  const value = state === 'gone' ? undefined : { ...labBackend(id, '10.1.0.1:80'), state };
+  const value = state === 'gone' ? undefined : { ...makeLabBackend(id, '10.1.0.1:80'), state };
   return { collection: 'backends' as const, id, revision: 0, value };
 }
 
@@ -136,11 +136,11 @@
     const refused = fleet.nodes.find((node) => node !== reader) ?? reader;
     refused.access = 'refuses';
     // Too large to be told by peers, so that this daemon hears of it before it can have it.
-    const many = Array.from({ length: 400 }, (_unused, i) => labRoute({ pathPrefix: `/r${i}/` }));
-    const value = labConfiguration(2, [
+    const many = Array.from({ length: 400 }, (_unused, i) => makeLabRoute({ pathPrefix: `/r${i}/` }));
+    const value = makeLabConfiguration(2, [
       ...many,
-      labRoute({}),
-      labRoute({ name: 'new', pathPrefix: '/new/' }),
+      makeLabRoute({}),
+      makeLabRoute({ name: 'new', pathPrefix: '/new/' }),
     ]);
     fleet.write({ collection: 'configuration', revision: 0, value });
     const statuses: number[] = [];
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend, labConfiguration, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { PlatformModel } from '../lab/platform-model.js';
 import { ForwardingFleet } from '../simulation/forwarding-fleet.js';
 import { CellLease, DEFAULT_LEASE_SETTINGS, type LeaseEffect } from '../src/lease/cell-lease.js';
@@ -49,7 +49,7 @@
 
   private perform(effect: LeaseEffect): void {
     if (effect.kind !== 'leaseTable') return;
-    const result = this.platform.table(effect.request, this.getNow());
+    const result = this.platform.applyTableRequest(effect.request, this.getNow());
     if (result) this.answers.push(() => this.lease.receiveTableResult(result, this.now()));
   }
 }
@@ -136,8 +136,17 @@
 
   it('treats its configuration as stale and denies no request by it', () => {
     const fleet = new ForwardingFleet(3, 1);
-    fleet.write({ collection: 'configuration', revision: 0, value: labConfiguration(1, [labRoute({})]) });
-    fleet.write({ collection: 'backends', id: 'b1', revision: 0, value: labBackend('b1', '10.1.0.1:80') });
+    fleet.write({
+      collection: 'configuration',
+      revision: 0,
+      value: makeLabConfiguration(1, [makeLabRoute({})]),
+    });
+    fleet.write({
+      collection: 'backends',
+      id: 'b1',
+      revision: 0,
+      value: makeLabBackend('b1', '10.1.0.1:80'),
+    });
     fleet.time.runUntil(6000);
     const [node] = fleet.nodes;
     node.refusals.length = 0;
--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -4,8 +4,13 @@
 import { connect } from 'node:net';
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend, labConfiguration, labRoute, startForwardingSite } from '../lab/forwarding-site.js';
-import { headerOf, ScriptedBackend } from '../lab/scripted-backend.js';
+import {
+  makeLabBackend,
+  makeLabConfiguration,
+  makeLabRoute,
+  startForwardingSite,
+} from '../lab/forwarding-site.js';
+import { findHeader, ScriptedBackend } from '../lab/scripted-backend.js';
 import { HttpDialect } from '../platform/http-dialect.js';
 import { digestKey } from '../platform/key-digest.js';
 import { readConfiguration } from '../platform/records.js';
@@ -21,8 +26,8 @@
 const SEED = 20261207;
 const KEY = '492cqf75rjvz48wuakn2';
 const OTHER_KEY = 'ftimaj3nr26tta828m82';
-const ROUTE = labRoute({});
-const PUBLIC_ROUTE = labRoute({ isPublic: true });
+const ROUTE = makeLabRoute({});
+const PUBLIC_ROUTE = makeLabRoute({ isPublic: true });
 
 function makeTenant(name: string, keys: readonly string[], priority?: number): Tenant {
   return { name, keyDigests: keys.map(digestKey), priority };
@@ -96,7 +101,7 @@
   });
 
   it('the priority of a tenant overrides that of the route, for prefill and for decode', () => {
-    const route = labRoute({ kind: 'stream', priority: 1 });
+    const route = makeLabRoute({ kind: 'stream', priority: 1 });
     const daemon = makeForwarding(route, ENGINES);
     daemon.begin({ keyDigest: digestKey(KEY), prompt: prompt(2000, 0) });
     daemon.event({ kind: 'prefilled', handle: 'h' }, 10);
@@ -135,14 +140,14 @@
           const start: AttemptStart = {
             requestId: 'r',
             attemptId: 'r/1',
-            backend: { ...labBackend('b', '10.0.0.1:80'), stage: 'decode' },
+            backend: { ...makeLabBackend('b', '10.0.0.1:80'), stage: 'decode' },
             remainingMs: 100,
             urgency: 0,
             stream: true,
             once: false,
             ...fields,
           };
-          const headers = dialect.requestHeaders(
+          const headers = dialect.createRequestHeaders(
             [keyName, KEY, tenantName, 'claimed', 'X-Model', 'm'],
             start,
           );
@@ -158,9 +163,9 @@
   });
 
   it('a key header that occurs twice counts as no key', () => {
-    expect(dialect.callerHead(['X-Api-Key', KEY]).keyDigest).to.equal(digestKey(KEY));
-    expect(dialect.callerHead(['X-Api-Key', KEY, 'x-api-key', OTHER_KEY]).keyDigest).to.equal(undefined);
-    expect(dialect.callerHead([]).keyDigest).to.equal(undefined);
+    expect(dialect.parseCallerHead(['X-Api-Key', KEY]).keyDigest).to.equal(digestKey(KEY));
+    expect(dialect.parseCallerHead(['X-Api-Key', KEY, 'x-api-key', OTHER_KEY]).keyDigest).to.equal(undefined);
+    expect(dialect.parseCallerHead([]).keyDigest).to.equal(undefined);
   });
 
   it('the keys of a configuration are parsed into digests, and parse errors reveal no key', () => {
@@ -186,7 +191,7 @@
   });
 
   it('a peer’s configuration without a list of tenants is rejected', () => {
-    const value = labConfiguration(1, [ROUTE], [makeTenant('mary', [KEY])]);
+    const value = makeLabConfiguration(1, [ROUTE], [makeTenant('mary', [KEY])]);
     const message = (configuration: object): PeerMessage =>
       ({
         kind: 'recordsChanged',
@@ -210,13 +215,13 @@
   function makeFleetWithKeys(): ForwardingFleet {
     const fleet = new ForwardingFleet(9, SEED);
     writeTenants(fleet, 1, [KEY]);
-    fleet.write({ collection: 'backends', id: 'a', revision: 0, value: labBackend('a', '10.1.0.1:80') });
+    fleet.write({ collection: 'backends', id: 'a', revision: 0, value: makeLabBackend('a', '10.1.0.1:80') });
     fleet.time.runUntil(6000);
     return fleet;
   }
 
   function writeTenants(fleet: ForwardingFleet, version: number, keys: readonly string[]): void {
-    const value = labConfiguration(version, [ROUTE], [makeTenant('mary', keys)]);
+    const value = makeLabConfiguration(version, [ROUTE], [makeTenant('mary', keys)]);
     fleet.write({ collection: 'configuration', revision: 0, value });
   }
 
@@ -250,14 +255,14 @@
     const heads: string[] = [];
     const backend = new ScriptedBackend((request, socket) => {
       heads.push(request.head);
-      const id = headerOf(request.head, 'X-Attempt-Id') ?? '';
+      const id = findHeader(request.head, 'X-Attempt-Id') ?? '';
       socket.write(
         `HTTP/1.1 200 OK\r\nX-Attempt-Id: ${id}\r\nX-Server-Signature: s\r\nContent-Length: 2\r\n\r\nok`,
       );
     });
     const site = await startForwardingSite(
       [ROUTE],
-      [labBackend('b1', await backend.listen())],
+      [makeLabBackend('b1', await backend.listen())],
       [makeTenant('mary', [KEY])],
     );
     const sendRequest = (lines: string): Promise<string> =>
--- a/test/true-refusals.test.ts
+++ b/test/true-refusals.test.ts
@@ -4,13 +4,13 @@
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { labBackend, labRoute } from '../lab/forwarding-site.js';
+import { makeLabBackend, makeLabRoute } from '../lab/forwarding-site.js';
 import type { AttemptStart, ForwardAttemptEvent } from '../src/forwarding/forward-messages.js';
 import { Forwarding } from './forwarding-harness.js';
 
-const BACKENDS = ['b1', 'b2', 'b3'].map((id, index) => labBackend(id, `10.0.0.${index}:80`));
+const BACKENDS = ['b1', 'b2', 'b3'].map((id, index) => makeLabBackend(id, `10.0.0.${index}:80`));
 const ENGINES = (['prefill', 'prefill', 'decode', 'decode'] as const).map((stage, index) => ({
-  ...labBackend(`e${index}`, `10.0.1.${index}:80`),
+  ...makeLabBackend(`e${index}`, `10.0.1.${index}:80`),
   stage,
 }));
 const PROMPT = {
@@ -90,7 +90,7 @@
       });
       fc.assert(
         fc.property(scenario, ({ engines, slack, steps: scenarioSteps }) => {
-          const route = labRoute({ kind, resumable: true, maximumAttempts: 3, timeoutMs: 3000 });
+          const route = makeLabRoute({ kind, resumable: true, maximumAttempts: 3, timeoutMs: 3000 });
           const site = new Forwarding([route], engines ? ENGINES : BACKENDS, slack);
           site.begin({ callerDeadlineMs: 3000, ...(engines ? { prompt: PROMPT } : {}) });
           const attempts = new AttemptEvents();
@@ -116,7 +116,7 @@
   }
 
   it('discard an answer that is not passed on', () => {
-    const site = new Forwarding([labRoute({ maximumAttempts: 2 })], BACKENDS);
+    const site = new Forwarding([makeLabRoute({ maximumAttempts: 2 })], BACKENDS);
     site.begin();
     const [first] = site.starts();
     site.event({ kind: 'whole', status: 500 }, 10);
@@ -128,7 +128,7 @@
 
   it('discard a failure that arrives in place of the rest of a stream', () => {
     const site = new Forwarding(
-      [labRoute({ kind: 'stream', resumable: true, maximumAttempts: 2 })],
+      [makeLabRoute({ kind: 'stream', resumable: true, maximumAttempts: 2 })],
       BACKENDS,
     );
     site.begin();
--- a/test/unanswered-calls.test.ts
+++ b/test/unanswered-calls.test.ts
@@ -36,8 +36,8 @@
       stage: undefined,
     };
     expect(await client.probe({ backend }, '/healthz')).to.equal(false);
-    expect(await client.kvChanges({ backend, since: 0, waitMs: 0 })).to.equal(undefined);
-    expect(await client.engineStatus(backend)).to.equal(undefined);
+    expect(await client.readKvChanges({ backend, since: 0, waitMs: 0 })).to.equal(undefined);
+    expect(await client.readEngineStatus(backend)).to.equal(undefined);
     expect(told).to.deep.equal(['probe', 'kvChanges', 'engineStatus'].map((call) => `${call} ECONNREFUSED`));
     await client.close();
   });
--- a/test/unequal-engines.test.ts
+++ b/test/unequal-engines.test.ts
@@ -3,7 +3,7 @@
  * generate.
  */
 import { expect } from 'chai';
-import { labRoute } from '../lab/forwarding-site.js';
+import { makeLabRoute } from '../lab/forwarding-site.js';
 import type { ForwardAttemptEvent, AttemptStart } from '../src/forwarding/forward-messages.js';
 import type { ForwardRequest } from '../src/forwarding/forward-request.js';
 import type { Route } from '../src/forwarding/routes/route.js';
@@ -119,13 +119,13 @@
 
 for (const [places, { regionByZone, minimumFactor }] of Object.entries(PLACES))
   describe(`back ends of unequal speed, ${places}`, () => {
-    const plain = () => new Waves(new Forwarding([labRoute({})], PLAIN, SLACK, regionByZone), () => ({}));
+    const plain = () => new Waves(new Forwarding([makeLabRoute({})], PLAIN, SLACK, regionByZone), () => ({}));
     const prefill = () =>
-      new Waves(new Forwarding([labRoute(STREAM)], EIGHT, SLACK, regionByZone), (count) => ({
+      new Waves(new Forwarding([makeLabRoute(STREAM)], EIGHT, SLACK, regionByZone), (count) => ({
         prompt: prompt(4000, 0, `k${count}`),
       }));
     const decode = () =>
-      new Waves(new Forwarding([labRoute(STREAM)], EIGHT, SLACK, regionByZone), (count) => ({
+      new Waves(new Forwarding([makeLabRoute(STREAM)], EIGHT, SLACK, regionByZone), (count) => ({
         prompt: prompt(200, 0, `k${count}`),
       }));
 
