--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -1,8 +1,8 @@
 /**
  * Calls to application servers, from the granted slot to the answer. Owns the calls in progress;
- * application-servers.ts picks the server, retry-rule.ts decides whether a broken call is repeated. A call
- * that may not be repeated is claimed in the ledger first and runs on one server at most; it is sent to
- * another server only when no byte of it can have reached the first.
+ * application-servers.ts picks the server, retry-rule.ts decides whether a broken call is retried. A call
+ * that must not be executed twice is claimed in the ledger first and executed by one server at most; it is
+ * sent to another server only when no byte of it can have reached the first.
  */
 import {
   AlreadyClaimedError,
@@ -33,18 +33,18 @@
   attempt: { attemptId: string; server: ApplicationServer; startedAt: number } | undefined;
   attemptCount: number;
   brokenAttempts: number;
-  mayHaveRun: boolean;
+  mayHaveExecuted: boolean;
   readonly excluded: Set<string>;
 }
 
 /**
- * Limits on attempts that may have run and on retries per call in the long run; the same values as the
- * defaults for completions.
+ * Limits on the attempts of a call that may have been executed, and on retries per call averaged over time;
+ * the same values as the defaults for completions.
  */
 const RETRY_SETTINGS: RetryRuleSettings = { maximumAttempts: 3, retryRatio: 0.2 };
 /**
- * Longest response body that is recorded for a caller that repeats its idempotency key. Bytes; the limit
- * keeps table rows small. A longer response is passed on but not recorded, and a repeat fails as already
+ * Longest response body that is recorded for a caller that retries with the same idempotency key. Bytes; the
+ * limit keeps table rows small. A longer response is passed on but not recorded, and a retry fails as already
  * claimed.
  */
 const MAXIMUM_RECORDED_BODY_BYTES = 64 * 1024;
@@ -85,7 +85,7 @@
       attempt: undefined,
       attemptCount: 0,
       brokenAttempts: 0,
-      mayHaveRun: false,
+      mayHaveExecuted: false,
       excluded: new Set(),
     };
     this.sessions.set(call.requestId, session);
@@ -97,7 +97,7 @@
   onClaimGranted(requestId: string, now: number): void {
     const session = this.sessions.get(requestId);
     if (!session) {
-      // The caller disconnected before the call was sent: it did not run, so the key may be used again.
+      // The caller disconnected before the call was sent: it was not executed, so the key may be used again.
       this.ledger.releaseClaim(requestId, now);
       return;
     }
@@ -252,7 +252,7 @@
   }
 
   private onBroken(session: CallSession, server: ApplicationServer, startedAt: number, now: number): void {
-    session.mayHaveRun = true;
+    session.mayHaveExecuted = true;
     session.brokenAttempts += 1;
     this.attemptListener.addBrokenAttempt(session.call.key, server, startedAt, now);
     this.servers.addFailure(server, now);
@@ -266,8 +266,8 @@
   }
 
   /**
-   * Settles the claim of a call that is about to fail: releases the key if the call certainly did not run,
-   * and keeps it claimed without an outcome otherwise.
+   * Settles the claim of a call that is about to fail: releases the key if the call was certainly not
+   * executed, and keeps it claimed without an outcome otherwise.
    */
   private settleClaim(session: CallSession, now: number): void {
     if (session.row.repeatable || session.stage === 'claiming') return;
@@ -293,5 +293,5 @@
 }
 
 function getNotRun(session: CallSession): NotRun {
-  return session.mayHaveRun || session.attempt ? 'unknown' : 'true';
+  return session.mayHaveExecuted || session.attempt ? 'unknown' : 'true';
 }
--- a/src/routing/completion-dispatch.ts
+++ b/src/routing/completion-dispatch.ts
@@ -16,7 +16,7 @@
   | { readonly kind: 'send'; readonly choice: EngineChoice }
   /** It stays in the queue until something changes. */
   | { readonly kind: 'wait' }
-  /** Every engine of the model rejected or broke it: it pauses, and then all may be tried again. */
+  /** Every engine of the model has rejected or broken it: it pauses, and then all may be tried again. */
   | { readonly kind: 'pause' }
   | { readonly kind: 'fail'; readonly error: PulleyledgeError };
 
--- a/src/routing/completion-effects.ts
+++ b/src/routing/completion-effects.ts
@@ -63,7 +63,7 @@
    * retry is allowed. Milliseconds. Default 15000.
    */
   readonly attemptStallMs: number;
-  /** Maximum number of attempts of one request that may have run. Default 3. */
+  /** Maximum number of attempts of one request that may have been executed. Default 3. */
   readonly maximumAttempts: number;
   /** Retries allowed per request, averaged over time. Default 0.2. */
   readonly retryRatio: number;
--- a/src/routing/completion-session.ts
+++ b/src/routing/completion-session.ts
@@ -31,7 +31,7 @@
   attemptCount: number;
   /** Attempts that broke after an engine may have started them. */
   brokenAttempts: number;
-  mayHaveRun: boolean;
+  mayHaveExecuted: boolean;
   readonly produced: string[];
   kv: KvHandle | undefined;
   excluded: Set<string>;
@@ -63,7 +63,7 @@
     attempt: undefined,
     attemptCount: 0,
     brokenAttempts: 0,
-    mayHaveRun: false,
+    mayHaveExecuted: false,
     produced: [],
     kv: undefined,
     excluded: new Set(),
@@ -74,10 +74,10 @@
 }
 
 /**
- * Whether a request certainly did not run: `false` once tokens arrived, `true` only if no engine can have
+ * Whether a request was certainly not executed: `false` once tokens arrived, `true` only if no engine can have
  * started it, and `unknown` otherwise.
  */
 export function getNotRun(session: Session): NotRun {
   if (session.produced.length > 0) return 'false';
-  return session.mayHaveRun || session.attempt ? 'unknown' : 'true';
+  return session.mayHaveExecuted || session.attempt ? 'unknown' : 'true';
 }
--- a/src/routing/engine-picker.ts
+++ b/src/routing/engine-picker.ts
@@ -1,7 +1,7 @@
 /**
  * Picks engines for a request. Owns no state; reads engine views and sends nothing. The algorithm:
  * 1. candidates are the engines that take work, serve the model and the adapter, and have room for a stream;
- * 2. either one engine executes the whole request, or a prefill engine computes the prompt and another engine
+ * 2. either one engine executes the complete request, or a prefill engine computes the prompt and another engine
  *    generates the output, whichever has the earlier expected first token (`pick`); a decode engine may also
  *    compute a short prompt;
  * 3. within a stage, the cheaper of two random candidates is picked (power of two choices; Mitzenmacher,
@@ -28,7 +28,7 @@
   readonly exhaustive: boolean;
 }
 
-/** The picked engines: one for the whole request, or one for the prompt and one for the output. */
+/** The picked engines: one for the complete request, or one for the prompt and one for the output. */
 export interface EngineChoice {
   readonly prefill: EngineView | undefined;
   readonly generate: EngineView;
@@ -78,7 +78,7 @@
 /** Streams allowed beyond the load bound, so that the bound has no effect on an idle fleet. */
 const AFFINITY_FREE_STREAMS = 4;
 
-/** The outcome of a pick; tells busy engines from missing ones, for the right refusal. */
+/** The outcome of a pick; busy and missing engines are distinguished, since they lead to different refusals. */
 export type PickOutcome =
   | { readonly kind: 'chosen'; readonly choice: EngineChoice }
   /** Engines serve the model but none takes a stream now. */
--- a/src/routing/retry-after.ts
+++ b/src/routing/retry-after.ts
@@ -17,7 +17,7 @@
  */
 export const SLOT_RETRY_AFTER_MS = 1000;
 
-/** The table does not confirm claims, so a call that may run at most once was not sent. Milliseconds. */
+/** The table does not confirm claims, so a call that must be executed at most once was not sent. Milliseconds. */
 export const LEDGER_RETRY_AFTER_MS = 1000;
 
 /** No application server is available for the call. Milliseconds. */
--- a/src/routing/retry-budget.ts
+++ b/src/routing/retry-budget.ts
@@ -1,5 +1,6 @@
 /**
- * Limits retries of work that may have run to a share of the requests, so that failures do not amplify load.
+ * Limits retries of work that may have been executed to a share of the requests, so that failures do not
+ * amplify load.
  * Owns the tokens of one process for one kind of request; used by retry-rule.ts.
  */
 
--- a/src/routing/retry-rule.ts
+++ b/src/routing/retry-rule.ts
@@ -1,13 +1,13 @@
 /**
  * Decides whether work that a back end may have started is sent again, for completions and application calls
- * alike. Owns the retry budget of one of the two. Work that certainly did not run is sent to another back end
- * without consulting this rule.
+ * alike. Owns the retry budget of one of the two. Work that was certainly not executed is sent to another back
+ * end without consulting this rule.
  */
 import { RetryBudget } from './retry-budget.js';
 
 /** The input of the rule. */
 interface BrokenWork {
-  /** Whether the service allows its requests to run more than once. */
+  /** Whether the service allows its requests to be executed more than once. */
   readonly repeatable: boolean;
   /** Number of broken attempts of the request, including the last one. */
   readonly brokenAttempts: number;
@@ -15,7 +15,7 @@
 
 /** Settings of the rule. */
 export interface RetryRuleSettings {
-  /** Maximum number of attempts of one request that may have run. */
+  /** Maximum number of attempts of one request that may have been executed. */
   readonly maximumAttempts: number;
   /** Retries allowed per request, averaged over time. */
   readonly retryRatio: number;
