--- a/src/fleet/fleet-replica-settings.ts
+++ b/src/fleet/fleet-replica-settings.ts
@@ -10,14 +10,14 @@
   readonly answerTimeoutMs: number
   /// The timeout of the first read of a daemon that has had no recent confirmation of its copy. If that read
   /// is lost, the next one is still early enough to apply a change within the bound. Milliseconds. Default 350:
-  /// with the longest stand-by delay and a back-off this is about 250 less than a change may take.
+  /// with the longest standby delay and a back-off this is about 250 less than a change may take.
   readonly firstAnswerTimeoutMs: number
   /// The daemon that is second in rank reads the store when its copy has not been confirmed as complete for
   /// this duration. Milliseconds. Default 1200.
   readonly standbyDelayMs: number
-  /// Added for each further rank, up to the longest stand-by delay. Milliseconds. Default 100.
+  /// Added for each further rank, up to the longest standby delay. Milliseconds. Default 100.
   readonly standbyDelayStepMs: number
-  /// The longest stand-by delay: after it every daemon reads the store. Milliseconds. Default 1400.
+  /// The longest standby delay: after it every daemon reads the store. Milliseconds. Default 1400.
   readonly maximumStandbyDelayMs: number
   /// Pause after an answer with changes, so that the next answer contains a batch of changes. Milliseconds.
   /// Default 150.
@@ -29,13 +29,13 @@
   /// The longest back-off of a daemon that has no records yet and so cannot serve requests. Milliseconds.
   /// Default 200.
   readonly emptyBackoffMs: number
-  /// A copy that was confirmed longer ago does not show that something is absent: a newer configuration may be
-  /// required to be in force by now. Milliseconds. Default 1800, which is less than a change may take.
+  /// A copy that was last confirmed longer ago than this does not prove that a record is absent: by now a newer
+  /// configuration may have to be in force. Milliseconds. Default 1800, which is less than a change may take.
   readonly staleMs: number
   /// After an outage of the store of this length, records of healthy back ends may have expired.
   /// Milliseconds. Default 2000.
   readonly expiryOutageMs: number
-  /// If the store answered any daemon, a peer's confirmation arrives within this time: the longest stand-by
+  /// If the store answered any daemon, a peer's confirmation arrives within this time: the longest standby
   /// delay, a read and three digests. Milliseconds. Default 2200.
   readonly peerConfirmationMs: number
   /// How long a ready back end whose record was missing after an outage keeps its work. Milliseconds. Default
--- a/src/fleet/load-relay.ts
+++ b/src/fleet/load-relay.ts
@@ -1,6 +1,6 @@
 /// Aggregates loads in a large fleet. Each daemon sends the load that it puts on the back ends to its zone's
 /// relay; the relays of a region send each other the sums of their zones, one of them sends the sum of its
-/// region to each other region, and each relay sends the sum of the whole fleet to its zone. Every daemon so
+/// region to each other region, and each relay sends the sum of the whole fleet to its zone. Every daemon thus
 /// knows the load of its region after at most three intervals, with about ten messages per second instead of
 /// one to and from every peer, and a region receives the loads of another one in one message instead of one
 /// for each pair of zones.
@@ -9,8 +9,8 @@
 
 /// Older digests are dropped; the same as for digests between peers (`PeerLoads`). Milliseconds.
 const DIGEST_LIFETIME_MS = 2000
-/// Maximum of placements forwarded in one message: each takes about 30 bytes, and a message goes to a whole
-/// zone.
+/// Maximum number of placements forwarded in one message: each takes about 30 bytes, and a message goes to
+/// every daemon of a zone.
 const MAXIMUM_PLACEMENTS = 256
 
 interface ReceivedLoads {
--- a/src/fleet/peer-exchange.ts
+++ b/src/fleet/peer-exchange.ts
@@ -110,7 +110,7 @@
   private behindSince: number | undefined
   private sequence = 0
   private readonly relay = new LoadRelay()
-  private rankedAmong: readonly Member[] = []
+  private rankedMembers: readonly Member[] = []
   private ranking: RelayRanking = NO_RELAYS
   private nextRegionDigestAt = -Infinity
   private peers: readonly string[] = []
@@ -181,7 +181,7 @@
     this.directory.applyFleetLoads(FLEET_LOADS_KEY, fleet.loads, now)
   }
 
-  /// Sends the region's loads to each other region, if this daemon is the region's relay and it is time.
+  /// Sends the region's loads to each other region, if this daemon is the region's relay and they are due.
   private sendRegionLoads(loads: RelayedLoads["loads"], now: number): void {
     const {regionRelay, otherRegionRelays} = this.ranking
     if (regionRelay !== this.members.selfAddress || otherRegionRelays.length === 0) {
@@ -293,7 +293,7 @@
 
   private getRelayIntervalMs(): number {
     const {relayIntervalMs, relayIntervalPerDaemonMs, minimumRelayIntervalMs} = this.settings
-    const ms = this.rankedAmong.length * relayIntervalPerDaemonMs
+    const ms = this.rankedMembers.length * relayIntervalPerDaemonMs
     return Math.min(relayIntervalMs, Math.max(minimumRelayIntervalMs, ms))
   }
 
@@ -345,8 +345,8 @@
 
   private rankMembers(): void {
     const members = this.members.getActive()
-    if (members === this.rankedAmong) return
-    this.rankedAmong = members
+    if (members === this.rankedMembers) return
+    this.rankedMembers = members
     this.peers = members.map(({address}) => address).filter(address => address !== this.members.selfAddress)
     if (this.isRelayed()) this.ranking = rankRelays(members, this.members)
   }
--- a/src/fleet/relay-ranking.ts
+++ b/src/fleet/relay-ranking.ts
@@ -1,10 +1,10 @@
 /// Selects the daemons that relay loads in a large fleet: two per zone by rendezvous hashing, of which the
-/// second is the stand-by, and among the first relays of a region's zones one that sends to the other regions.
+/// second is the standby, and among the first relays of a region's zones one that sends to the other regions.
 /// Every daemon computes the same result from its list of members, without communication.
 import type {Member} from "../membership/membership-messages.js"
 import {pickByRendezvous, rankByRendezvous} from "../shared/rendezvous-hash.js"
 
-/// The first relay of a zone is active, the second is its stand-by.
+/// The first relay of a zone is active, the second is its standby.
 const RELAYS_PER_ZONE = 2
 const RELAY_KEY = "load-relay"
 const REGION_RELAY_KEY = "region-relay"
--- a/src/fleet/store-follower.ts
+++ b/src/fleet/store-follower.ts
@@ -120,7 +120,7 @@
   /// Milliseconds; 0 when there is no outage.
   getOutageMs(now: number): number {
     if (this.failures > 0) return now - Math.max(this.failingSince, this.completeAt)
-    // The first read does not wait for a change, so the store has owed an answer since it was sent.
+    // The first read does not wait for a change, so the answer has been overdue since it was sent.
     return this.cursor === undefined && this.inFlight ? now - this.sentAt : 0
   }
 
@@ -205,7 +205,7 @@
   receivePeerRevision(changed: number, now: number): void {
     if (changed <= this.peerRevision) return
     // A report does not delay a read that is due anyway. When every report did, no read was sent while reports
-    // arrived every 140 ms, and a read that was late already was sent another 150 ms later.
+    // arrived every 140 ms, and a read that was already overdue was delayed by another 150 ms.
     const wasDue = this.isDue(now)
     this.peerRevision = changed
     if (!wasDue && this.collection === "backends")
@@ -215,7 +215,7 @@
   /// Applies the state of a peer's copy.
   ///
   /// The absence of newer changes in a peer's copy confirms this one only if the peer's copy reaches back to
-  /// this one: a copy that began later lacks earlier removals. Without this condition a daemon that started
+  /// this one: a copy that began later lacks earlier removals. Without this condition, a daemon that started
   /// while the store rejected the first reader made eight of nine daemons skip a removal permanently (virtual
   /// time).
   receiveKnowledge(knowledge: RecordKnowledge, now: number): void {
@@ -246,7 +246,7 @@
   /// that its peers cannot reach would learn of a leaving back end after the bound.
   private read(now: number): void {
     // The store has answered another daemon since the latest read here, so earlier failures belong to a
-    // different outage. If they counted on, failures of long ago would delay the first read and hold a removal.
+    // different outage. If they still counted, old failures would delay the first read and hold a removal.
     if (this.rank > 0 && this.completeAt > this.lastSentAt) this.removeFailures()
     this.inFlight = true
     this.lastSentAt = now
@@ -273,8 +273,8 @@
 
   /// Until when removals are held after a time without a confirmation, as of now; -Infinity for not at all.
   ///
-  /// That the store did not answer this daemon does not show an outage, since the store may have rejected only
-  /// this machine; no daemon must have been answered. Before `peerConfirmationMs` this is uncertain, so the
+  /// A store that did not answer this daemon need not have an outage, since it may have rejected only this
+  /// machine; an outage means that no daemon was answered. Before `peerConfirmationMs` this is uncertain, so the
   /// hold ends early enough for removals of that time to be applied within the bound. When a daemon held them
   /// for the whole grace period because of an outage of its own, a back end was known to be removed up to
   /// 3,428 ms after the removal, with a bound of 3,000 ms (virtual time, 16 daemons, the first reader rejected
--- a/src/membership/member-list.ts
+++ b/src/membership/member-list.ts
@@ -94,7 +94,7 @@
 
   /**
    * Number of daemon names in any state, which is the number of daemons that may be serving: one that is
-   * leaving serves for some more seconds, and one declared dead may only be cut off. One that is gone
+   * leaving serves for some more seconds, and one declared dead may only be unreachable. One that has stopped
    * permanently counts until its record is dropped.
    */
   getNameCount(): number {
--- a/src/membership/membership-messages.ts
+++ b/src/membership/membership-messages.ts
@@ -39,7 +39,7 @@
       readonly updates: readonly MemberUpdate[];
       readonly wallMs?: number | undefined;
     }
-  /** Asks a third daemon to probe `target` for the sender. */
+  /** Asks another daemon to probe `target` for the sender. */
   | { readonly kind: 'pingRequest'; readonly sequence: number; readonly target: string }
   /** A digest of the sender's list; a receiver whose digest differs answers with its complete list. */
   | { readonly kind: 'syncDigest'; readonly digest: number }
--- a/src/membership/membership-settings.ts
+++ b/src/membership/membership-settings.ts
@@ -4,14 +4,14 @@
 export interface MembershipSettings {
   /** Interval between probes. Milliseconds. Default 1000. */
   readonly probeIntervalMs: number;
-  /** A probe without an answer after this time is repeated through third daemons. Milliseconds. Default 300. */
+  /** A probe without an answer after this time is sent indirectly, through other daemons. Milliseconds. Default 300. */
   readonly probeTimeoutMs: number;
   /**
-   * A suspect that does not refute within this time, multiplied by log10 of the number of members, is
+   * A suspect that does not refute the suspicion within this time, multiplied by log10 of the number of members, is
    * declared dead. Milliseconds. Default 3000.
    */
   readonly suspicionMs: number;
-  /** Number of third daemons that are asked to probe. Default 3. */
+  /** Number of other daemons that are asked to probe. Default 3. */
   readonly indirectProbes: number;
   /** Updates per message; up to four times as many while there is a backlog. Default 8. */
   readonly updatesPerMessage: number;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -39,7 +39,7 @@
 /**
  * Interval of these, and of those before another daemon has answered. Milliseconds. 72 daemons that start
  * together agree within about a second; at 2000 their views were incomplete for 6 to 10 s, and several daemons
- * claimed ownership of the same thing (virtual time, 12 seeds).
+ * claimed ownership of the same object (virtual time, 12 seeds).
  */
 const STARTUP_SYNC_INTERVAL_MS = 500;
 
@@ -105,7 +105,7 @@
     return this.list.getNameCount();
   }
 
-  /** Whether every seed is known. A group that started cut off from the others may not know their number. */
+  /** Whether every seed is known. A group that started while partitioned from the others may not know their number. */
   hasAllSeeds(): boolean {
     return this.seeds.every((address) => address === this.self.address || this.list.hasAddress(address));
   }
@@ -358,7 +358,7 @@
     }
   }
 
-  private apply(update: Member, now: number, passOn = true): void {
+  private apply(update: Member, now: number, forward = true): void {
     if (update.id === this.self.id) {
       this.refute(update);
       return;
@@ -368,7 +368,7 @@
     this.list.set(update, now);
     if (!current) (update.zone === this.self.zone ? this.ownZoneOrder : this.otherZonesOrder).add(update.id);
     if (current?.state === 'dead' && update.state === 'alive') this.syncSoon(now);
-    if (passOn) this.enqueueGossip(update.id);
+    if (forward) this.enqueueGossip(update.id);
     this.emit({ kind: 'memberChanged', member: update, previous: current?.state });
   }
 
