--- a/src/allocation/engine-orders.ts
+++ b/src/allocation/engine-orders.ts
@@ -7,9 +7,9 @@
   readonly stage: EngineStage;
   /** The daemon that holds the lease. */
   readonly holder: string;
-  /** The epoch of the lease. An engine refuses one lower than it has seen. */
+  /** The epoch of the lease. An engine rejects one lower than it has seen. */
   readonly fence: number;
-  /** Number of orders that the engine must have accepted before; otherwise it refuses this one. */
+  /** Number of orders that the engine must have accepted before; otherwise it rejects this one. */
   readonly expectedOrders: number;
 }
 
--- a/src/allocation/stage-coordinator.ts
+++ b/src/allocation/stage-coordinator.ts
@@ -138,15 +138,18 @@
   private startChange(context: StageContext, { region, step }: RegionStep, now: number): boolean {
     const { views, loaded } = context;
     const { changingShare, idleChangingShare } = this.settings;
-    const atOnce = Math.max(1, Math.floor(views.length * (loaded ? changingShare : idleChangingShare)));
-    if (this.pending.size >= atOnce || now < this.nextOrderAt) return false;
+    const maximumChanging = Math.max(
+      1,
+      Math.floor(views.length * (loaded ? changingShare : idleChangingShare)),
+    );
+    if (this.pending.size >= maximumChanging || now < this.nextOrderAt) return false;
     const stage = step === 'toPrefill' ? 'prefill' : 'decode';
     const group = this.groupViews(context, now).get(region) ?? [];
     const candidates = group.filter((view) => !this.isChanging(view.record.id));
     const backend = pickEngine(candidates, stage === 'prefill' ? 'decode' : 'prefill');
     if (!backend) return false;
     this.pending.set(backend.id, { backend, stage, since: now, ordered: false });
-    this.nextOrderAt = now + (loaded ? this.settings.orderPauseMs / atOnce : 0);
+    this.nextOrderAt = now + (loaded ? this.settings.orderPauseMs / maximumChanging : 0);
     this.emit({ kind: 'askEngine', backend });
     return true;
   }
--- a/src/capacity/capacity-demand.ts
+++ b/src/capacity/capacity-demand.ts
@@ -19,7 +19,7 @@
   /// Time constant of the decay of the peak: it falls to e^-1 in this time. Milliseconds. Default 120000.
   readonly peakDecayMs: number
   /// Upper bound of the need, as a multiple of the back ends in service, so that a fault that delays all
-  /// requests doesn't order a whole new fleet. Default 1.5.
+  /// requests doesn't cause a complete new fleet to be ordered. Default 1.5.
   readonly growthFactor: number
   /// Number of spot back ends that replace each initial ordinary one. They cost less but start with empty
   /// caches; most of a prompt is shared and cached once it has been computed. Default 1.5.
@@ -50,7 +50,7 @@
 
   constructor(private readonly settings: CapacityDemandSettings) {}
 
-  /// Updates the estimate from the current load of the back ends. `hasSpot` tells whether spot ones can be
+  /// Updates the estimate from the current load of the back ends. `hasSpot`: whether spot ones can be
   /// ordered.
   update(views: readonly BackendView[], hasSpot: boolean, now: number): void {
     const serving = views.filter(view => view.takesWork())
--- a/src/capacity/capacity-manager.ts
+++ b/src/capacity/capacity-manager.ts
@@ -1,9 +1,9 @@
 /// Orders back ends according to the plan while this daemon holds the duties. Owns the state of the orders.
 /// It compares the plan with the back ends in service rather than with earlier orders: an order that was
-/// lost, or executed late after a newer one, shows in the counts and is repeated. Back ends are removed only
+/// lost, or executed late after a newer one, shows in the counts and is sent again. Back ends are removed only
 /// once their replacements are in service and have had the time to change to the wanted stage: without that
-/// time 18 prefill engines were left of 33, and the first two seconds of traffic earned 0.55 of the
-/// achievable value, with it 0.63 (one run each).
+/// time 18 of 33 prefill engines were left, and the first two seconds of traffic earned 0.55 of the
+/// achievable value; with it, 0.63 (one run each).
 import type {DutyAuthority, DutyCall, DutyResult} from "../duties/duty-messages.js"
 import type {BackendView} from "../forwarding/backends/backend-view.js"
 import type {BackendService, ScalingRules} from "../forwarding/routes/route.js"
@@ -13,7 +13,7 @@
 /// Settings of the orders.
 export interface CapacityManagerSettings {
   readonly planner: CapacityPlannerSettings
-  /// Time beyond the boot time of a back end before an order is repeated because the counts still differ from
+  /// Time beyond the boot time of a back end before an order is sent again because the counts still differ from
   /// it. Milliseconds. Default 4000, since a leaving back end stays in service for a while.
   readonly orderGraceMs: number
   /// Minimum interval between orders of one kind in one zone, so that counts that change one back end at a
--- a/src/configuration/configuration-replica.ts
+++ b/src/configuration/configuration-replica.ts
@@ -1,7 +1,7 @@
 /**
  * The replica of the service table that each daemon keeps. A few daemons per zone poll the table; the others
  * pull from these. The revision of a row never decreases. The replica tracks when its contents were last known
- * to be current, by its own clock, and tells when a daemon must not admit requests on them.
+ * to be current, by its own clock, and reports when a daemon must not admit requests on them.
  */
 import { rankByRendezvous } from '../shared/rendezvous-hash.js';
 import type { EffectSink } from '../shared/effect-sink.js';
--- a/src/configuration/service-csv.ts
+++ b/src/configuration/service-csv.ts
@@ -65,8 +65,8 @@
 }
 
 /**
- * Parses CSV. Empty cells take the column's default; the whole text is rejected at the first invalid row.
- * @throws ValidationError when the text is not CSV; RowInvalidError for an invalid cell or a repeated name.
+ * Parses CSV. Empty cells take the column's default; the entire text is rejected at the first invalid row.
+ * @throws ValidationError when the text is not CSV; RowInvalidError for an invalid cell or a duplicate name.
  */
 export function parseServicesCsv(text: string): ImportedRow[] {
   let records: Record<string, string>[];
--- a/src/configuration/service-row.ts
+++ b/src/configuration/service-row.ts
@@ -7,7 +7,7 @@
 
 /** Maximum weight of a service relative to others. */
 const MAXIMUM_WEIGHT = 1000;
-/** Maximum number of requests of a service that may run at once. */
+/** Maximum number of requests of a service that may be executed at the same time. */
 const MAXIMUM_CONCURRENCY = 100_000;
 /** Maximum number of requests of a service that may wait for a slot. */
 const MAXIMUM_WAITING = 1_000_000;
@@ -53,7 +53,7 @@
     weight: z.number().min(0.001).max(MAXIMUM_WEIGHT).default(1),
     /** Priority class; 0 is served first. */
     priority: z.number().int().min(0).max(9).default(5),
-    /** Requests that may run at once in the whole fleet; 0 for no limit. */
+    /** Requests that may be executed at the same time in the whole fleet; 0 for no limit. */
     maximumConcurrency: z.number().int().min(0).max(MAXIMUM_CONCURRENCY).default(0),
     /** Requests that may wait for a slot in the whole fleet. */
     maximumWaiting: z.number().int().min(0).max(MAXIMUM_WAITING).default(1000),
@@ -65,7 +65,7 @@
     firstTokenTargetMs: z.number().min(1).max(MAXIMUM_DURATION_MS).default(2000),
     /** Target for the mean time between tokens. Milliseconds. */
     betweenTokensTargetMs: z.number().min(1).max(MAXIMUM_DURATION_MS).default(79),
-    /** Whether requests may be retried. False for work that must run at most once, such as payment notices. */
+    /** Whether requests may be retried. False for work that must be executed at most once, such as payment notices. */
     repeatable: z.boolean().default(true),
   })
   .strict();
--- a/src/contracts/engine-protocol.ts
+++ b/src/contracts/engine-protocol.ts
@@ -14,7 +14,7 @@
   readonly adapters: readonly string[];
 }
 
-/** Phase of an engine's life. Only an active engine accepts new work. */
+/** Phase of an engine's lifecycle. Only an active engine accepts new work. */
 export type EnginePhase = 'active' | 'draining' | 'changing' | 'leaving';
 
 /** Throughput of an engine by role. The rates apply when the engine is saturated. */
@@ -39,9 +39,9 @@
 export interface EngineReport {
   readonly assignment: EngineAssignment;
   readonly phase: EnginePhase;
-  /** Number of streams that run or wait on the engine. */
+  /** Number of streams that are executed or waiting on the engine. */
   readonly streams: number;
-  /** Maximum number of streams that the engine runs at once. */
+  /** Maximum number of concurrent streams on the engine. */
   readonly maximumStreams: number;
   /** Prompt tokens still to be computed, over all streams. */
   readonly waitingPrefillTokens: number;
--- a/src/duties/duty-manager.ts
+++ b/src/duties/duty-manager.ts
@@ -1,7 +1,7 @@
 /// The duties towards the platform, which one daemon of the fleet performs: usage reports and orders of
 /// servers. A few daemons, the first by rendezvous hashing, collect the request counts of all others; one of
-/// these collectors holds the lease and makes the calls. A holder keeps the lease until it stops or no longer
-/// is a collector, so that the duties move seldom. No two holders ever make calls at the same time, and a
+/// these collectors holds the lease and makes the calls. A holder keeps the lease until it stops or is no longer
+/// a collector, so that the duties rarely move. No two holders ever make calls at the same time, and a
 /// former holder makes no further call before the lease of the holder that followed it has expired.
 import {CapacityDemand, type CapacityDemandSettings} from "../capacity/capacity-demand.js"
 import {
@@ -57,7 +57,7 @@
 /// too.
 export const DUTY_CELL = "duties of the fleet"
 const COLLECTOR_KEY = "usage-collector"
-/// Number of daemons that collect all counts: with one killed and one cut off, one is still left.
+/// Number of daemons that collect all counts: with one killed and one unreachable, one is still left.
 const COLLECTOR_COUNT = 3
 /// Share of the send interval of counts for each daemon of the fleet. A daemon that is killed loses the counts
 /// of one interval; with more daemons these are a smaller part of the total. Milliseconds.
@@ -81,9 +81,9 @@
   private readonly capacity: CapacityManager
   private readonly demands = new Map<string, CapacityDemand>()
   private reporter: UsageReporter | undefined
-  private ranked: readonly Member[] = []
-  /// Since when this daemon is a collector; undefined while it is none.
-  private collectsSince: number | undefined
+  private rankedMembers: readonly Member[] = []
+  /// Since when this daemon is a collector; undefined while it is not one.
+  private collectorSince: number | undefined
   private collectors: readonly Member[] = []
   private broadcast = true
   private nextSendAt = -Infinity
@@ -124,7 +124,7 @@
     this.tickLease(leaving, now)
     const held = this.lease.getHeldLease(now)
     this.reporter ??= this.createReporter(fleetMs)
-    if (this.collectsSince === undefined) return
+    if (this.collectorSince === undefined) return
     this.updateDemand(now)
     if (!held || now < this.callsAllowedAt) return
     const authority = {holder: this.selfId, fence: held.epoch}
@@ -177,11 +177,11 @@
   /// the counts of daemons that have stopped since.
   private tickLease(leaving: boolean, now: number): void {
     const {usage} = this.settings
-    const collectedMs = this.collectsSince === undefined ? 0 : now - this.collectsSince
+    const collectedMs = this.collectorSince === undefined ? 0 : now - this.collectorSince
     const hasCompleteWindow = collectedMs >= usage.windowMs + usage.settleMs
-    const wanted = this.collectsSince !== undefined && !leaving && collectedMs >= MINIMUM_COLLECTOR_AGE_MS
+    const wanted = this.collectorSince !== undefined && !leaving && collectedMs >= MINIMUM_COLLECTOR_AGE_MS
     this.lease.tick(now, wanted, hasCompleteWindow ? 0 : NEW_COLLECTOR_DELAY_MS)
-    if (this.collectsSince === undefined || leaving) this.release(now)
+    if (this.collectorSince === undefined || leaving) this.release(now)
   }
 
   private createReporter(fleetMs: number): UsageReporter {
@@ -197,15 +197,15 @@
   }
 
   private updateCollectors(members: readonly Member[], now: number): void {
-    if (members === this.ranked) return
-    this.ranked = members
+    if (members === this.rankedMembers) return
+    this.rankedMembers = members
     const byId = new Map(members.map(member => [member.id, member]))
     const ids = rankByRendezvous(COLLECTOR_KEY, [...byId.keys()], COLLECTOR_COUNT)
     const before = this.collectors.map(({id}) => id)
     if (ids.length === before.length && ids.every((id, i) => id === before[i])) return
     this.collectors = ids.flatMap(id => byId.get(id) ?? [])
-    const collects = ids.includes(this.selfId)
-    this.collectsSince = collects ? (this.collectsSince ?? now) : undefined
+    const isCollector = ids.includes(this.selfId)
+    this.collectorSince = isCollector ? (this.collectorSince ?? now) : undefined
     this.broadcast = true
   }
 
@@ -222,7 +222,7 @@
   }
 
   private getSendIntervalMs(): number {
-    const ms = this.ranked.length * SEND_INTERVAL_PER_DAEMON_MS
+    const ms = this.rankedMembers.length * SEND_INTERVAL_PER_DAEMON_MS
     return Math.min(MAXIMUM_SEND_INTERVAL_MS, Math.max(MINIMUM_SEND_INTERVAL_MS, ms))
   }
 
--- a/src/duties/duty-messages.ts
+++ b/src/duties/duty-messages.ts
@@ -5,7 +5,7 @@
 const count = z.number().int().min(0)
 
 /// Requests of one daemon that a back end began to execute, by window and tenant. Counts are totals since the
-/// start of the window, so that a lost or repeated message does no harm; tenants whose count has not changed
+/// start of the window, so that lost and duplicate messages are harmless; tenants whose count has not changed
 /// since the last message may be omitted.
 const usageCountsSchema = z.object({
   kind: z.literal("usageCounts"),
--- a/src/duties/usage-collector.ts
+++ b/src/duties/usage-collector.ts
@@ -8,7 +8,7 @@
 export class UsageCollector {
   private readonly windows = new Map<number, CollectedWindow>()
 
-  /// Applies the totals of a daemon. Totals only increase, so messages may be late, repeated or out of order.
+  /// Applies the totals of a daemon. Totals only increase, so messages may be late, duplicated or out of order.
   apply(daemonId: string, {windows}: UsageCounts): void {
     for (const [number, entries] of windows) {
       const known = getOrAdd(getOrAdd(this.windows, number), daemonId)
--- a/src/duties/usage-reporter.ts
+++ b/src/duties/usage-reporter.ts
@@ -1,6 +1,6 @@
 /// Reports each window's usage to the platform once. The report is written to the table store first, on the
 /// condition that there is none for that window yet. A later reporter repeats the stored report exactly, so two
-/// different reports of one window are never made, even if a daemon was paused, cut off or killed in between.
+/// different reports of one window are never made, even if a daemon was paused, unreachable or killed in between.
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {TableRequest, TableResult} from "../contracts/table-service.js"
 import type {DutyAuthority, DutyCall, DutyResult, WindowCounts} from "./duty-messages.js"
@@ -122,7 +122,7 @@
     this.emit({kind: "usageReported", window, requests, lateMs})
   }
 
-  /// Whether this daemon may report a window: it has counts of it or was running for the complete window. An
+  /// Whether this daemon may report a window: it has counts of it, or was running throughout the window. An
   /// empty report by a daemon that started later would be final and wrong.
   private isReportable(window: number): boolean {
     return window >= this.firstCompleteWindow || this.collector.has(window)
--- a/src/lease/cell-lease.ts
+++ b/src/lease/cell-lease.ts
@@ -88,7 +88,7 @@
     this.startedAt = now;
   }
 
-  /** The lease held at time `now`, if any. Callers must ask before each order and must not keep the result. */
+  /** The lease held at time `now`, if any. Callers must check it before each order and must not cache the result. */
   getHeldLease(now: number): HeldLease | undefined {
     if (this.held && now >= this.held.validUntil) this.dropLease();
     return this.held;
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Advances timers. `shouldHold` says whether this daemon should hold the lease. It acquires a lease that
+   * Advances timers. `shouldHold`: whether this daemon should hold the lease. It acquires a lease that
    * has become free only after `standbyDelayMs`, so that other daemons can acquire it first.
    */
   tick(now: number, shouldHold: boolean, standbyDelayMs = 0): void {
--- a/src/limits/limit-messages.ts
+++ b/src/limits/limit-messages.ts
@@ -9,7 +9,7 @@
 
 /** Messages between slot holders and slot owners. */
 export type LimitMessage =
-  /** Asks for one slot. The answer repeats `token`. */
+  /** Asks for one slot. The answer echoes `token`. */
   | { readonly kind: 'slotRequest'; readonly service: string; readonly token: number }
   | { readonly kind: 'slotGrant'; readonly service: string; readonly token: number }
   | {
@@ -37,7 +37,7 @@
   readonly slotLeaseMs: number;
   /** Interval of renewals. Milliseconds. Default 1000. */
   readonly renewIntervalMs: number;
-  /** A request is refused when the owner was out of contact for this duration. Milliseconds. Default 2000. */
+  /** A request is refused when the owner has been unreachable for this duration. Milliseconds. Default 2000. */
   readonly ownerTimeoutMs: number;
 }
 
--- a/src/limits/slot-holder.ts
+++ b/src/limits/slot-holder.ts
@@ -12,7 +12,7 @@
   | { readonly kind: 'slotGranted'; readonly requestId: string }
   /** The owner refused: the service's waiting limit is reached. */
   | { readonly kind: 'slotRefused'; readonly requestId: string; readonly retryAfterMs: number }
-  /** The owner was out of contact for `ownerTimeoutMs`, or there is no owner. */
+  /** The owner has been unreachable for `ownerTimeoutMs`, or there is no owner. */
   | { readonly kind: 'slotTimedOut'; readonly requestId: string };
 
 interface PendingRequest {
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,6 +1,6 @@
 /**
  * The settings file of a daemon in YAML. Owns its schema, in which every optional key has a default and every
- * quantity a unit; relies on the defaults of the state machine's parts.
+ * quantity a unit; relies on the defaults of the state machine's modules.
  */
 import { readFileSync } from 'node:fs';
 import { parse as parseYaml } from 'yaml';
--- a/src/shared/suspension-watch.ts
+++ b/src/shared/suspension-watch.ts
@@ -1,12 +1,12 @@
 /**
  * Detects that the machine was suspended. The monotonic clock does not count a suspension, so that a lease
  * measured by it seems valid for too long; the wall clock continues. A wall clock that is set forward looks the
- * same and is treated as a suspension: a lease dropped without need costs one new lease, but a lease kept too
+ * same and is treated as a suspension: dropping a lease unnecessarily costs one new lease, but keeping it too
  * long allows two holders at once.
  */
 
 /**
- * The wall clock gains more than this on the monotonic clock only by a suspension or when it is set.
+ * The wall clock gains more than this on the monotonic clock only through a suspension or by being set.
  * Milliseconds.
  */
 const DETECTION_THRESHOLD_MS = 250;
