--- a/src/errors/caller-cancelled-error.ts
+++ b/src/errors/caller-cancelled-error.ts
@@ -5,7 +5,7 @@
 /** The caller closed its connection before the answer was complete. */
 export class CallerCancelledError extends PulleyledgeError {
   constructor(requestId: string, notRun: NotRun) {
-    super(`the caller of request ${requestId} went away`, {
+    super(`the caller of request ${requestId} disconnected`, {
       code: 'caller-cancelled',
       status: STATUS_CALLER_CLOSED,
       notRun: notRun,
--- a/src/errors/overloaded-error.ts
+++ b/src/errors/overloaded-error.ts
@@ -5,7 +5,7 @@
 /** The expected wait is longer than the maximum wait of the service. */
 export class OverloadedError extends PulleyledgeError {
   constructor(service: string, expectedWaitMs: number, retryAfterMs: number, notRun: NotRun = 'true') {
-    super(`service "${service}" would wait ${Math.round(expectedWaitMs)} ms, over its limit`, {
+    super(`a request of "${service}" would wait ${Math.round(expectedWaitMs)} ms, over its limit`, {
       code: 'overloaded',
       status: STATUS_UNAVAILABLE,
       notRun,
--- a/src/errors/peer-protocol-error.ts
+++ b/src/errors/peer-protocol-error.ts
@@ -5,7 +5,7 @@
 /** A message from a peer does not match the schema of its kind. */
 export class PeerProtocolError extends PulleyledgeError {
   constructor(problem: string) {
-    super(`peer message refused: ${problem}`, {
+    super(`invalid message from a peer: ${problem}`, {
       code: 'peer-protocol',
       status: STATUS_BAD_REQUEST,
       notRun: 'true',
--- a/src/errors/quarantined-error.ts
+++ b/src/errors/quarantined-error.ts
@@ -5,7 +5,7 @@
 /** Back ends crashed while they executed this request, so it is quarantined. */
 export class QuarantinedError extends PulleyledgeError {
   constructor(service: string, retryAfterMs: number, notRun: NotRun = 'true') {
-    super(`back ends of service "${service}" have ended while they ran this request`, {
+    super(`back ends of service "${service}" crashed while they executed this request`, {
       code: 'quarantined',
       status: STATUS_UNAVAILABLE,
       notRun,
--- a/src/gateway/read-body.ts
+++ b/src/gateway/read-body.ts
@@ -19,7 +19,7 @@
     }
   } catch (error) {
     if (error instanceof PayloadTooLargeError) throw error;
-    throw new ValidationError('body', 'the connection broke before the body was whole');
+    throw new ValidationError('body', 'the connection was closed before the body was complete');
   }
   return Buffer.concat(chunks);
 }
