--- a/src/adapters/attempt-handler.ts
+++ b/src/adapters/attempt-handler.ts
@@ -101,13 +101,13 @@
     this.onEvent = onEvent;
   }
 
-  /** Closes the connection; no event is reported any more. */
+  /** Closes the connection; no further event is reported. */
   abort(): void {
     this.finished = true;
     this.controller?.abort(new Error('aborted'));
   }
 
-  /** Ends the attempt as not sent, unless it has been written already. */
+  /** Ends the attempt as not sent, unless it has already been written. */
   abandon(): void {
     if (this.written || this.finished) return;
     this.finished = true;
--- a/src/adapters/backend-client.ts
+++ b/src/adapters/backend-client.ts
@@ -157,7 +157,7 @@
     handler.abort();
   }
 
-  /** Cancels an attempt that has not been sent yet; one that has been sent goes on. */
+  /** Cancels an attempt that has not been sent yet; one that has been sent continues. */
   abandon(attemptId: string): void {
     this.attempts.get(attemptId)?.abandon();
   }
@@ -237,7 +237,7 @@
     this.onSignals(backend, this.dialect.parseSignals(status, headers), sentAt, isHealthCheck);
   }
 
-  /** Removes the pools of a back end that is gone; each connection is closed when its request has ended. */
+  /** Removes the pools of a back end that no longer exists; each connection is closed when its request has ended. */
   removeBackend(backendId: string): void {
     const kinds = [PROBE_POOL, ONCE_POOL, KV_CHANGES_POOL].map((kind) => `${kind} ${backendId}`);
     for (const key of [backendId, ...kinds]) {
--- a/src/adapters/listener-check.ts
+++ b/src/adapters/listener-check.ts
@@ -9,8 +9,8 @@
 /** A connection attempt that takes longer is inconclusive. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
 /**
- * A connection must stay open for this time to count as accepted: a proxy in front of a listener that is gone, or
- * a listener that is full, closes a new connection at once. Milliseconds.
+ * A connection must stay open for this time to count as accepted: a proxy in front of a listener that no longer
+ * exists, or a listener whose accept queue is full, closes a new connection at once. Milliseconds.
  */
 const HOLD_MS = 30;
 
--- a/src/adapters/peer-transport.ts
+++ b/src/adapters/peer-transport.ts
@@ -1,6 +1,6 @@
 /**
  * Transport between daemons: TCP, one message per line, one connection in each direction. Apart from a bounded
- * socket buffer nothing is queued for a peer that can't be reached: the protocols above resend what matters.
+ * socket buffer nothing is queued for a peer that can't be reached: the protocols on top resend what they need.
  */
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import type { PeerMessage } from '../daemon/peer-messages.js';
@@ -30,7 +30,7 @@
  */
 const IDLE_TIMEOUT_MS = 20_000;
 /**
- * Idle time after which an incoming connection is closed: its daemon must be gone, or it would have closed the
+ * Idle time after which an incoming connection is closed: its daemon must have stopped, or it would have closed the
  * connection earlier. Milliseconds.
  */
 const INCOMING_IDLE_TIMEOUT_MS = 30_000;
--- a/src/adapters/server-pool.ts
+++ b/src/adapters/server-pool.ts
@@ -77,20 +77,18 @@
 
   /**
    * Whether all connections that were open at `sentAt` are suspect: none has received data after check
-   * `sentAtCheck`, and there are at least two. With a single one, the request on it may just take long, and no other
-   * connection could show the difference.
+   * `sentAtCheck`, and there are at least two. With a single one, the request on it may just take a long time, and
+   * no other connection shows the difference.
    */
   isSuspect(sentAt: number, sentAtCheck: number): boolean {
     const older = [...this.connections].filter(({ openedAt }) => openedAt < sentAt);
     // Data received between the check and the sending is only seen by the next check.
-    return (
-      older.length > 1 && older.every(({ receivedAtCheck: heardAtCheck }) => heardAtCheck <= sentAtCheck + 1)
-    );
+    return older.length > 1 && older.every(({ receivedAtCheck }) => receivedAtCheck <= sentAtCheck + 1);
   }
 
   /** Whether any open connection has ever received data. */
   hasReceived(): boolean {
-    return [...this.connections].some(({ receivedAtCheck: heardAtCheck }) => heardAtCheck > 0);
+    return [...this.connections].some(({ receivedAtCheck }) => receivedAtCheck > 0);
   }
 
   /** Closes each connection when its request has ended. */
--- a/src/gateway/caller-server.ts
+++ b/src/gateway/caller-server.ts
@@ -152,8 +152,8 @@
 }
 
 /**
- * The key by which a repeated request is recognized. Callers present no API key that is verified here, so they
- * are told apart by their addresses.
+ * The key by which retries of the same request are recognized. Callers present no API key that is verified
+ * here, so they are distinguished by their addresses.
  */
 function createRequestKey(
   { method = '', headers, url = '', socket }: IncomingMessage,
--- a/src/gateway/forward-server.ts
+++ b/src/gateway/forward-server.ts
@@ -208,7 +208,7 @@
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
   }
 
-  /** From now on replies ask callers to close their connections. */
+  /** Makes all further replies ask callers to close their connections. */
   startClosing(): void {
     this.closing = true;
   }
--- a/src/gateway/kept-connections.ts
+++ b/src/gateway/kept-connections.ts
@@ -1,5 +1,5 @@
 /**
- * The keep-alive connections of an HTTP server. Owns the decision when such a connection may be closed. Each
+ * The keep-alive connections of an HTTP server. Decides when such a connection may be closed. Each
  * response advertises how long its caller may reuse the connection; closing it sooner resets a request in
  * flight, and the caller cannot know whether that request was executed.
  *
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -315,7 +315,7 @@
     this.onRequestFinished(requestId, error.code);
   }
 
-  /** Logs a value once, however many answers of the system repeat it. */
+  /** Logs a value once, however many answers of the system contain it. */
   private onUnreadableRetryAfter(from: string, text: string): void {
     if (this.unreadableRetryAfter.get(from) === text) return;
     this.unreadableRetryAfter.set(from, text);
--- a/src/process/decision-log.ts
+++ b/src/process/decision-log.ts
@@ -14,7 +14,7 @@
    */
   readonly linesPerSecond: number;
   /**
-   * Maximum of lines per second, including failures and changes of state, for which the last two fifths are
+   * Maximum number of lines per second, including failures and changes of state, for which the last two fifths are
    * reserved. Default 400.
    */
   readonly maximumLinesPerSecond: number;
