--- a/src/adapters/backend-client.ts
+++ b/src/adapters/backend-client.ts
@@ -54,7 +54,7 @@
   readonly connectTimeoutMs: number;
   /** Maximum number of connections to one back end. */
   readonly connectionsPerBackend: number;
-  /** Time-out of internal calls. Milliseconds; a long poll adds its waiting time. */
+  /** Timeout of internal calls. Milliseconds; a long poll adds its waiting time. */
   readonly callTimeoutMs: number;
   /**
    * When a request has had no response for this time, and none of the connections that were open when it was sent
--- a/src/adapters/engine-client.ts
+++ b/src/adapters/engine-client.ts
@@ -22,7 +22,7 @@
   close(): Promise<void>;
 }
 
-/** Time-out of a control request, after which it counts as not answered. Milliseconds. */
+/** Timeout of a control request, after which it counts as not answered. Milliseconds. */
 const CONTROL_TIMEOUT_MS = 1500;
 /** A connection attempt that takes longer counts as refused. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000;
--- a/src/adapters/platform-client.ts
+++ b/src/adapters/platform-client.ts
@@ -15,7 +15,7 @@
   close(): Promise<void>;
 }
 
-/** Time-out of a call. Milliseconds. */
+/** Timeout of a call. Milliseconds. */
 const TIMEOUT_MS = 1500;
 /** A connection attempt that takes longer counts as refused. Milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000;
--- a/src/allocation/role-allocator.ts
+++ b/src/allocation/role-allocator.ts
@@ -44,7 +44,7 @@
   /** Minimum time between two changes in a cell. Milliseconds. Default 2000. */
   readonly minimumIntervalMs: number;
   /**
-   * Minimum capacity for whole requests per model, in engines: a mixed engine counts as one, and so does a
+   * Minimum capacity for complete requests per model, in engines: a mixed engine counts as one, and so does a
    * pair of a prefill and a decode engine. Default 1.
    */
   readonly floorPerModel: number;
@@ -215,7 +215,8 @@
 ): PlannedChange | undefined {
   for (const demand of demands) {
     if (
-      countWholeRequestEngines(engines.filter((engine) => serves(engine, demand))) >= settings.floorPerModel
+      countCompleteRequestEngines(engines.filter((engine) => serves(engine, demand))) >=
+      settings.floorPerModel
     )
       continue;
     const donor = engines
@@ -242,7 +243,7 @@
   const donorDemand = demands.find((demand) => serves(engine, demand));
   if (!donorDemand) return true;
   const remaining = engines.filter((other) => other.id !== engine.id && serves(other, donorDemand));
-  return countWholeRequestEngines(remaining) >= settings.floorPerModel;
+  return countCompleteRequestEngines(remaining) >= settings.floorPerModel;
 }
 
 /** The best change of one engine's role within its model. */
@@ -339,7 +340,8 @@
   return counts.mixed + Math.min(counts.prefill, counts.decode) >= settings.floorPerModel;
 }
 
-function countWholeRequestEngines(engines: readonly AllocatableEngine[]): number {
+/** Capacity for complete requests: mixed engines, and pairs of a prefill and a decode engine. */
+function countCompleteRequestEngines(engines: readonly AllocatableEngine[]): number {
   const counts = countRoles(engines);
   return counts.mixed + Math.min(counts.prefill, counts.decode);
 }
--- a/src/capacity/capacity-demand.ts
+++ b/src/capacity/capacity-demand.ts
@@ -9,7 +9,7 @@
 /// Settings of the estimate.
 export interface CapacityDemandSettings {
   /// Target number of prompts in flight per prefill engine. A prompt occupies its engine exclusively, and
-  /// daemons choose engines by loads that are some 500 ms old, so most engines must be idle for prompts not
+  /// daemons choose engines by loads that are about 500 ms old, so most engines must be idle for prompts not
   /// to queue behind each other. Default 0.5.
   readonly promptsPerEngine: number
   /// Target share of slots in use on other back ends. Default 0.5.
--- a/src/fleet/peer-exchange.ts
+++ b/src/fleet/peer-exchange.ts
@@ -337,8 +337,8 @@
       return this.relayAddress
     const isSilent = known && !isResponding
     this.preferredRelayRetryAt = isSilent ? now + PREFERRED_RELAY_RETRY_MS : -Infinity
-    const place = isSilent ? ownZone.indexOf(this.relayAddress ?? "") + 1 : 0
-    this.relayAddress = ownZone[place % Math.max(1, ownZone.length)]
+    const index = isSilent ? ownZone.indexOf(this.relayAddress ?? "") + 1 : 0
+    this.relayAddress = ownZone[index % Math.max(1, ownZone.length)]
     this.lastRelayContactAt = now
     return this.relayAddress
   }
--- a/src/gateway/forward-server.ts
+++ b/src/gateway/forward-server.ts
@@ -247,7 +247,7 @@
 
   /**
    * Tracks a connection and detects when its caller disconnects. Node.js emits 'close' only on the response
-   * being written; pipelined requests behind it would be worked on with nobody waiting for them. A caller
+   * being written; pipelined requests behind it would be executed although no caller waits for them. A caller
    * that half-closes is treated as disconnected: a closed connection looks the same until something is
    * written.
    */
@@ -284,7 +284,7 @@
 
   /**
    * Closes an idle connection in favor of a new one, unless a request has arrived on it: one that waited in
-   * the socket while this process was busy has been read by now.
+   * the socket while this process was busy has already been read.
    */
   private closeIfStillIdle(socket: Socket): void {
     if ((this.connections.get(socket)?.size ?? 0) > 0 || this.idle.has(socket)) return;
--- a/src/membership/gossip-queue.ts
+++ b/src/membership/gossip-queue.ts
@@ -1,4 +1,4 @@
-/** Queue of the membership updates that a daemon has yet to send to others, the least often sent first. */
+/** Queue of the membership updates that a daemon has not finished sending to others, the least often sent first. */
 
 /** How often each update is sent, for each doubling of the fleet, as in the SWIM paper. */
 const RETRANSMIT_FACTOR = 3;
--- a/src/process/completion-actors.ts
+++ b/src/process/completion-actors.ts
@@ -176,7 +176,7 @@
   private startApplicationCall(effect: EffectOf<'startApplicationCall'>): void {
     const { attemptId, requestId, address, remainingMs } = effect;
     const payload = this.dependencies.getPayload(requestId);
-    // The caller has disconnected: its cancellation is ahead in the queue, and nobody waits for the answer.
+    // The caller has disconnected: its cancellation is ahead in the queue, and no caller waits for the answer.
     if (!payload) return;
     const cancel = this.dependencies.applications.start({ address, payload, remainingMs }, (event) => {
       this.cancelFunctions.delete(attemptId);
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -220,7 +220,7 @@
 
   /**
    * Reports not ready until callers can connect: the listener opens up to READY_POLL_MS after the daemon is
-   * ready, and callers routed here in between had their connections refused.
+   * ready, and callers routed here in between would have their connections refused.
    */
   private getStatus(): CompletionDaemonStatus {
     const status = this.daemon.status(performance.now());
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -185,7 +185,10 @@
     this.log.writeImportantEvent('process.reloaded', fields);
   }
 
-  /** Logs that a record of the store is invalid; its last valid version stays in force. */
+  /**
+   * Logs that a record or a header from the store is invalid. The last valid configuration stays in force; an
+   * invalid record of a back end counts as removed.
+   */
   onInvalidRecord(key: string, error: PulleyledgeError): void {
     this.log.writeImportantEvent('record.rejected', { key, code: error.code, ...error.context });
   }
