--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -20,7 +20,7 @@
 
 /** Timeout of a call. Milliseconds; long, because an edit waits for a majority of daemons. */
 const TIMEOUT_MS = 15_000;
-/** Delay before a retry that an error without an answer suggests. Milliseconds. */
+/** Delay before a retry that the error for a missing answer suggests. Milliseconds. */
 const RETRY_AFTER_MS = 2000;
 
 /**
--- a/src/places/distance-cost.ts
+++ b/src/places/distance-cost.ts
@@ -73,7 +73,7 @@
   private getLinkMs(from: string, to: string, distance: DistanceClass): number {
     const {places, roundTrips} = this
     if (distance !== "otherRegion") return roundTrips.getRoundTripMs(undefined, distance)
-    const far = [from, to].map(zone => places.getRegion(zone))
-    return Math.max(...far.map(region => roundTrips.getRoundTripMs(region, distance)))
+    const regions = [from, to].map(zone => places.getRegion(zone))
+    return Math.max(...regions.map(region => roundTrips.getRoundTripMs(region, distance)))
   }
 }
