--- a/src/ledger/once-ledger.ts
+++ b/src/ledger/once-ledger.ts
@@ -110,7 +110,7 @@
     this.enqueue({ requestId, ...claim, action: 'record', expectedRevision: claim.revision, value }, now);
   }
 
-  /** Removes a claim. Allowed only when no byte of the request can have reached a back end. */
+  /** Removes a claim. Allowed only when no back end can have executed the request. */
   releaseClaim(requestId: string, now: number): void {
     const claim = this.claimRevisions.get(requestId);
     if (!claim) return;
--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -2,7 +2,7 @@
  * Calls to application servers, from the granted slot to the answer. Owns the calls in progress;
  * application-servers.ts picks the server, retry-rule.ts decides whether a broken call is retried. A call
  * that must not be executed twice is claimed in the ledger first and executed by one server at most; it is
- * sent to another server only when no byte of it can have reached the first.
+ * sent to another server only when the first was unreachable or rejected it before it started processing.
  */
 import {
   AlreadyClaimedError,
