--- a/src/adapters/backend-client.ts
+++ b/src/adapters/backend-client.ts
@@ -54,7 +54,7 @@
   readonly connectTimeoutMs: number;
   /** Maximum number of connections to one back end. */
   readonly connectionsPerBackend: number;
-  /** Time-out of internal calls. Milliseconds; a long poll adds its waiting time. */
+  /** Timeout of internal calls. Milliseconds; a long poll adds its waiting time. */
   readonly callTimeoutMs: number;
   /**
    * When a request has had no response for this time, and none of the connections that were open when it was sent
@@ -157,7 +157,7 @@
     handler.abort();
   }
 
-  /** Cancels an attempt that has not been sent yet; one that has been sent goes on. */
+  /** Cancels an attempt that has not been sent yet; one that has been sent continues. */
   abandon(attemptId: string): void {
     this.attempts.get(attemptId)?.abandon();
   }
@@ -237,7 +237,7 @@
     this.onSignals(backend, this.dialect.parseSignals(status, headers), sentAt, isHealthCheck);
   }
 
-  /** Removes the pools of a back end that is gone; each connection is closed when its request has ended. */
+  /** Removes the pools of a back end that no longer exists; each connection is closed when its request has ended. */
   removeBackend(backendId: string): void {
     const kinds = [PROBE_POOL, ONCE_POOL, KV_CHANGES_POOL].map((kind) => `${kind} ${backendId}`);
     for (const key of [backendId, ...kinds]) {
