--- a/src/parts/daemon-part.ts
+++ b/src/parts/daemon-part.ts
@@ -48,14 +48,14 @@
   readonly regions?: RegionContext | undefined
   readonly emit: EffectSink<ForwardingEffect>
   /// Active members, including this daemon; returns the same array until they change.
-  members(): readonly Member[]
+  getMembers(): readonly Member[]
   /// The fleet as this daemon sees it.
-  fleet(): FleetView
+  getFleet(): FleetView
   /// Whether this daemon is the first in rank among the readers of the store, which maintains the records
   /// that the fleet shares there.
   isFirstReader(): boolean
   /// The routes in force; undefined before the first configuration.
-  routes(): RouteTable | undefined
+  getRoutes(): RouteTable | undefined
   /// Applies the decision on a request that waited for its tenant's quota.
   decideQuota(requestId: string, decision: QuotaDecision): void
   /// Writes a change to the daemon's log and counts it in its metrics.
--- a/src/parts/duty-part.ts
+++ b/src/parts/duty-part.ts
@@ -17,13 +17,13 @@
     now: number
   ) {
     super()
-    const {identity, members, directory, routes} = context
+    const {identity, getMembers, directory, getRoutes} = context
     this.manager = new DutyManager(
       identity.id,
       settings,
       {
-        getMembers: members,
-        getServices: () => routes()?.configuration.services ?? [],
+        getMembers,
+        getServices: () => getRoutes()?.configuration.services ?? [],
         getBackends: service => directory.ofService(service)
       },
       effect => this.onDutyEffect(effect),
--- a/src/parts/kv-part.ts
+++ b/src/parts/kv-part.ts
@@ -12,15 +12,15 @@
   private readonly follower: KvFollower
 
   constructor(
-    {settings, directory, kvIndex, emit, members, routes}: PartContext,
+    {settings, directory, kvIndex, emit, getMembers, getRoutes}: PartContext,
     private readonly startedAt: number
   ) {
     super()
     this.follower = new KvFollower(
       settings.kvFollower,
       {
-        countMembers: () => members().length,
-        capacityTokens: service => routes()?.getService(service)?.engine?.kvCapacityTokens
+        countMembers: () => getMembers().length,
+        getCapacityTokens: service => getRoutes()?.getService(service)?.engine?.kvCapacityTokens
       },
       directory,
       kvIndex,
--- a/src/parts/quota-part.ts
+++ b/src/parts/quota-part.ts
@@ -16,8 +16,8 @@
     settings: QuotaSettings
   ) {
     super()
-    const {identity, random, fleet} = context
-    this.manager = new QuotaManager(identity.id, settings, fleet, random, effect =>
+    const {identity, random, getFleet} = context
+    this.manager = new QuotaManager(identity.id, settings, getFleet, random, effect =>
       this.onQuotaEffect(effect)
     )
   }
--- a/test/region-part.test.ts
+++ b/test/region-part.test.ts
@@ -46,11 +46,11 @@
     kvIndex: new KvIndex(),
     regions,
     emit: () => undefined,
-    members: () => [member, { ...member, id: THIRD }],
-    fleet: () => ({ members: [member], knownCount: 1, joined: true }),
+    getMembers: () => [member, { ...member, id: THIRD }],
+    getFleet: () => ({ members: [member], knownCount: 1, joined: true }),
     decideQuota: () => undefined,
     isFirstReader: () => true,
-    routes: () => undefined,
+    getRoutes: () => undefined,
     logChange: () => undefined,
   };
   return { part: new RegionPart(context, regions), distance };
