--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -104,8 +104,8 @@
   const signals = createSignalMachines(context, {
     directory,
     membership,
-    resumeWaiting: (service, at) => manager.sendWaiting(service, at),
-    sendSoon: (at) => exchange.sendDigestSoon(at),
+    sendWaiting: (service, at) => manager.sendWaiting(service, at),
+    sendDigestSoon: (at) => exchange.sendDigestSoon(at),
   });
   const { permits } = signals;
   const manager = createManager(context, { replica, picker, kvIndex, retries, permits, getParts });
@@ -120,7 +120,7 @@
   return { members, knownCount: membership.getContact().known, joined: membership.hasJoined() };
 }
 
-/** What back ends report about themselves, and the permits for sending to those that name a limit. */
+/** What back ends report about themselves, and the permits for sending to those that advertise a limit. */
 interface SignalMachines {
   readonly limits: BackendLimits;
   readonly leaving: LeavingBackends;
@@ -128,32 +128,32 @@
 }
 
 interface SignalContext extends Pick<ForwardingMachines, 'directory' | 'membership'> {
-  /** Retries to dispatch the service's requests that wait for a permit. */
-  resumeWaiting(service: string, now: number): void;
+  /** Tries to send the service's requests that wait for a permit. */
+  sendWaiting(service: string, now: number): void;
   /** Sends a digest to the peers at once. */
-  sendSoon(now: number): void;
+  sendDigestSoon(now: number): void;
 }
 
 function createSignalMachines(context: ForwardingContext, machines: SignalContext): SignalMachines {
   const { identity, random, emit, logChange } = context;
-  const { directory, membership, resumeWaiting, sendSoon } = machines;
+  const { directory, membership, sendWaiting, sendDigestSoon } = machines;
   const permits = new PermitManager({
     selfId: identity.id,
     random,
     getFleet: () => getFleetView(membership),
-    onDecision: resumeWaiting,
+    onDecision: sendWaiting,
     emit,
   });
   const limits = new BackendLimits(directory, ({ record }, requestsPerSecond, at) => {
     if (requestsPerSecond === undefined) logChange('backend.limit-ended', { backend: record.id });
     else logChange('backend.limited', { backend: record.id, requestsPerSecond });
     permits.setLimited(limits.getLimited(), at);
-    sendSoon(at);
-    resumeWaiting(record.service, at);
+    sendDigestSoon(at);
+    sendWaiting(record.service, at);
   });
   const leaving = new LeavingBackends(directory, ({ record }, at) => {
     logChange('backend.leaving', { backend: record.id });
-    sendSoon(at);
+    sendDigestSoon(at);
   });
   return { limits, leaving, permits };
 }
--- a/src/daemon/limit-manager.ts
+++ b/src/daemon/limit-manager.ts
@@ -85,7 +85,7 @@
     if (deadId !== undefined) this.owner.removeWaitingOf(deadId);
   }
 
-  /** Sends the holders of all slots to the succeeding owners, when this daemon is leaving. */
+  /** Sends the holders of all slots to the daemons that own the limits next, when this daemon is leaving. */
   handOver(): void {
     this.owner.handOver((service) => this.ownership.getSuccessor(service));
   }
--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -1,6 +1,6 @@
 /**
  * The quarantine of a daemon that serves completions and application calls: requests whose attempts crashed
- * several back ends are kept from back ends. Receives the outcomes of attempts from the two managers and
+ * several back ends are no longer sent. Receives the outcomes of attempts from the two managers and
  * passes them to the quarantine machine in `src/quarantine`, which owns the state and the rules.
  */
 import type { Member } from '../membership/membership-messages.js';
--- a/src/daemon/service-editor.ts
+++ b/src/daemon/service-editor.ts
@@ -106,8 +106,8 @@
   tick(now: number): void {
     for (const edit of [...this.pendingEdits.values()]) {
       if (now - edit.startedAt > EDIT_TIMEOUT_MS) {
-        const notRun = edit.mayHaveApplied || edit.isAwaitingAnswer ? 'unknown' : 'true';
-        this.fail(edit, new TableUnavailableError('no answer to the edit', notRun, EDIT_RETRY_AFTER_MS));
+        const notExecuted = edit.mayHaveApplied || edit.isAwaitingAnswer ? 'unknown' : 'true';
+        this.fail(edit, new TableUnavailableError('no answer to the edit', notExecuted, EDIT_RETRY_AFTER_MS));
       } else if (!edit.isAwaitingAnswer && now >= edit.retryAt) {
         this.send(edit);
       }
--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -39,13 +39,13 @@
 const MAXIMUM_CANDIDATES = 3;
 /**
  * Time that a candidate waits, per candidate ahead of it in rank, before it acquires a free lease.
- * Milliseconds. A lost write is repeated within half of this time.
+ * Milliseconds. A lost write is retried within half of this time.
  */
 const STANDBY_DELAY_MS = 2000;
 
-/** This daemon's place in the ranking for a service's lease, and since when it has that place. */
+/** This daemon's rank for a service's lease, and since when it has that rank. */
 interface Election {
-  readonly place: number;
+  readonly rank: number;
   readonly since: number;
 }
 
@@ -53,7 +53,7 @@
   readonly service: string;
   readonly slots: number;
   readonly shouldLead: boolean;
-  readonly patienceMs: number;
+  readonly standbyDelayMs: number;
 }
 
 /** The stage manager of one daemon. Times are monotonic milliseconds. */
@@ -84,9 +84,9 @@
     for (const [service, slots] of this.slots) {
       const election = this.elections.get(service);
       const settled = election !== undefined && now - election.since >= ELECTION_SETTLE_MS;
-      const shouldLead = mayLead && settled && election.place < MAXIMUM_CANDIDATES;
-      const patienceMs = (election?.place ?? 0) * STANDBY_DELAY_MS;
-      this.tickService({ service, slots, shouldLead, patienceMs }, now);
+      const shouldLead = mayLead && settled && election.rank < MAXIMUM_CANDIDATES;
+      const standbyDelayMs = (election?.rank ?? 0) * STANDBY_DELAY_MS;
+      this.tickService({ service, slots, shouldLead, standbyDelayMs }, now);
     }
   }
 
@@ -118,12 +118,12 @@
     this.rankedMembers = members;
     const ids = members.map((member) => member.id);
     for (const service of this.slots.keys()) {
-      const place = getRendezvousRank(service, ids, this.selfId);
-      if (this.elections.get(service)?.place !== place) this.elections.set(service, { place, since: now });
+      const rank = getRendezvousRank(service, ids, this.selfId);
+      if (this.elections.get(service)?.rank !== rank) this.elections.set(service, { rank, since: now });
     }
   }
 
-  private tickService({ service, slots, shouldLead, patienceMs }: ServiceTick, now: number): void {
+  private tickService({ service, slots, shouldLead, standbyDelayMs }: ServiceTick, now: number): void {
     const coordinator = this.getCoordinator(service, now);
     const views = this.parts.directory.ofService(service);
     if (views.length === 0) return;
@@ -134,7 +134,7 @@
         slots,
         loaded: inFlight > 0,
         shouldLead,
-        standbyDelayMs: patienceMs,
+        standbyDelayMs,
         regionOf: (zone) => this.parts.regionOf?.(zone) ?? '',
       },
       now,
--- a/src/forwarding/admit/forward-limits.ts
+++ b/src/forwarding/admit/forward-limits.ts
@@ -41,8 +41,9 @@
     return Math.max(1, Math.floor(share))
   }
 
-  /// Whether the request is refused as overload: the plain back end has reached its limit of requests, or the
-  /// prompt is overdue, no engine has capacity for it, and the caller has not already retried.
+  /// Whether the request is refused as overload: the back end is no model engine and has reached its limit of
+  /// requests, or the prompt is overdue, no engine has capacity for it, and the caller has not already
+  /// retried.
   isOverloaded(session: Session, choice: BackendChoice): boolean {
     return this.isSaturated(choice) || (choice.saturated && !isProbablyRetried(session))
   }
--- a/src/forwarding/admit/quota-gate.ts
+++ b/src/forwarding/admit/quota-gate.ts
@@ -37,14 +37,19 @@
     const {request, route, tenant} = session
     if (!tenant?.quota) return GRANTED
     session.quotaCost = getQuotaCost(request, tenant)
-    const need = {requestId: request.id, tenant, cost: session.quotaCost, waitMs: getLongestWaitMs(route)}
-    const answer = this.context.takeQuota(need, now)
+    const quotaRequest = {
+      requestId: request.id,
+      tenant,
+      cost: session.quotaCost,
+      waitMs: getLongestWaitMs(route)
+    }
+    const answer = this.context.takeQuota(quotaRequest, now)
     if (!answer) session.quotaCost = 0
     session.quotaState = answer?.kind === "waiting" ? "waiting" : "decided"
     return answer ?? GRANTED
   }
 
-  /// The request is sent to a back end: charged again if an earlier one may have executed it.
+  /// The request is sent to a back end: charged again if an earlier attempt may have executed it.
   addSend({tenant, quotaCost, mayHaveExecuted}: Session, now: number): void {
     if (tenant && quotaCost > 0 && mayHaveExecuted) this.context.chargeQuota(tenant, quotaCost, now)
   }
--- a/src/forwarding/backends/backend-health.ts
+++ b/src/forwarding/backends/backend-health.ts
@@ -33,7 +33,7 @@
   /// A back end that has answered nothing for this long while requests wait there is ejected. Milliseconds.
   /// Default 800.
   readonly silenceMs: number
-  /// Added to `silenceMs` for each prompt token that waits there. Milliseconds. Default 0.05.
+  /// Added to `silenceMs` for each prompt token that waits there. Milliseconds per token. Default 0.05.
   readonly silenceMsPerToken: number
 }
 
--- a/src/forwarding/choose/backend-choice.ts
+++ b/src/forwarding/choose/backend-choice.ts
@@ -18,7 +18,7 @@
   readonly copyFrom: BackendRecord | undefined
   /// Whether the engine only computes the prompt, and another one generates the answer.
   readonly prefillOnly: boolean
-  /// Tokens to be computed there until the prompt is, its own included.
+  /// Tokens to be computed there until the prompt is complete, its own included.
   readonly queuedTokens: number
   /// Expected time until the prompt is computed; undefined while the engines' pace is not known.
   /// Milliseconds.
@@ -52,8 +52,8 @@
   readonly prefilledAt?: string | undefined
   /// Size of the request's body. Bytes.
   readonly bodyBytes?: number | undefined
-  /// Whether prompt and answer have to be computed at one back end, as the request may not reach a further
-  /// one.
+  /// Whether prompt and answer have to be computed at the same back end, as the request may not be sent to a
+  /// second one.
   readonly singleBackendOnly: boolean
   /// Traits that the engines of the service share; undefined for services without engines.
   readonly engine: EngineTraits | undefined
@@ -75,7 +75,7 @@
   return bodyBytes + CALL_BYTES
 }
 
-/// Returns the back ends that may get one more request from this daemon.
+/// Returns the back ends that may be sent one more request by this daemon.
 export function getWithCapacity(views: readonly BackendView[], query: BackendQuery): BackendView[] {
   return views.filter(view => view.localInFlight() < query.maximumLocalInFlight)
 }
--- a/src/forwarding/choose/backend-distance.ts
+++ b/src/forwarding/choose/backend-distance.ts
@@ -76,7 +76,7 @@
 
   /// Average time of a request at back ends of the same service and stage. Milliseconds.
   getWorkMs(view: BackendView): number {
-    return this.workMs.get(getKind(view)) ?? this.cost.settings.initialWorkMs
+    return this.workMs.get(getWorkKey(view)) ?? this.cost.settings.initialWorkMs
   }
 
   /// Expected wait for a slot there. Milliseconds.
@@ -96,7 +96,7 @@
   addAnswerSample({backend}: BackendChoice, ms: number): void {
     if (!this.hasSeveralRegions()) return
     const before = this.getWorkMs(backend)
-    this.workMs.set(getKind(backend), before + (ms - before) * WORK_SAMPLE_WEIGHT)
+    this.workMs.set(getWorkKey(backend), before + (ms - before) * WORK_SAMPLE_WEIGHT)
   }
 
   /// Counts an attempt that is sent there.
@@ -110,7 +110,7 @@
   }
 }
 
-function getKind({record}: BackendView): string {
+function getWorkKey({record}: BackendView): string {
   return `${record.service}/${record.stage ?? ""}`
 }
 
--- a/src/forwarding/forward-manager.ts
+++ b/src/forwarding/forward-manager.ts
@@ -31,7 +31,7 @@
   /// Called once for each request of a tenant when a back end has begun to execute it, with the time at
   /// which it began. Monotonic milliseconds.
   onRequestBegan(tenant: string, at: number): void
-  /// Permits to send to back ends that declare a limit.
+  /// Permits to send to back ends that advertise a limit.
   readonly permits: PermitManager
   /// Called with the signals that a back end sent in an answer.
   onSignals(view: BackendView, report: SignalReport, now: number): void
@@ -47,7 +47,7 @@
   private readonly outcomes: AttemptOutcomes
   private readonly quotaGate: QuotaGate
   private readonly retryPolicy: RetryPolicy
-  /// Time until which the process was last paused.
+  /// End of the last process pause.
   private resumedAt = -Infinity
 
   constructor(
@@ -146,7 +146,7 @@
     this.picker.onProcessResumed(now)
   }
 
-  /// Handles deadlines, waits for permits that are over, and stalled attempts.
+  /// Handles requests past their deadline, expired waits for permits, and stalled attempts.
   tick(now: number): void {
     for (const session of [...this.sessions.values()]) {
       if (now >= session.deadlineAt) this.finisher.finishAtDeadline(session, now)
--- a/src/forwarding/forward-messages.ts
+++ b/src/forwarding/forward-messages.ts
@@ -47,7 +47,7 @@
   | {readonly kind: "prefilled"; readonly handle: string; readonly signals?: BackendSignals}
   /// A successful stream has begun.
   | {readonly kind: "streamStarted"; readonly signals?: BackendSignals}
-  /// Whole events of the stream were passed on; `lastEventId` is the id of the last one.
+  /// Complete events of the stream were passed on; `lastEventId` is the id of the last one.
   | {readonly kind: "streamProgress"; readonly lastEventId: string | undefined}
   /// No data arrives on its connection, nor on others of the same age, while newer ones to the back end work.
   | {readonly kind: "connectionSilent"}
--- a/src/forwarding/forward-session.ts
+++ b/src/forwarding/forward-session.ts
@@ -67,7 +67,7 @@
   quotaCost: number
   /// "refused": nothing is charged.
   quotaState: "waiting" | "decided" | "refused"
-  /// Whether it waits for a permit for a back end that declares a limit.
+  /// Whether it waits for a permit for a back end that advertises a limit.
   awaitsPermit: boolean
   /// End of the wait for a permit for its next send; undefined if it has not waited for one.
   permitDueAt: number | undefined
--- a/src/forwarding/forward-settings.ts
+++ b/src/forwarding/forward-settings.ts
@@ -25,7 +25,8 @@
   /// Retry-After while this daemon is stopping: others can take the request immediately. Milliseconds. Default
   /// 10.
   readonly stoppingRetryAfterMs: number
-  /// Maximum number of requests at a plain back end, as a multiple of its slots; more are refused. Default 4.
+  /// Maximum number of requests at a plain back end, which is not a model engine, as a multiple of its slots;
+  /// more are refused. Default 4.
   readonly plainSlotShare: number
 }
 
--- a/src/forwarding/pace/attempt-pace.ts
+++ b/src/forwarding/pace/attempt-pace.ts
@@ -30,30 +30,34 @@
 
 /// Adds a sample for a complete stream, or for a complete answer of a plain back end.
 export function addCompletedSample(attempt: LiveAttempt, now: number): void {
-  const {choice, startedAt, firstEventAt, events, inFlightBefore: load} = attempt
+  const {choice, startedAt, firstEventAt, events, inFlightBefore} = attempt
   const {record, pace} = choice.backend
   if (record.stage === undefined) {
-    pace.addSample(getPaceGroup(record, "answer"), getExcess(load, record.slots), now - startedAt)
+    pace.addSample(getPaceGroup(record, "answer"), getExcess(inFlightBefore, record.slots), now - startedAt)
     return
   }
   if (firstEventAt === undefined || events === 0) return
-  pace.addSample(getPaceGroup(record, "gap"), load, (attempt.lastProgressAt - firstEventAt) / events)
+  pace.addSample(
+    getPaceGroup(record, "gap"),
+    inFlightBefore,
+    (attempt.lastProgressAt - firstEventAt) / events
+  )
 }
 
 /// Adds a sample for an attempt that is aborted without an answer.
 export function addUnansweredSample(
-  {choice, startedAt, streaming: answering, inFlightBefore: load}: LiveAttempt,
+  {choice, startedAt, streaming, inFlightBefore}: LiveAttempt,
   now: number
 ): void {
   const {record, pace} = choice.backend
-  if (answering || choice.overdue || choice.copyFrom) return
+  if (streaming || choice.overdue || choice.copyFrom) return
   const ms = now - startedAt
   if (record.stage === undefined) {
-    pace.addUnanswered(getPaceGroup(record, "answer"), getExcess(load, record.slots), ms)
+    pace.addUnanswered(getPaceGroup(record, "answer"), getExcess(inFlightBefore, record.slots), ms)
   } else if (choice.prefillOnly) pace.addUnanswered(getPaceGroup(record, "prompt"), choice.queuedTokens, ms)
 }
 
-/// Requests ahead in excess of the slots, as a share of the slots.
-function getExcess(load: number, slots: number): number {
-  return Math.max(0, load - slots) / Math.max(1, slots)
+/// Requests in flight in excess of the slots, as a share of the slots.
+function getExcess(inFlight: number, slots: number): number {
+  return Math.max(0, inFlight - slots) / Math.max(1, slots)
 }
--- a/src/forwarding/permits/permit-manager.ts
+++ b/src/forwarding/permits/permit-manager.ts
@@ -51,6 +51,7 @@
 
 /// The permits of one back end.
 interface PermitState {
+  /// Name of its bucket: the incarnation of the back end.
   readonly key: string
   /// Id of the pending ask.
   askId: string | undefined
@@ -68,9 +69,9 @@
 export class PermitManager {
   private readonly buckets: QuotaManager
   private readonly states = new Map<BackendView, PermitState>()
-  private readonly asked = new Map<string, BackendView>()
+  private readonly viewByAskId = new Map<string, BackendView>()
   private readonly demands = new Map<string, PermitDemand>()
-  private asks = 0
+  private askCount = 0
   /// Time of the event that is being handled.
   private now = -Infinity
 
@@ -91,7 +92,7 @@
       if (limits.has(key) && getIncarnation(view.record) === key) continue
       view.permits = 0
       this.states.delete(view)
-      if (askId !== undefined) this.asked.delete(askId)
+      if (askId !== undefined) this.viewByAskId.delete(askId)
     }
     this.buckets.setLimits(limits, now)
     for (const service of new Set(views.map(view => view.record.service)))
@@ -190,11 +191,11 @@
 
   private askOne(view: BackendView, priority: number): void {
     const state = this.getState(view)
-    this.asks += 1
-    const askId = `permit ${this.asks}`
+    this.askCount += 1
+    const askId = `permit ${this.askCount}`
     state.askId = askId
     state.priority = priority
-    this.asked.set(askId, view)
+    this.viewByAskId.set(askId, view)
     const need = {requestId: askId, tokens: 1, priority, decideBy: this.now + ASK_TIMEOUT_MS}
     const decision = this.buckets.take(state.key, need, this.now)
     if (decision) this.applyDecision(askId, decision)
@@ -223,15 +224,15 @@
       this.dependencies.emit({kind: "sendPeer", address, message: {...message, scope: "backend"}})
       return
     }
-    const view = this.asked.get(effect.requestId)
+    const view = this.viewByAskId.get(effect.requestId)
     this.applyDecision(effect.requestId, effect.decision)
     if (view) this.dependencies.onDecision(view.record.service, this.now)
   }
 
   private applyDecision(askId: string, decision: QuotaDecision): void {
-    const view = this.asked.get(askId)
+    const view = this.viewByAskId.get(askId)
     const state = view && this.states.get(view)
-    this.asked.delete(askId)
+    this.viewByAskId.delete(askId)
     if (!view || state?.askId !== askId) return
     state.askId = undefined
     if (decision.kind === "refused") {
--- a/src/forwarding/retry/attempt-outcomes.ts
+++ b/src/forwarding/retry/attempt-outcomes.ts
@@ -67,7 +67,7 @@
         attempt.connectionSilent = true
         break
       case "whole":
-        this.onWhole(session, attempt, event.status, now)
+        this.onComplete(session, attempt, event.status, now)
         break
       case "broken":
         if (!event.isInvalidAnswer) this.dependencies.quarantineGate.addBrokenAttempt(session, attempt, now)
@@ -118,7 +118,7 @@
       reason
     })
     const mayRetry = this.dependencies.retryPolicy.mayRetryUnreachable(session, now)
-    this.sendAgainOrFinish(session, mayRetry, "unreachable", now)
+    this.retryOrFinish(session, mayRetry, "unreachable", now)
   }
 
   private onNotExecuted(
@@ -141,7 +141,7 @@
       wrongIncarnation
     })
     const mayRetry = this.dependencies.retryPolicy.tryRetryNotExecuted(session, now)
-    this.sendAgainOrFinish(session, mayRetry, "turned-away", now)
+    this.retryOrFinish(session, mayRetry, "turned-away", now)
   }
 
   private onPrefilled(session: Session, attempt: LiveAttempt, handle: string, now: number): void {
@@ -175,7 +175,7 @@
     else this.addComputedPrompt(session, attempt.choice.backend)
   }
 
-  private onWhole(session: Session, attempt: LiveAttempt, status: number, now: number): void {
+  private onComplete(session: Session, attempt: LiveAttempt, status: number, now: number): void {
     const {backend} = attempt.choice
     this.dependencies.quarantineGate.addAnswer(session, now)
     this.addExecution(session, attempt)
@@ -239,11 +239,11 @@
     session.arrivals += 1
     session.prefills += 1
     const mayRetry = this.dependencies.retryPolicy.tryRetryNotExecuted(session, now)
-    this.sendAgainOrFinish(session, mayRetry, "turned-away", now)
+    this.retryOrFinish(session, mayRetry, "turned-away", now)
   }
 
   /// Retries the request, or answers that no back end served it.
-  private sendAgainOrFinish(session: Session, mayRetry: boolean, failure: ForwardFailure, now: number): void {
+  private retryOrFinish(session: Session, mayRetry: boolean, failure: ForwardFailure, now: number): void {
     if (mayRetry) this.dependencies.sender.send(session, now)
     else this.dependencies.finisher.finishNotServed(session, failure, now)
   }
@@ -275,7 +275,7 @@
   }
 }
 
-/// Whether a back end sent this answer in normal operation, neither refusing the request nor failing.
+/// Whether a back end sent this answer in normal operation, neither rejecting the request nor failing.
 function isRegularAnswer(event: ForwardAttemptEvent): boolean {
   if (event.kind === "whole") return event.status < FIRST_SERVER_ERROR_STATUS
   return event.kind === "streamStarted" || event.kind === "prefilled"
--- a/src/forwarding/retry/attempt-sender.ts
+++ b/src/forwarding/retry/attempt-sender.ts
@@ -72,7 +72,7 @@
     return choice !== undefined && !this.dependencies.limits.isOverloaded(session, choice)
   }
 
-  /// Requests permits for the back ends that declare a limit. Returns these back ends.
+  /// Requests permits for the back ends that advertise a limit. Returns these back ends.
   private addPermitRequests(session: Session, now: number): readonly BackendView[] {
     const {permits, picker} = this.dependencies
     const demand = permits.getDemand(session.service)
@@ -100,7 +100,7 @@
     finisher.finishNotServed(session, "backing-off", now, backOffEnd - now, {backends: getIds(backedOff)})
   }
 
-  /// Only back ends that declare a limit could take the request: it waits for a permit if one has been
+  /// Only back ends that advertise a limit could take the request: it waits for a permit if one has been
   /// requested and not answered yet, and is refused immediately otherwise.
   private waitForPermit(session: Session, limited: readonly BackendView[], now: number): void {
     const {finisher, permits} = this.dependencies
--- a/src/forwarding/routes/route.ts
+++ b/src/forwarding/routes/route.ts
@@ -82,7 +82,7 @@
   readonly canReplicate?: boolean | undefined
 }
 
-/// A customer of the operator. A caller authenticates with a key as acting for one.
+/// A customer of the operator. The key of a caller shows for which tenant it acts.
 export interface Tenant {
   readonly name: string
   /// Digests of the valid keys. Only the platform's adapter knows the keys themselves.
--- a/src/parts/backend-signal-part.ts
+++ b/src/parts/backend-signal-part.ts
@@ -6,18 +6,18 @@
 import type {BackendRecord} from "../forwarding/routes/route.js"
 import {DaemonPart, type AnswerEvent, type PartFigures, type PartContext} from "./daemon-part.js"
 
-/// A limit that was not confirmed for this duration is requested by a health check, which is repeated at this
+/// A limit that was not confirmed for this duration is queried by a health check, which is repeated at this
 /// interval. Milliseconds.
 const CONFIRM_INTERVAL_MS = 3000
 
 /// The part that handles back ends' signals.
 export class BackendSignalPart extends DaemonPart {
   override readonly name = "backendSignals"
-  /// The time at which each limit was last confirmed or requested.
+  /// The time at which each limit was last confirmed or queried.
   private readonly confirmedAt = new Map<BackendView, number>()
-  /// Back ends that name their limits in answers to health checks too: if such an answer names none, the
-  /// limit has ended.
-  private readonly namesLimitInChecks = new Set<BackendView>()
+  /// Back ends that advertise their limits in answers to health checks too: if such an answer carries none,
+  /// the limit has ended.
+  private readonly advertisesLimitInChecks = new Set<BackendView>()
   /// The last signal of each back end that could not be parsed.
   private readonly lastUnreadable = new Map<BackendView, string>()
 
@@ -56,8 +56,8 @@
     const {backend, signals, sentAt, isHealthCheck} = event
     const view = this.context.directory.get(backend.id)
     if (!view || view.record.bornMs !== backend.bornMs) return
-    if (isHealthCheck && signals.requestsPerSecond !== undefined) this.namesLimitInChecks.add(view)
-    const isConclusive = isHealthCheck && this.namesLimitInChecks.has(view)
+    if (isHealthCheck && signals.requestsPerSecond !== undefined) this.advertisesLimitInChecks.add(view)
+    const isConclusive = isHealthCheck && this.advertisesLimitInChecks.has(view)
     this.onSignals(view, {signals, sentAt, isConclusive}, now)
   }
 
@@ -89,7 +89,7 @@
 
   override scan(_draining: boolean, now: number): void {
     this.context.limits.tick()
-    for (const known of [this.confirmedAt, this.namesLimitInChecks, this.lastUnreadable])
+    for (const known of [this.confirmedAt, this.advertisesLimitInChecks, this.lastUnreadable])
       for (const view of known.keys()) if (view.removed) known.delete(view)
     for (const view of this.context.limits.getLimited()) this.probeLimit(view, now)
   }
--- a/src/parts/daemon-part.ts
+++ b/src/parts/daemon-part.ts
@@ -40,9 +40,9 @@
   readonly kvIndex: KvIndex
   /// Back ends that have announced that they are leaving.
   readonly leaving: LeavingBackends
-  /// The limits that back ends name.
+  /// The limits that back ends advertise.
   readonly limits: BackendLimits
-  /// The permits for sending to back ends that name a limit.
+  /// The permits for sending to back ends that advertise a limit.
   readonly permits: PermitManager
   /// Undefined if the fleet is in a single region.
   readonly regions?: RegionContext | undefined
@@ -109,7 +109,7 @@
   addToMembership?(message: MembershipMessage, now: number): MembershipMessage
 
   /// Takes the cost of a request from its tenant's quota. Undefined from a part that enforces no quotas.
-  takeQuota?(need: QuotaRequest, now: number): QuotaAnswer | undefined
+  takeQuota?(request: QuotaRequest, now: number): QuotaAnswer | undefined
 
   /// Removes a request that is over from those that wait for their tenant's quota.
   removeQuotaRequest?(requestId: string): void
@@ -120,8 +120,8 @@
   /// The remaining quarantine of a request; undefined if it may be sent to back ends. Milliseconds.
   getQuarantineMs?(key: string, now: number): number | undefined
 
-  /// The isolated caller of a request, whose requests may all run at the same back end only; undefined for
-  /// most.
+  /// The isolated caller of a request, whose requests may all be executed at one back end only; undefined
+  /// for most requests.
   getIsolatedCaller?(key: string, now: number): string | undefined
 
   /// The connection of an attempt at a back end ended before the answer was complete.
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -37,9 +37,9 @@
   }
 
   override getQuarantineMs(key: string, now: number): number | undefined {
-    const leftMs = this.manager.getQuarantineMs(key, now)
-    if (leftMs !== undefined) this.refusedRequests += 1
-    return leftMs
+    const remainingMs = this.manager.getQuarantineMs(key, now)
+    if (remainingMs !== undefined) this.refusedRequests += 1
+    return remainingMs
   }
 
   override getIsolatedCaller(key: string, now: number): string | undefined {
@@ -63,8 +63,8 @@
     this.records.set(record.id, record)
   }
 
-  /// The end of a back end that has announced that it is leaving is planned: attempts that break off there
-  /// are no evidence of a crash.
+  /// A back end that has announced that it is leaving exits as planned: attempts that break off there are no
+  /// evidence of a crash.
   override removeBackend(id: string, now: number): void {
     const record = this.records.get(id)
     this.records.delete(id)
--- a/src/quarantine/break-watch.ts
+++ b/src/quarantine/break-watch.ts
@@ -55,7 +55,7 @@
   readonly backend: BackendIncarnation
   attempts: BrokenAttempt[]
   checking: boolean
-  /// Something has happened since the last check that the check may not have shown.
+  /// Whether an attempt broke since the last check was started, or that check did not settle the matter.
   isCheckDue: boolean
   unclearChecks: number
   nextCheckAt: number
--- a/src/quarantine/end-record.ts
+++ b/src/quarantine/end-record.ts
@@ -4,8 +4,8 @@
 ///
 /// A crash is an immutable fact: a request, an incarnation of a back end, and a time. Daemons exchange
 /// crashes and not verdicts, so that each arrives at the same count, whatever it received twice or in
-/// another order. A request that crashes back ends never gets an answer; one that merely ran beside it
-/// gets many. So an answer discards all crashes before it, and a recent one raises the limit.
+/// another order. A request that crashes back ends never gets an answer; one that was merely executed
+/// beside it gets many. So an answer discards all crashes before it, and a recent one raises the limit.
 ///
 /// Crashes and answers are counted twice: for the request of one caller, and for its content, whoever the
 /// caller is. The first is needed where content that crashes back ends for one caller is answered to
@@ -65,8 +65,8 @@
   /// Adds an answer to the request: it caused no crash before that. Returns whether this discarded any.
   addAnswer(key: string, at: number, now: number): boolean {
     this.answers.add(key, at, now)
-    const hasRemovedOfContent = this.removeCrashesUntil(getContentOfKey(key), at)
-    return this.removeCrashesUntil(key, at) || hasRemovedOfContent
+    const hasRemovedContentCrashes = this.removeCrashesUntil(getContentOfKey(key), at)
+    return this.removeCrashesUntil(key, at) || hasRemovedContentCrashes
   }
 
   /// When the request was last answered; -Infinity when that is not known.
@@ -90,8 +90,8 @@
     return this.getSubjectMs(content, limit, now)
   }
 
-  /// Whether the request may run at one back end only: back ends crash under its caller's requests more
-  /// often than these are answered, and this request was not answered recently.
+  /// Whether the request may be executed at one back end only: back ends crash while they execute its
+  /// caller's requests more often than these are answered, and this request was not answered recently.
   isIsolated(key: string, now: number): boolean {
     return !this.wasAnsweredRecently(key, now) && this.hasManyCrashes(getCallerOfKey(key), now)
   }
@@ -163,8 +163,9 @@
     return this.hasManyCrashes(getCallerOfKey(key), now) ? 1 : maximumCrashes
   }
 
-  /// Whether back ends crash under a caller's requests, whichever they are, more often than these are
-  /// answered: under the requests of a large caller many crash by chance, beside many answers.
+  /// Whether back ends crash while they execute a caller's requests, whichever these are, more often than
+  /// they answer them: of a large caller's requests many coincide with a crash by chance, but more are
+  /// answered.
   private hasManyCrashes(caller: string, now: number): boolean {
     const {maximumCrashesPerCaller, callerMemoryMs} = this.settings
     const crashes = this.crashesByCaller.get(caller)
@@ -228,14 +229,14 @@
   /// such requests; a flood of one caller's requests with more crashes evicts only requests of that
   /// caller.
   private removeOneSuspect(): boolean {
-    const key = this.findOldestSingle() ?? this.findOldestOfBusiestCaller()
+    const key = this.findOldestWithOneCrash() ?? this.findOldestOfBusiestCaller()
     const crashes = key === undefined ? undefined : this.suspects.get(key)
     if (key === undefined || !crashes) return false
     for (const incarnation of [...crashes.keys()]) this.removeCrash(key, crashes, incarnation)
     return true
   }
 
-  private findOldestSingle(): string | undefined {
+  private findOldestWithOneCrash(): string | undefined {
     for (const [key, {size}] of this.suspects) if (size < NOTABLE_CRASHES) return key
     return undefined
   }
--- a/src/quarantine/quarantine-archive.ts
+++ b/src/quarantine/quarantine-archive.ts
@@ -16,8 +16,8 @@
 const TABLE = "quarantine"
 /// Revision that the store assigns to a row that does not exist.
 const ABSENT_REVISION = 0
-/// Delay after a call that failed. Milliseconds; it leaves the read half of the time in which a new daemon
-/// must know all crashes.
+/// Delay after a call that failed. Milliseconds; it leaves half of the time in which a new daemon must know
+/// all crashes for reading them.
 const RETRY_DELAY_MS = 300
 /// Maximum number of queued writes and removals; the oldest are dropped, since daemons hold those crashes
 /// in memory too.
@@ -158,7 +158,7 @@
   return `${key}/${hashText(incarnation).toString(36)}`
 }
 
-/// Undefined for a row that is no crash, such as one of another writer.
+/// Undefined for a row that does not describe a crash, such as one of another writer.
 function parseCrash({value}: TableRow): ArchivedCrash | undefined {
   const {key, incarnation, wallMs} = (value ?? {}) as Partial<Record<keyof ArchivedCrash, unknown>>
   const isCrash = typeof key === "string" && typeof incarnation === "string" && Number.isFinite(wallMs)
--- a/src/quarantine/quarantine-manager.ts
+++ b/src/quarantine/quarantine-manager.ts
@@ -21,7 +21,7 @@
   | CheckBackend
   | QuarantineTable
   | {readonly kind: "sendPeer"; readonly address: string; readonly message: QuarantineMessage}
-  /// A back end crashed under this number of attempts of this daemon.
+  /// A back end crashed while it executed this number of attempts of this daemon.
   | {readonly kind: "backendEnded"; readonly backend: BackendIncarnation; readonly runs: number}
   /// A peer found that an incarnation of a back end has crashed.
   | {readonly kind: "peerFoundEnd"; readonly incarnation: string}
@@ -76,15 +76,15 @@
     this.archive = new QuarantineArchive(context.selfId, settings.crashMemoryMs, emit, now)
   }
 
-  /// For how much longer the request is to be refused; undefined when it may run. Milliseconds.
+  /// For how much longer the request is to be refused; undefined when it may be sent. Milliseconds.
   getQuarantineMs(key: string, now: number): number | undefined {
     const remainingMs = this.history.getQuarantineMs(key, now)
     if (remainingMs === undefined && this.quarantined.delete(key)) this.emit({kind: "requestReleased", key})
     return remainingMs
   }
 
-  /// The caller of the request if it is isolated: its requests may run at one back end only, the same one
-  /// for all of them. Undefined for most requests.
+  /// The caller of the request if it is isolated: its requests may be executed at one back end only,
+  /// the same one for all of them. Undefined for most requests.
   getIsolatedCaller(key: string, now: number): string | undefined {
     return this.history.isIsolated(key, now) ? getCallerOfKey(key) : undefined
   }
--- a/src/quarantine/quarantine-messages.ts
+++ b/src/quarantine/quarantine-messages.ts
@@ -1,4 +1,4 @@
-/// The messages that daemons exchange about requests that back ends crashed under.
+/// The messages that daemons exchange about requests during whose execution back ends crashed.
 import * as z from "zod"
 
 const text = z.string().max(512)
--- a/src/quarantine/quarantine-settings.ts
+++ b/src/quarantine/quarantine-settings.ts
@@ -9,9 +9,9 @@
   /// The same for a request that was answered recently. Default 6: where several of the back ends that
   /// execute a popular request crash at once, answers of the others arrive too late to clear it.
   readonly maximumCrashesIfAnswered: number
-  /// Number of back ends that must have crashed recently under any requests of one caller, and exceed the
-  /// answers to it, for its other requests to be judged by their first crash and to run at one back end
-  /// only. Default 6.
+  /// Number of back ends that must have crashed recently while they executed any requests of one caller, and
+  /// that must exceed the number of answers to it. Its other requests are then quarantined after their first
+  /// crash and executed at one back end only. Default 6.
   readonly maximumCrashesPerCaller: number
   /// How long a crash counts for its caller, and how old a process must be to judge callers by crashes.
   /// Milliseconds. Default 10,000.
--- a/src/quotas/owner-ranking.ts
+++ b/src/quotas/owner-ranking.ts
@@ -45,9 +45,9 @@
 const PROBE_INTERVAL_MS = 200
 /// Maximum number of daemons probed at once.
 const MAXIMUM_PROBES = 8
-/// Below this share of the fleet an owner grants only the share of the limit that corresponds to its
-/// members: the other side of a partition may have an owner too.
-const WHOLE_SHARE = 0.95
+/// An owner whose members are less than this share of the fleet grants only the share of the limit that
+/// corresponds to them: the other side of a partition may have an owner too.
+const UNPARTITIONED_SHARE = 0.95
 
 /// Ranks the members as owners. Times are monotonic milliseconds.
 export class OwnerRanking {
@@ -131,7 +131,7 @@
   getShare(): number {
     const {members, knownCount} = this.getFleet()
     const share = members.length / Math.max(1, knownCount)
-    return share >= WHOLE_SHARE ? 1 : share
+    return share >= UNPARTITIONED_SHARE ? 1 : share
   }
 
   /// Number of daemons that share the allowance, which is spent without asking; undefined until it is
--- a/src/quotas/quota-manager.ts
+++ b/src/quotas/quota-manager.ts
@@ -202,10 +202,10 @@
 
   private findUntriedOwner(
     tenant: string,
-    {triedOwners: tried}: QuotaClient,
+    {triedOwners}: QuotaClient,
     now: number
   ): DaemonAddress | undefined {
-    return tried.size < MAXIMUM_TRIES ? this.ranking.findOwner(tenant, now, tried) : undefined
+    return triedOwners.size < MAXIMUM_TRIES ? this.ranking.findOwner(tenant, now, triedOwners) : undefined
   }
 
   private send(id: string, address: string, ask: QuotaAsk, now: number): void {
--- a/src/quotas/quota-owner.ts
+++ b/src/quotas/quota-owner.ts
@@ -9,8 +9,8 @@
 /// An owner's decision on an ask.
 type OwnerDecision = Pick<QuotaAnswer, "granted" | "blockedMs" | "blockedTokens" | "retryAfterMs" | "reserve">
 
-/// For this time after an ask a daemon counts among those that serve the tenant, and may spend the reserve
-/// of the owner's last answer. Milliseconds; docs/design/quotas.md.
+/// For this time after its last ask a daemon counts among those that serve the tenant, and may spend the
+/// reserve of the owner's last answer. Milliseconds; docs/design/quotas.md.
 export const RESERVE_MS = 2500
 /// Share of the level that all daemons that serve the tenant may spend together when the owner stops
 /// answering. The next owner starts with an empty bucket, so that no more than this share is spent in
