--- a/src/parts/daemon-part.ts
+++ b/src/parts/daemon-part.ts
@@ -14,7 +14,7 @@
 import type {PermitManager} from "../forwarding/permits/permit-manager.js"
 import type {KvIndex} from "../forwarding/kv-cache/kv-index.js"
 import type {BackendRecord, RouteConfiguration, Tenant} from "../forwarding/routes/route.js"
-import type {QuotaAnswer, QuotaDecision, QuotaRequest} from "../forwarding/admit/tenant-quota.js"
+import type {QuotaOutcome, QuotaDecision, QuotaRequest} from "../forwarding/admit/tenant-quota.js"
 import type {RouteTable} from "../forwarding/routes/route-table.js"
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {FleetView} from "../quotas/owner-ranking.js"
@@ -109,7 +109,7 @@
   addToMembership?(message: MembershipMessage, now: number): MembershipMessage
 
   /// Takes the cost of a request from its tenant's quota. Undefined from a part that enforces no quotas.
-  takeQuota?(request: QuotaRequest, now: number): QuotaAnswer | undefined
+  takeQuota?(request: QuotaRequest, now: number): QuotaOutcome | undefined
 
   /// Removes a request that is over from those that wait for their tenant's quota.
   removeQuotaRequest?(requestId: string): void
