--- a/src/daemon/cell-runtime.ts
+++ b/src/daemon/cell-runtime.ts
@@ -39,7 +39,7 @@
 /** A demand report expires after this many report intervals, so that two in a row may be lost. */
 const DEMAND_EXPIRY_INTERVALS = 3;
 /** Largest number of adapters requested for a model. */
-const MAXIMUM_ADAPTERS_PER_ENGINE = 64;
+const MAXIMUM_ADAPTERS_PER_MODEL = 64;
 
 /** The state of the rest of the daemon that a tick reads. */
 interface CellContext {
@@ -232,7 +232,7 @@
   return [...byModel].map(([key, { model, version, adapters }]) => ({
     model,
     version,
-    adapters: [...adapters].sort().slice(0, MAXIMUM_ADAPTERS_PER_ENGINE),
+    adapters: [...adapters].sort().slice(0, MAXIMUM_ADAPTERS_PER_MODEL),
     prefillPerSecond: totals.get(key)?.prefill ?? 0,
     decodePerSecond: totals.get(key)?.decode ?? 0,
   }));
--- a/src/quarantine/end-record.ts
+++ b/src/quarantine/end-record.ts
@@ -4,8 +4,9 @@
 ///
 /// A crash is an immutable fact: a request, an incarnation of a back end, and a time. Daemons exchange
 /// crashes and not verdicts, so that each arrives at the same count, whatever it received twice or in
-/// another order. A request that crashes back ends never gets an answer; one that was merely executed
-/// beside it gets many. So an answer discards all crashes before it, and a recent one raises the limit.
+/// another order. A request that crashes back ends never gets an answer; one that was merely in
+/// flight at the same back ends gets many. So an answer discards all crashes before it, and a recent one
+/// raises the limit.
 ///
 /// Crashes and answers are counted twice: for the request of one caller, and for its content, whoever the
 /// caller is. The first is needed where content that crashes back ends for one caller is answered to
@@ -25,7 +26,7 @@
 /// Maximum number of crashes kept for a request or a caller: more would change no verdict.
 const MAXIMUM_CRASHES_KEPT = 8
 /// Number of crashes from which on those of a request are compared with peers and archived. A single one
-/// is common beside harmless requests and not worth a message.
+/// is common for harmless requests and not worth a message.
 const NOTABLE_CRASHES = 2
 
 /// A peer dates a crash later than it was, by the delay of a message. An answer also discards crashes that
@@ -175,8 +176,8 @@
     return recent >= maximumCrashesPerCaller && recent > this.answers.countAnswers(caller)
   }
 
-  /// Whether another request explains the crash: one that ran at the same back end and has more crashes,
-  /// and enough of them for quarantine.
+  /// Whether another request explains the crash: one that was in flight at the same back end and has more
+  /// crashes, and enough of them for quarantine.
   private isExplained(subject: Subject, crashes: CrashTimes, incarnation: string): boolean {
     const content = getContentOfKey(subject)
     for (const other of this.subjectsByIncarnation.get(incarnation) ?? []) {
--- a/src/quotas/owner-ranking.ts
+++ b/src/quotas/owner-ranking.ts
@@ -171,8 +171,8 @@
   }
 
   /// Members that have not answered yet and are to be probed again now; marks them as probed. Lost members
-  /// are probed too: without it an owner that wrongly counted as lost kept granting for seconds beside the
-  /// one in its place, and 1.38 times what is allowed was spent (virtual time, 72 daemons).
+  /// are probed too: without it an owner that wrongly counted as lost kept granting for seconds alongside
+  /// its replacement, and 1.38 times what is allowed was spent (virtual time, 72 daemons).
   pickProbes(now: number): Member[] {
     const due = [...this.askedSince.keys()].filter(
       id => now - (this.probedAt.get(id) ?? -Infinity) >= PROBE_INTERVAL_MS
