--- a/src/parts/daemon-part.ts
+++ b/src/parts/daemon-part.ts
@@ -134,7 +134,7 @@
   onSignals?(view: BackendView, report: SignalReport, now: number): void
 
   /// A back end started to execute a request of the tenant at `at`.
-  onRequestBegan?(tenant: string, at: number): void
+  onExecutionStarted?(tenant: string, at: number): void
 
   /// The process was paused (stopped, or starved) until now.
   onProcessResumed?(now: number): void
--- a/src/parts/duty-part.ts
+++ b/src/parts/duty-part.ts
@@ -42,7 +42,7 @@
     return wallMs === undefined ? message : {...message, wallMs}
   }
 
-  override onRequestBegan(tenant: string, at: number): void {
+  override onExecutionStarted(tenant: string, at: number): void {
     this.manager.onRequestStarted(tenant, at)
   }
 
--- a/test/forwarding-harness.ts
+++ b/test/forwarding-harness.ts
@@ -83,7 +83,7 @@
         configurationMayBeStale: () => this.stale,
         getOutageMs: () => 0,
         getDaemonCount: () => 1,
-        onRequestBegan: (tenant, at) => this.begun.push([tenant, at]),
+        onExecutionStarted: (tenant, at) => this.begun.push([tenant, at]),
         getQuarantineMs: () => undefined,
         getIsolatedCaller: () => undefined,
         onAttemptBroken: () => undefined,
