--- a/simulation/backend-links.ts
+++ b/simulation/backend-links.ts
@@ -120,14 +120,14 @@
     const { start } = effect;
     const { network, time } = this.site;
     const engine = this.site.engines.get(start.engineId);
-    if (!engine || !engine.alive || !network.connected(node, engine)) {
-      const delay = engine && !engine.alive ? network.delay(node, engine) : CONNECT_TIMEOUT_MS;
+    if (!engine || !engine.alive || !network.isConnected(node, engine)) {
+      const delay = engine && !engine.alive ? network.getDelay(node, engine) : CONNECT_TIMEOUT_MS;
       this.tellLater(node, start, { kind: 'unreachable', reason: 'refused' }, delay);
       return;
     }
     const back = this.createWayBack(node, engine, start);
-    time.after(network.delay(node, engine), () => {
-      if (engine.alive && network.connected(node, engine)) {
+    time.after(network.getDelay(node, engine), () => {
+      if (engine.alive && network.isConnected(node, engine)) {
         const { requestId, request } = start;
         engine.start(describeWork(start), requestId, hashText(request.prompt.text), back);
       } else this.breakLater(node, start);
@@ -138,10 +138,10 @@
   private createWayBack(node: DaemonNode, engine: SimulatedEngine, start: AttemptStart): AttemptSink {
     const { requestId, attemptId } = start;
     const { starts } = node;
-    let channel: ReturnType<SimulatedNetwork['channel']> | undefined;
+    let channel: ReturnType<SimulatedNetwork['createChannel']> | undefined;
     return (event) => {
       if (node.starts !== starts || !node.alive) return false;
-      channel ??= this.site.network.channel(engine, node);
+      channel ??= this.site.network.createChannel(engine, node);
       const sent = channel(() => {
         if (node.starts === starts)
           this.site.deliver(node, { kind: 'attemptEvent', requestId, attemptId, event });
@@ -184,12 +184,12 @@
     };
     const broken = (): void =>
       this.site.time.after(CONNECT_TIMEOUT_MS, () => deliver({ kind: 'broken', reason: 'connection lost' }));
-    if (!server || !server.alive || !this.site.network.connected(node, server)) {
+    if (!server || !server.alive || !this.site.network.isConnected(node, server)) {
       this.site.time.after(CONNECT_TIMEOUT_MS, () => deliver({ kind: 'unreachable', reason: 'refused' }));
       return;
     }
-    this.site.time.after(this.site.network.delay(node, server), () => {
-      if (!server.alive || !this.site.network.connected(node, server)) {
+    this.site.time.after(this.site.network.getDelay(node, server), () => {
+      if (!server.alive || !this.site.network.isConnected(node, server)) {
         broken();
         return;
       }
--- a/simulation/drawn-faults.ts
+++ b/simulation/drawn-faults.ts
@@ -16,6 +16,6 @@
 });
 
 /** Two to five faults, some at once, and the first of them again later. */
-export const drawnFaults: fc.Arbitrary<Fault[]> = fc
+export const faultsArbitrary: fc.Arbitrary<Fault[]> = fc
   .array(fault, { minLength: 2, maxLength: 5 })
   .map((faults) => [...faults, { ...faults[0], atMs: faults[0].atMs + REPEAT_AFTER_MS }]);
--- a/simulation/fault-run.ts
+++ b/simulation/fault-run.ts
@@ -3,7 +3,7 @@
 import type { CompletionDaemonSettings } from '../src/daemon/completion-daemon-settings.js';
 import { FaultInjector, type Fault } from './simulated-faults.js';
 import type { Violation } from './monitor.js';
-import { optionsForSite } from './site-options.js';
+import { createSiteOptions } from './site-options.js';
 import { SimulatedSite } from './simulated-site.js';
 import { Workload, type WorkloadCounts } from './workload.js';
 
@@ -24,7 +24,7 @@
   readonly violations: readonly Violation[];
   readonly counts: WorkloadCounts;
   /** Streams that ended with a typed error after tokens had been sent. */
-  readonly cut: number;
+  readonly brokenStreams: number;
   /** Requests without any answer long after the last deadline. */
   readonly unanswered: number;
   readonly worstLeavingMs: number;
@@ -39,7 +39,7 @@
 /** Runs a site under load and the given faults. */
 export function runFaults(options: FaultRunOptions): FaultRunResult {
   const profile = getSiteProfile(options.site);
-  const site = new SimulatedSite(optionsForSite(profile, options.seed, options.settings));
+  const site = new SimulatedSite(createSiteOptions(profile, options.seed, options.settings));
   options.prepare?.(site);
   const workload = new Workload(site, profile.services, options.seed + 1);
   new FaultInjector(site, workload).schedule(options.faults);
@@ -49,18 +49,18 @@
   workload.addCompletions({ ...profile.longWork, perSecond: (atMs) => engines * (heavy(atMs) ? 0.6 : 0.1) });
   workload.addCompletions({ ...profile.shortWork, perSecond: (atMs) => engines * (heavy(atMs) ? 0.5 : 3) });
   for (const row of profile.services.filter((service) => service.kind === 'application')) {
-    workload.addCalls({ service: row.name, perSecond: 3, repeatChance: 0.7 });
+    workload.addCalls({ service: row.name, perSecond: 3, retryChance: 0.7 });
   }
   site.time.runUntil(options.loadUntilMs);
   workload.stop();
   site.time.runUntil(options.loadUntilMs + SETTLE_MS);
   let roleChanges = 0;
-  for (const engine of site.engines.values()) roleChanges += engine.countChanges();
+  for (const engine of site.engines.values()) roleChanges += engine.getChangeCount();
   return {
     violations: site.monitor.violations,
     counts: workload.counts,
-    cut: workload.cut,
-    unanswered: workload.openRequests(),
+    brokenStreams: workload.brokenStreams,
+    unanswered: workload.getOpenRequestCount(),
     worstLeavingMs: site.monitor.worstLeavingMs,
     roleChanges,
   };
--- a/simulation/fleet-node.ts
+++ b/simulation/fleet-node.ts
@@ -20,7 +20,7 @@
   /** Neither sends nor receives. */
   down: boolean;
   /** Stands still: what arrives is handled when it goes on. */
-  frozen: boolean;
+  paused: boolean;
   /** How far its time of day is off. Milliseconds. */
   clockErrorMs: number;
   /** Reads that the store has seen from it. */
--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -94,7 +94,7 @@
         access: 'serves',
         silentConnections: new Set(),
         down: false,
-        frozen: false,
+        paused: false,
         clockErrorMs: 0,
         reads: 0,
         inForceAt: new Map(),
@@ -177,7 +177,7 @@
   isListening: (address: string) => boolean = () => true;
 
   /** Tells a daemon what became of an attempt. */
-  endAttempt({ node, requestId, attemptId }: StartedAttempt, event: ForwardAttemptEvent): void {
+  sendAttemptEvent({ node, requestId, attemptId }: StartedAttempt, event: ForwardAttemptEvent): void {
     this.handle(node, { kind: 'attempt', requestId, attemptId, event });
   }
 
@@ -188,10 +188,10 @@
   isLinked: (from: FleetNode, to: FleetNode) => boolean = () => true;
 
   /** Services whose lease some daemon has asked for. */
-  readonly leasesAsked = new Set<string>();
+  readonly requestedLeases = new Set<string>();
 
   /** Engines that daemons have asked for their state, to change their stage; they never answer. */
-  readonly enginesAsked: { readonly node: FleetNode; readonly backendId: string }[] = [];
+  readonly queriedEngines: { readonly node: FleetNode; readonly backendId: string }[] = [];
 
   /** Hears of each health check that a daemon asks for; none is answered unless the test does. */
   onProbe: (node: FleetNode, backend: BackendRecord) => void = () => undefined;
@@ -200,20 +200,20 @@
   readonly probes: { readonly node: FleetNode; readonly backendId: string }[] = [];
 
   /** Reads that the store has seen from all daemons. */
-  reads(): number {
+  getReadCount(): number {
     return this.nodes.reduce((sum, node) => sum + node.reads, 0);
   }
 
   private tick(node: FleetNode): void {
     const wallMs = WALL_START_MS + this.time.now() + node.clockErrorMs;
-    if (!node.frozen) this.handle(node, { kind: 'tick', wallMs });
+    if (!node.paused) this.handle(node, { kind: 'tick', wallMs });
     this.time.after(TICK_MS, () => this.tick(node));
   }
 
   /** Gives an event to a daemon: at once, later if it stands still, never if it is down. */
   handle(node: FleetNode, event: ForwardingEvent): void {
     if (node.down) return;
-    if (node.frozen) {
+    if (node.paused) {
       this.time.after(TICK_MS, () => this.handle(node, event));
       return;
     }
@@ -243,7 +243,7 @@
         this.answerKvChanges(node, effect.call);
         break;
       case 'leaseTable':
-        this.leasesAsked.add(effect.cell);
+        this.requestedLeases.add(effect.cell);
         this.callTable(node, effect.request, (result) => ({
           kind: 'leaseTableResult',
           cell: effect.cell,
@@ -251,7 +251,7 @@
         }));
         break;
       case 'askEngine':
-        this.enginesAsked.push({ node, backendId: effect.backend.id });
+        this.queriedEngines.push({ node, backendId: effect.backend.id });
         break;
       case 'usageTable':
         this.callTable(node, effect.request, (result) => ({
--- a/simulation/monitor.ts
+++ b/simulation/monitor.ts
@@ -44,35 +44,35 @@
   ) {}
 
   /** Records a violation. */
-  violated(promise: PromiseName, detail: string): void {
+  addViolation(promise: PromiseName, detail: string): void {
     this.violations.push({ promise, at: this.now(), detail });
   }
 
   /** A back end began work of a request. */
-  workBegun(requestId: string): void {
+  onWorkStarted(requestId: string): void {
     this.begun.set(requestId, (this.begun.get(requestId) ?? 0) + 1);
   }
 
   /** New work arrived at a back end, whether or not it took it. */
-  workArrived(backend: string): void {
+  onWorkArrived(backend: string): void {
     const since = this.leavingSince.get(backend);
     if (since === undefined) return;
     const late = this.now() - since;
     this.worstLeavingMs = Math.max(this.worstLeavingMs, late);
     if (late > this.limits.leavingMs)
-      this.violated('leaving-gets-no-work', `${backend} got work after ${Math.round(late)} ms`);
+      this.addViolation('leaving-gets-no-work', `${backend} got work after ${Math.round(late)} ms`);
   }
 
   /** A back end announced that it leaves. */
-  leaving(backend: string): void {
+  onBackendLeaving(backend: string): void {
     this.leavingSince.set(backend, this.now());
   }
 
   /** An engine accepted an order. `tableEpoch` is the epoch in the lease row at this moment. */
-  orderAccepted(engine: string, holder: string, epoch: number, sequence: number, tableEpoch: number): void {
+  onOrderAccepted(engine: string, holder: string, epoch: number, sequence: number, tableEpoch: number): void {
     const last = this.orders.get(engine);
     if (epoch !== tableEpoch) {
-      this.violated(
+      this.addViolation(
         'no-order-without-authority',
         `${engine} accepted epoch ${epoch} of ${holder}; the table has ${tableEpoch}`,
       );
@@ -81,7 +81,7 @@
       last &&
       (epoch < last.epoch || (epoch === last.epoch && (sequence <= last.sequence || holder !== last.holder)));
     if (goesBack)
-      this.violated(
+      this.addViolation(
         'no-conflicting-orders',
         `${engine}: ${epoch}/${sequence} of ${holder} after ${last.epoch}/${last.sequence} of ${last.holder}`,
       );
@@ -89,49 +89,53 @@
   }
 
   /** An engine restarted: its sequence begins anew under the next seal. */
-  engineRestarted(engine: string): void {
+  onEngineRestarted(engine: string): void {
     this.orders.delete(engine);
   }
 
   /** An engine began a change while streams ran on it. */
-  changeWithStreams(engine: string, streams: number): void {
+  onChangeStarted(engine: string, streams: number): void {
     if (streams > 0)
-      this.violated('planned-change-cuts-nothing', `${engine} began a change with ${streams} streams`);
+      this.addViolation('planned-change-cuts-nothing', `${engine} began a change with ${streams} streams`);
   }
 
   /** A request was answered with a failure. */
-  failureAnswered(requestId: string, notRun: NotRun, code: string): void {
+  onFailureAnswered(requestId: string, notRun: NotRun, code: string): void {
     const begun = (this.begun.get(requestId) ?? 0) > 0;
-    if (notRun === 'true' && begun) this.violated('not-run-is-true', `${requestId} (${code}) had begun`);
+    if (notRun === 'true' && begun) this.addViolation('not-run-is-true', `${requestId} (${code}) had begun`);
     if (notRun === 'false' && !begun)
-      this.violated('not-run-is-true', `${requestId} (${code}) said it ran, and had not begun`);
+      this.addViolation('not-run-is-true', `${requestId} (${code}) said it ran, and had not begun`);
   }
 
   /** A call that may run once was sent under a key. */
-  expectOnce(requestId: string, key: string): void {
+  addOnceCall(requestId: string, key: string): void {
     this.onceKeys.set(requestId, key);
   }
 
   /** The key of a call that may run once. */
-  keyOf(requestId: string): string | undefined {
+  getOnceKey(requestId: string): string | undefined {
     return this.onceKeys.get(requestId);
   }
 
   /** An application server executed a call that may run once. */
-  executed(key: string): void {
+  onCallExecuted(key: string): void {
     const count = (this.executions.get(key) ?? 0) + 1;
     this.executions.set(key, count);
-    if (count > 1) this.violated('at-most-once', `${key} ran ${count} times`);
+    if (count > 1) this.addViolation('at-most-once', `${key} ran ${count} times`);
   }
 
   /**
    * A daemon admitted a request at `revision` while `accepted` revisions were committed at the times given.
    */
-  admitted(daemon: string, revision: number, commits: readonly { revision: number; at: number }[]): void {
+  onRequestAdmitted(
+    daemon: string,
+    revision: number,
+    commits: readonly { revision: number; at: number }[],
+  ): void {
     for (let index = commits.length - 1; index >= 0 && commits[index].revision > revision; index -= 1) {
       const lag = this.now() - commits[index].at;
       if (lag > this.limits.configurationMs) {
-        this.violated(
+        this.addViolation(
           'configuration-in-force',
           `${daemon} admitted at revision ${revision}, ${Math.round(lag)} ms after ${commits[index].revision}`,
         );
--- a/simulation/quota-fleet.ts
+++ b/simulation/quota-fleet.ts
@@ -19,11 +19,11 @@
   manager: QuotaManager;
   members: Member[];
   down: boolean;
-  cut: boolean;
-  frozen: boolean;
+  partitioned: boolean;
+  paused: boolean;
   tickedAt: number;
   /** What arrived while it stood still. */
-  held: (() => void)[];
+  pendingDeliveries: (() => void)[];
 }
 
 /** Tokens of one tenant that were sent to a server. */
@@ -40,8 +40,8 @@
   readonly nodes: QuotaNode[] = [];
   readonly arrivals: Arrival[] = [];
   readonly refusals: (Arrival & { retryAfterMs: number; reason: unknown })[] = [];
-  messages = 0;
-  loss = 0;
+  messageCount = 0;
+  lossRate = 0;
   networkMs = 1.5;
   private limits: ReadonlyMap<string, QuotaLimit>;
   private readonly random: SeededRandom;
@@ -76,27 +76,27 @@
   }
 
   /** Cuts a daemon off from all others; it and they notice, and find each other again after the end. */
-  cut(node: QuotaNode, forMs: number): void {
-    node.cut = true;
+  partition(node: QuotaNode, forMs: number): void {
+    node.partitioned = true;
     const { id } = node;
     this.time.after(NOTICE_MS, () => {
-      if (!node.cut || node.id !== id) return;
+      if (!node.partitioned || node.id !== id) return;
       this.forget(id);
       node.members = node.members.filter((member) => member.id === node.id);
     });
     this.time.after(forMs, () => {
-      node.cut = false;
+      node.partitioned = false;
       this.meet(node);
     });
   }
 
   /** Lets a daemon stand still. */
-  freeze(node: QuotaNode, forMs: number): void {
-    node.frozen = true;
+  pause(node: QuotaNode, forMs: number): void {
+    node.paused = true;
     this.time.after(forMs, () => {
-      node.frozen = false;
-      const held = node.held;
-      node.held = [];
+      node.paused = false;
+      const held = node.pendingDeliveries;
+      node.pendingDeliveries = [];
       if (!node.down) this.tickNode(node);
       for (const run of held) run();
     });
@@ -130,7 +130,7 @@
   }
 
   /** The caller of a request that waits leaves. */
-  leave(id: string): void {
+  cancelRequest(id: string): void {
     const open = this.open.get(id);
     if (!open) return;
     this.open.delete(id);
@@ -185,7 +185,7 @@
     node.tickedAt = this.time.now();
     const tick = (): void => {
       if (node.id !== id || node.down) return;
-      if (!node.frozen) this.tickNode(node);
+      if (!node.paused) this.tickNode(node);
       this.time.after(TICK_MS, tick);
     };
     const chatter = (): void => {
@@ -222,7 +222,7 @@
 
   private meet(node: QuotaNode): void {
     const own = memberOf(node);
-    const up = this.nodes.filter((other) => !other.down && !other.cut);
+    const up = this.nodes.filter((other) => !other.down && !other.partitioned);
     node.members = up.map((other) => memberOf(other));
     for (const other of up) {
       this.time.after(this.random.next() * JOIN_MS, () => {
@@ -242,7 +242,7 @@
       this.decide(effect.requestId, effect.decision);
       return;
     }
-    this.messages += 1;
+    this.messageCount += 1;
     const target = this.nodes.find((other) => addressOf(other) === effect.address) as QuotaNode;
     const { id } = node;
     this.pass(node, target, () => {
@@ -252,17 +252,17 @@
   }
 
   private pass(from: QuotaNode, to: QuotaNode, run: () => void): void {
-    const isLost = from.cut || from.down || from.frozen || this.random.next() < this.loss;
+    const isLost = from.partitioned || from.down || from.paused || this.random.next() < this.lossRate;
     if (isLost && from !== to) return;
     const { id } = to;
     this.time.after(this.networkMs * (0.5 + this.random.next()), () => {
-      if (to.id === id && (!to.cut || from === to)) this.deliver(to, run);
+      if (to.id === id && (!to.partitioned || from === to)) this.deliver(to, run);
     });
   }
 
   private deliver(node: QuotaNode, run: () => void): void {
     if (node.down) return;
-    if (node.frozen) node.held.push(run);
+    if (node.paused) node.pendingDeliveries.push(run);
     else run();
   }
 
--- a/simulation/signal-site.ts
+++ b/simulation/signal-site.ts
@@ -140,14 +140,14 @@
   }
 
   /** Requests that reached a back end too late after the daemon that sent them had passed on that it leaves. */
-  findLateToLeaving(): SiteArrival[] {
+  findSentAfterLeaving(): SiteArrival[] {
     return this.arrivals.filter(
       ({ life, sentAt }) => sentAt > (this.toldLeavingAt.get(life) ?? Infinity) + DRAIN_MS,
     );
   }
 
   /** The most requests that a daemon sent to a back end in a time for which that had asked it to back off. */
-  findMostInBackOff(): number {
+  findMostDuringBackOff(): number {
     const counts = this.backOffSpans.map(({ life, from, until }) => {
       const within = this.arrivals.filter(
         (arrival) => arrival.life === life && arrival.at >= from + BACK_OFF_FROM_MS && arrival.at < until,
@@ -158,7 +158,7 @@
   }
 
   /** Callers send so many requests a second, by path, to daemons that run, for so long. */
-  load(ratesByPath: Readonly<Record<string, number>>, forMs: number, fields: CallerFields = {}): void {
+  startLoad(ratesByPath: Readonly<Record<string, number>>, forMs: number, fields: CallerFields = {}): void {
     const until = this.fleet.time.now() + forMs;
     const step = (): void => {
       for (const [path, perSecond] of Object.entries(ratesByPath))
@@ -169,7 +169,7 @@
   }
 
   /** Back ends answer health checks from now on, and name their limits there too or not. */
-  answerChecks({ nameLimits }: { nameLimits: boolean }): void {
+  answerHealthChecks({ nameLimits }: { nameLimits: boolean }): void {
     const { fleet } = this;
     fleet.onProbe = (node, backend) => {
       const sentAt = fleet.time.now();
@@ -183,7 +183,7 @@
   }
 
   /** Back ends that a daemon believes to name a limit, the most of all daemons. */
-  countBelievedLimits(): number {
+  getKnownLimitCount(): number {
     const now = this.fleet.time.now();
     return Math.max(
       ...this.fleet.nodes.map(({ daemon }) => daemon.getPartFigures(now).backendSignals.limited ?? 0),
@@ -201,7 +201,7 @@
   }
 
   /** The worst window of a back end, and what is allowed, over the daemons that it had told and that ran on. */
-  findWorst(
+  findWorstWindow(
     backendId: string,
     excused: ReadonlySet<FleetNode> = new Set(),
   ): { seen: number; allowed: number } {
--- a/simulation/simulated-application.ts
+++ b/simulation/simulated-application.ts
@@ -35,10 +35,10 @@
 
   /** Executes a call and answers. */
   call(requestId: string, answer: (event: ApplicationEvent) => void): void {
-    this.monitor.workArrived(this.name);
-    this.monitor.workBegun(requestId);
-    const key = this.monitor.keyOf(requestId);
-    if (key !== undefined) this.monitor.executed(key);
+    this.monitor.onWorkArrived(this.name);
+    this.monitor.onWorkStarted(requestId);
+    const key = this.monitor.getOnceKey(requestId);
+    if (key !== undefined) this.monitor.onCallExecuted(key);
     const { generation } = this;
     this.time.after(ANSWER_MS, () => {
       if (generation !== this.generation) answer({ kind: 'broken', reason: 'server crashed' });
--- a/simulation/simulated-engine.ts
+++ b/simulation/simulated-engine.ts
@@ -69,19 +69,19 @@
   }
 
   /** Changes of role or model so far. */
-  countChanges(): number {
+  getChangeCount(): number {
     return this.pastChanges + this.model.changes;
   }
 
   /** Takes an attempt. */
   start(work: EngineWork, requestId: string, promptHash: number, sink: AttemptSink): void {
-    this.monitor.workArrived(this.name);
+    this.monitor.onWorkArrived(this.name);
     const refusal = this.model.start(work, this.time.now());
     if (refusal) {
       sink({ kind: 'refused', reason: refusal });
       return;
     }
-    this.monitor.workBegun(requestId);
+    this.monitor.onWorkStarted(requestId);
     this.attempts.set(work.attemptId, { requestId, promptHash, sink, offset: work.offset, buffered: [] });
     this.schedule();
   }
@@ -101,9 +101,9 @@
     if (request.kind === 'order') {
       const accepted = result.kind === 'report' && after.sequence !== before.sequence;
       if (accepted)
-        this.monitor.orderAccepted(this.name, holder, request.epoch, request.sequence, tableEpoch);
+        this.monitor.onOrderAccepted(this.name, holder, request.epoch, request.sequence, tableEpoch);
       const begins = before.phase !== 'changing' && after.phase === 'changing';
-      if (begins) this.monitor.changeWithStreams(this.name, streams);
+      if (begins) this.monitor.onChangeStarted(this.name, streams);
     }
     this.schedule();
     return result;
@@ -123,7 +123,7 @@
   restart(): void {
     this.alive = true;
     this.model = new EngineModel(this.settings, this.firstAssignment);
-    this.monitor.engineRestarted(this.name);
+    this.monitor.onEngineRestarted(this.name);
   }
 
   private schedule(): void {
--- a/simulation/simulated-faults.ts
+++ b/simulation/simulated-faults.ts
@@ -6,7 +6,7 @@
 import { parseServiceRow } from '../src/configuration/service-row.js';
 import type { SimulatedApplication } from './simulated-application.js';
 import type { SimulatedEngine } from './simulated-engine.js';
-import type { Cut } from './simulated-network.js';
+import type { Partition } from './simulated-network.js';
 import type { DaemonNode, SimulatedSite } from './simulated-site.js';
 import type { Workload } from './workload.js';
 
@@ -80,7 +80,7 @@
   'kill-daemon': ({ site, workload, daemon }) => {
     if (!daemon.alive) return undefined;
     site.kill(daemon);
-    workload.daemonKilled(daemon);
+    workload.onDaemonKilled(daemon);
     return () => site.restart(daemon);
   },
   'pause-daemon': ({ site, daemon }) => {
@@ -125,7 +125,7 @@
     return () => (engine.model.slowFactor = 1);
   },
   'leave-engine': ({ site, engine }) => {
-    site.leaveEngine(engine);
+    site.setEngineLeaving(engine);
     return undefined;
   },
   'crash-application': ({ server }) => crash(server),
@@ -154,7 +154,7 @@
   },
 };
 
-function cutting(makeCut: (scene: FaultScene) => Cut): Injection {
+function cutting(makeCut: (scene: FaultScene) => Partition): Injection {
   return (scene) => scene.site.network.cut(makeCut(scene));
 }
 
--- a/simulation/simulated-network.ts
+++ b/simulation/simulated-network.ts
@@ -19,11 +19,11 @@
 }
 
 /** Decides whether a message from one endpoint to another is lost. */
-export type Cut = (from: Endpoint, to: Endpoint) => boolean;
+export type Partition = (from: Endpoint, to: Endpoint) => boolean;
 
 /** The simulated network. */
 export class SimulatedNetwork {
-  private readonly cuts = new Set<Cut>();
+  private readonly cuts = new Set<Partition>();
   /** Chance that a message between daemons arrives twice. */
   duplicateChance = 0;
   /** Extra random delay, which reorders messages. Milliseconds. */
@@ -36,19 +36,19 @@
   ) {}
 
   /** Loses what `cut` says until the returned function is called. */
-  cut(cut: Cut): () => void {
+  cut(cut: Partition): () => void {
     this.cuts.add(cut);
     return () => this.cuts.delete(cut);
   }
 
   /** Whether messages get through now. */
-  connected(from: Endpoint, to: Endpoint): boolean {
+  isConnected(from: Endpoint, to: Endpoint): boolean {
     for (const cut of this.cuts) if (cut(from, to)) return false;
     return true;
   }
 
   /** The one-way delay between two endpoints, with its random part. */
-  delay(from: Endpoint, to: Endpoint): number {
+  getDelay(from: Endpoint, to: Endpoint): number {
     const { sameZoneMs, otherZoneMs, otherRegionMs, jitter } = this.settings;
     const base = from.region !== to.region ? otherRegionMs : from.zone !== to.zone ? otherZoneMs : sameZoneMs;
     return base * (1 + this.random.next() * jitter) + this.random.next() * this.reorderMs;
@@ -56,24 +56,24 @@
 
   /** Delivers after the delay, unless cut at sending or at arrival. Returns whether it was sent. */
   send(from: Endpoint, to: Endpoint, deliver: () => void): boolean {
-    if (!this.connected(from, to)) return false;
+    if (!this.isConnected(from, to)) return false;
     const arrive = (): void => {
-      if (this.connected(from, to)) deliver();
+      if (this.isConnected(from, to)) deliver();
     };
-    this.time.after(this.delay(from, to), arrive);
+    this.time.after(this.getDelay(from, to), arrive);
     if (this.duplicateChance > 0 && this.random.next() < this.duplicateChance)
-      this.time.after(this.delay(from, to), arrive);
+      this.time.after(this.getDelay(from, to), arrive);
     return true;
   }
 
   /** A channel from one endpoint to another that keeps the order of what is sent, as a connection does. */
-  channel(from: Endpoint, to: Endpoint): (deliver: () => void) => boolean {
+  createChannel(from: Endpoint, to: Endpoint): (deliver: () => void) => boolean {
     let lastArrival = 0;
     return (deliver) => {
-      if (!this.connected(from, to)) return false;
-      lastArrival = Math.max(lastArrival, this.time.now() + this.delay(from, to));
+      if (!this.isConnected(from, to)) return false;
+      lastArrival = Math.max(lastArrival, this.time.now() + this.getDelay(from, to));
       this.time.after(lastArrival - this.time.now(), () => {
-        if (this.connected(from, to)) deliver();
+        if (this.isConnected(from, to)) deliver();
       });
       return true;
     };
--- a/simulation/simulated-site.ts
+++ b/simulation/simulated-site.ts
@@ -92,7 +92,7 @@
   }
 
   /** Daemons that callers may be sent to. */
-  readyDaemons(): DaemonNode[] {
+  getReadyDaemons(): DaemonNode[] {
     return this.daemons.filter((node) => this.acceptsConnections(node));
   }
 
@@ -164,9 +164,9 @@
   }
 
   /** Announces that an engine leaves: it refuses new work, and the machine list says so after its lag. */
-  leaveEngine(engine: SimulatedEngine): void {
+  setEngineLeaving(engine: SimulatedEngine): void {
     engine.model.setLeaving();
-    this.monitor.leaving(engine.name);
+    this.monitor.onBackendLeaving(engine.name);
     this.platform.setMachine({ ...this.machineOf(engine), state: 'leaving' }, this.time.now());
   }
 
--- a/simulation/site-options.ts
+++ b/simulation/site-options.ts
@@ -10,7 +10,7 @@
 const REGION = 'main';
 
 /** A site of the profile's size with one daemon a zone and one cell. */
-export function optionsForSite(
+export function createSiteOptions(
   profile: SiteProfile,
   seed: number,
   settings: Partial<CompletionDaemonSettings> = {},
--- a/simulation/workload.ts
+++ b/simulation/workload.ts
@@ -22,7 +22,7 @@
   readonly service: string;
   readonly perSecond: number;
   /** Chance that the caller repeats a call whose outcome is unknown, with the same key. */
-  readonly repeatChance: number;
+  readonly retryChance: number;
 }
 
 interface OpenRequest {
@@ -62,7 +62,7 @@
     unconnected: 0,
   };
   /** Failures that a caller of a planned stop would see as cut. */
-  cut = 0;
+  brokenStreams = 0;
   private readonly open = new Map<string, OpenRequest>();
   private readonly rows: ReadonlyMap<string, ServiceRow>;
   private readonly random: SeededRandom;
@@ -113,12 +113,12 @@
   }
 
   /** Requests without an answer yet. */
-  openRequests(): number {
+  getOpenRequestCount(): number {
     return this.open.size;
   }
 
   /** A daemon's process is gone: its callers see their connections break. */
-  daemonKilled(node: DaemonNode): void {
+  onDaemonKilled(node: DaemonNode): void {
     for (const [requestId, request] of [...this.open]) {
       if (request.node !== node) continue;
       this.open.delete(requestId);
@@ -128,7 +128,7 @@
   }
 
   private chooseDaemon(random: SeededRandom): DaemonNode | undefined {
-    const ready = this.site.readyDaemons();
+    const ready = this.site.getReadyDaemons();
     return ready.length === 0 ? undefined : ready[random.below(ready.length)];
   }
 
@@ -174,8 +174,8 @@
     const { node, requestId } = target;
     const once = this.rows.get(load.service)?.repeatable === false;
     const idempotencyKey = key ?? `key-${this.serial}`;
-    const repeatable = once && random.next() < load.repeatChance;
-    if (once) this.site.monitor.expectOnce(requestId, idempotencyKey);
+    const repeatable = once && random.next() < load.retryChance;
+    if (once) this.site.monitor.addOnceCall(requestId, idempotencyKey);
     this.open.set(requestId, {
       node,
       service: load.service,
@@ -213,7 +213,7 @@
   private checkAdmission(node: DaemonNode): void {
     if (!node.alive || node.pausedSince !== undefined) return;
     if (!node.daemon.readiness(this.site.time.now()).ready) return;
-    this.site.monitor.admitted(
+    this.site.monitor.onRequestAdmitted(
       node.id,
       node.daemon.configurationRevision(),
       this.site.platform.serviceCommits,
@@ -233,7 +233,7 @@
         break;
       case 'replyFailed':
         this.failed(effect.requestId, effect.error.code, effect.tokensSent);
-        this.site.monitor.failureAnswered(effect.requestId, effect.error.notRun, effect.error.code);
+        this.site.monitor.onFailureAnswered(effect.requestId, effect.error.notRun, effect.error.code);
         break;
       default:
         break;
@@ -244,7 +244,7 @@
     const request = this.open.get(requestId);
     if (!request) return;
     if (offset !== request.count)
-      this.site.monitor.violated('whole-answer', `${requestId} got offset ${offset} at ${request.count}`);
+      this.site.monitor.addViolation('whole-answer', `${requestId} got offset ${offset} at ${request.count}`);
     request.count += texts.length;
     request.texts.push(...texts);
   }
@@ -255,7 +255,7 @@
     this.open.delete(requestId);
     const complete = tokens === request.outputTokens && request.count === tokens;
     if (!complete)
-      this.site.monitor.violated(
+      this.site.monitor.addViolation(
         'whole-answer',
         `${requestId} ended with ${request.count} of ${request.outputTokens}`,
       );
@@ -267,7 +267,7 @@
     const promptHash = hashText(request.prompt);
     const wrong = request.texts.findIndex((text, index) => text !== formatToken(promptHash, index));
     if (wrong >= 0)
-      this.site.monitor.violated('whole-answer', `${requestId} has a foreign token at ${wrong}`);
+      this.site.monitor.addViolation('whole-answer', `${requestId} has a foreign token at ${wrong}`);
   }
 
   private answered(requestId: string): void {
@@ -281,13 +281,13 @@
     const request = this.open.get(requestId);
     this.open.delete(requestId);
     this.counts.failed.set(code, (this.counts.failed.get(code) ?? 0) + 1);
-    if (tokensSent > 0) this.cut += 1;
+    if (tokensSent > 0) this.brokenStreams += 1;
     if (request?.key !== undefined) this.repeatCall(request);
   }
 
   private repeatCall(request: OpenRequest): void {
     if (request.repeats >= MAXIMUM_REPEATS) return;
-    const load: CallLoad = { service: request.service, perSecond: 0, repeatChance: 1 };
+    const load: CallLoad = { service: request.service, perSecond: 0, retryChance: 1 };
     this.site.time.after(500, () => this.sendCall(load, this.random, request.key, request.repeats + 1));
   }
 }
--- a/src/routing/completion-manager.ts
+++ b/src/routing/completion-manager.ts
@@ -247,7 +247,7 @@
     attempt.engine.addSuccess();
     this.endAttempt(session, attempt, now);
     session.kv = kv;
-    session.mayHaveRun = true;
+    session.mayHaveExecuted = true;
     this.requeue(session, now);
   }
 
@@ -297,7 +297,7 @@
   private onBroken(session: Session, attempt: LiveAttempt, now: number): void {
     attempt.engine.addFailure(now, this.directorySettings);
     this.endAttempt(session, attempt, now);
-    session.mayHaveRun = true;
+    session.mayHaveExecuted = true;
     session.brokenAttempts += 1;
     session.kv = undefined;
     const { row, brokenAttempts } = session;
@@ -325,7 +325,7 @@
   }
 
   private requeue(session: Session, now: number): void {
-    session.queuedAt = session.mayHaveRun ? now : session.queuedAt;
+    session.queuedAt = session.mayHaveExecuted ? now : session.queuedAt;
     this.queue.pushFront(session.item);
     this.dispatch(now);
   }
--- a/src/routing/completion-session.ts
+++ b/src/routing/completion-session.ts
@@ -31,7 +31,7 @@
   attemptCount: number;
   /** Attempts that broke after an engine may have started them. */
   brokenAttempts: number;
-  mayHaveRun: boolean;
+  mayHaveExecuted: boolean;
   readonly produced: string[];
   kv: KvHandle | undefined;
   excluded: Set<string>;
@@ -63,7 +63,7 @@
     attempt: undefined,
     attemptCount: 0,
     brokenAttempts: 0,
-    mayHaveRun: false,
+    mayHaveExecuted: false,
     produced: [],
     kv: undefined,
     excluded: new Set(),
@@ -79,5 +79,5 @@
  */
 export function getNotRun(session: Session): NotRun {
   if (session.produced.length > 0) return 'false';
-  return session.mayHaveRun || session.attempt ? 'unknown' : 'true';
+  return session.mayHaveExecuted || session.attempt ? 'unknown' : 'true';
 }
--- a/test/advertised-limits.test.ts
+++ b/test/advertised-limits.test.ts
@@ -20,7 +20,7 @@
 
 /** Checks that no window had more requests than the limit allows, leaving out those of `exempt` daemons. */
 function checkLimit(site: SignalSite, backendId: string, exempt?: ReadonlySet<FleetNode>): void {
-  const { seen, allowed } = site.findWorst(backendId, exempt);
+  const { seen, allowed } = site.findWorstWindow(backendId, exempt);
   expect(seen, `requests to ${backendId} in 4 s`).to.be.at.most(allowed);
 }
 
@@ -35,7 +35,7 @@
 /** Runs a fleet in which two of six back ends advertise a limit, and checks these limits and their use. */
 function runWithTwoLimited(daemons: number, perSecond: number, load = PLAIN_LOAD): SignalSite {
   const site = startSite(daemons, 6);
-  site.load(load, RUN_MS + 2000);
+  site.startLoad(load, RUN_MS + 2000);
   site.run(2000);
   for (const id of ['b0', 'b1']) site.setLimit(id, perSecond);
   const since = site.fleet.time.now() + SETTLE_MS;
@@ -60,7 +60,7 @@
 
   it('are kept when every back end of the service advertises one: excess requests are refused at once', () => {
     const site = startSite(9, 3);
-    site.load(PLAIN_LOAD, RUN_MS + 2000);
+    site.startLoad(PLAIN_LOAD, RUN_MS + 2000);
     site.run(2000);
     const ids = ['b0', 'b1', 'b2'];
     for (const id of ids) site.setLimit(id, 2);
@@ -81,7 +81,7 @@
 
   it('are kept while daemons are killed and restarted, including those that grant the permits', () => {
     const site = startSite(9, 6);
-    site.load(PLAIN_LOAD, 40_000);
+    site.startLoad(PLAIN_LOAD, 40_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLimit(id, 2);
     const killed = site.fleet.nodes.slice(0, 4);
@@ -94,7 +94,7 @@
 
   it('are kept by daemons that start while a limit holds, from when each has learned of it', () => {
     const site = startSite(9, 6);
-    site.load(PLAIN_LOAD, 45_000);
+    site.startLoad(PLAIN_LOAD, 45_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLimit(id, 2);
     for (let atMs = 4000; atMs < 32_000; atMs += 7000)
@@ -107,7 +107,7 @@
 
   it('are kept by both sides of a network partition together', () => {
     const site = startSite(9, 6);
-    site.load(PLAIN_LOAD, 40_000);
+    site.startLoad(PLAIN_LOAD, 40_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLimit(id, 2);
     site.run(6000);
@@ -121,13 +121,13 @@
 
   it('are kept by daemons whose processes were paused', () => {
     const site = startSite(9, 6);
-    site.load(PLAIN_LOAD, 40_000);
+    site.startLoad(PLAIN_LOAD, 40_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLimit(id, 2);
     const paused = site.fleet.nodes.slice(0, 3);
     paused.forEach((node, index) => {
-      site.fleet.time.after(5000 + 3000 * index, () => (node.frozen = true));
-      site.fleet.time.after(8000 + 3000 * index, () => (node.frozen = false));
+      site.fleet.time.after(5000 + 3000 * index, () => (node.paused = true));
+      site.fleet.time.after(8000 + 3000 * index, () => (node.paused = false));
     });
     site.run(25_000);
     for (const id of ['b0', 'b1']) checkLimit(site, id, new Set(paused));
@@ -135,7 +135,7 @@
 
   it('are kept when the records of back ends expire and are added again', () => {
     const site = startSite(24, 6);
-    site.load({ [PATH]: 300 }, 40_000);
+    site.startLoad({ [PATH]: 300 }, 40_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLimit(id, 1);
     for (let atMs = 5000; atMs < 25_000; atMs += 4000)
@@ -155,7 +155,7 @@
       promptTokens: 2000,
       maximumOutputTokens: 10,
     };
-    site.load(PLAIN_LOAD, 22_000, { prompt });
+    site.startLoad(PLAIN_LOAD, 22_000, { prompt });
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLimit(id, 2);
     site.run(20_000);
@@ -165,13 +165,13 @@
   it('end when they are no longer advertised, even after a time without requests', () => {
     for (const pauseMs of [0, 15_000]) {
       const site = startSite(9, 3);
-      site.load(PLAIN_LOAD, 8000);
+      site.startLoad(PLAIN_LOAD, 8000);
       site.run(2000);
       for (const id of ['b0', 'b1', 'b2']) site.setLimit(id, 0.1);
       site.run(6000);
       for (const id of ['b0', 'b1', 'b2']) site.setLimit(id, undefined);
       site.run(pauseMs);
-      site.load(PLAIN_LOAD, 20_000);
+      site.startLoad(PLAIN_LOAD, 20_000);
       site.run(8000);
       const since = site.fleet.time.now();
       site.run(10_000);
@@ -181,32 +181,32 @@
 
   it('end without any request when health checks have advertised them too', () => {
     const site = startSite(9, 3);
-    site.answerChecks({ nameLimits: true });
-    site.load(PLAIN_LOAD, 4000);
+    site.answerHealthChecks({ nameLimits: true });
+    site.startLoad(PLAIN_LOAD, 4000);
     site.run(2000);
     site.setLimit('b0', 2);
     site.run(12_000);
-    expect(site.countBelievedLimits()).to.equal(1);
+    expect(site.getKnownLimitCount()).to.equal(1);
     site.setLimit('b0', undefined);
     site.run(8000);
-    expect(site.countBelievedLimits()).to.equal(0);
+    expect(site.getKnownLimitCount()).to.equal(0);
   });
 
   it('do not end by health checks that never advertised them', () => {
     const site = startSite(9, 3);
-    site.answerChecks({ nameLimits: false });
-    site.load(PLAIN_LOAD, 4000);
+    site.answerHealthChecks({ nameLimits: false });
+    site.startLoad(PLAIN_LOAD, 4000);
     site.run(2000);
     site.setLimit('b0', 2);
     site.run(20_000);
-    expect(site.countBelievedLimits()).to.equal(1);
+    expect(site.getKnownLimitCount()).to.equal(1);
   });
 
   it('a request whose prompt is computed waits again, for a permit of an engine that generates', () => {
     const site = startSite(9, 8, SEED, true);
     const parts = [{ id: 'own', tokens: 2000 }];
     const prompt = { model: 'm', parts, promptTokens: 2000, maximumOutputTokens: 10 };
-    site.load({ [PATH]: 10 }, 30_000, { prompt });
+    site.startLoad({ [PATH]: 10 }, 30_000, { prompt });
     site.run(2000);
     for (let index = 0; index < 8; index += 1) site.setLimit(`b${index}`, 6);
     site.run(6000);
@@ -217,7 +217,7 @@
 
   it('are polled by health checks only when no recent answer has advertised them', () => {
     const site = startSite(9, 6);
-    site.load(PLAIN_LOAD, 14_000);
+    site.startLoad(PLAIN_LOAD, 14_000);
     site.run(2000);
     site.setLimit('b0', 15);
     site.run(10_000);
@@ -228,10 +228,10 @@
 
   it('few requests at many daemons: at most 5 % are refused within the limit of the only back end', () => {
     const site = startSite(24, 1);
-    site.load({ [PATH]: 2 }, 4000);
+    site.startLoad({ [PATH]: 2 }, 4000);
     site.run(4000);
     site.setLimit('b0', 4);
-    site.load({ [PATH]: 2 }, 30_000);
+    site.startLoad({ [PATH]: 2 }, 30_000);
     site.run(4000);
     const refusedBefore = site.findRefusals().length;
     const since = site.fleet.time.now();
@@ -248,7 +248,7 @@
     ];
     const site = new SignalSite({ daemons: 9, backends: 3, seed: SEED, routes });
     const load = { [URGENT]: 10, [PATH]: 100 };
-    site.load(load, 32_000);
+    site.startLoad(load, 32_000);
     site.run(2000);
     for (const id of ['b0', 'b1', 'b2']) site.setLimit(id, 4);
     site.run(6000);
--- a/test/back-off-signals.test.ts
+++ b/test/back-off-signals.test.ts
@@ -17,7 +17,7 @@
   const site = new SignalSite({ daemons: 7, backends, seed: SEED, engines });
   const parts = [{ id: 'own', tokens: 2000 }];
   const prompt = { model: 'm', parts, promptTokens: 2000, maximumOutputTokens: 10 };
-  site.load(LOAD, 22_000, engines ? { prompt } : {});
+  site.startLoad(LOAD, 22_000, engines ? { prompt } : {});
   site.run(2000);
   for (const id of backingOff) site.setBackOff(id, share, BACK_OFF_MS);
   site.run(15_000);
@@ -28,17 +28,17 @@
   for (const share of [0.05, 0.4])
     it(`on ${share} of the requests, with other back ends left: get no more requests from these daemons`, () => {
       const site = runFleet(6, ['b0', 'b1'], share);
-      expect(site.findMostInBackOff()).to.be.at.most(ALLOWED);
+      expect(site.findMostDuringBackOff()).to.be.at.most(ALLOWED);
     });
 
   it('get no computed prompts handed over from these daemons', () => {
     const site = runFleet(8, ['b1', 'b3'], 0.2, true);
-    expect(site.findMostInBackOff()).to.be.at.most(ALLOWED);
+    expect(site.findMostDuringBackOff()).to.be.at.most(ALLOWED);
   });
 
   it('all of a service: requests are refused at once, with the time until the first back-off ends', () => {
     const site = runFleet(3, ['b0', 'b1', 'b2'], 0.3);
-    expect(site.findMostInBackOff()).to.be.at.most(ALLOWED);
+    expect(site.findMostDuringBackOff()).to.be.at.most(ALLOWED);
     const refusals = site.findRefusals();
     expect(refusals.length).to.be.greaterThan(100);
     for (const { status, heldMs, retryAfterMs } of refusals) {
--- a/test/crash-site.ts
+++ b/test/crash-site.ts
@@ -179,7 +179,7 @@
     backend.isRunning = false;
     this.crashes.push({ key, at: this.fleet.time.now() });
     for (const attempt of backend.openAttempts)
-      this.fleet.endAttempt(attempt, { kind: 'broken', reason: 'ECONNRESET' });
+      this.fleet.sendAttemptEvent(attempt, { kind: 'broken', reason: 'ECONNRESET' });
     backend.openAttempts.clear();
     const { id } = backend;
     if (!this.keepsIds)
@@ -201,7 +201,7 @@
     const backend = this.slots.at(slot);
     if (!request) return;
     if (slot < 0 || !backend?.isRunning) {
-      this.fleet.endAttempt(attempt, { kind: 'unreachable', reason: 'ECONNREFUSED' });
+      this.fleet.sendAttemptEvent(attempt, { kind: 'unreachable', reason: 'ECONNREFUSED' });
       return;
     }
     const key = makeKey(request.content, request.caller);
@@ -227,7 +227,7 @@
   private answer(backend: RunningBackend, attempt: StartedAttempt, request: SentRequest): void {
     if (!backend.openAttempts.delete(attempt)) return;
     request.status = 200;
-    this.fleet.endAttempt(attempt, { kind: 'whole', status: 200 });
+    this.fleet.sendAttemptEvent(attempt, { kind: 'whole', status: 200 });
   }
 }
 
--- a/test/drawn-day.ts
+++ b/test/drawn-day.ts
@@ -224,8 +224,8 @@
         this.fleet.restart(node, 1000, forMs);
         break;
       case 2:
-        node.frozen = true;
-        later(() => (node.frozen = false));
+        node.paused = true;
+        later(() => (node.paused = false));
         break;
       case 3:
         this.fleet.suspend(node, forMs);
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -96,7 +96,7 @@
 
   private sendRequest(): void {
     const { fleet } = this;
-    const nodes = fleet.nodes.filter((node) => !node.down && !node.frozen);
+    const nodes = fleet.nodes.filter((node) => !node.down && !node.paused);
     if (nodes.length === 0) return;
     const node = nodes[this.random.below(nodes.length)];
     const tenant = TENANTS[this.random.below(TENANTS.length)];
@@ -108,7 +108,7 @@
     const window = Math.floor((WALL_START_MS + fleet.time.now()) / WINDOW_MS);
     const counts = this.trueCounts.get(window) ?? new Map<string, number>();
     this.trueCounts.set(window, counts.set(tenant.name, (counts.get(tenant.name) ?? 0) + 1));
-    fleet.time.after(20, () => fleet.endAttempt(attempt, { kind: 'whole', status: 200 }));
+    fleet.time.after(20, () => fleet.sendAttemptEvent(attempt, { kind: 'whole', status: 200 }));
   }
 }
 
@@ -141,7 +141,7 @@
   it('no report is lost or wrong if the holder is killed, frozen or rejected by the store', () => {
     const failures: ((node: FleetNode) => void)[] = [
       (node) => (node.down = true),
-      (node) => (node.frozen = true),
+      (node) => (node.paused = true),
       (node) => (node.access = 'refuses'),
       (node) => (node.access = 'silent'),
     ];
@@ -195,11 +195,11 @@
             dutyFleet.sendRequestsUntil(dutyFleet.fleet.time.now() + afterMs, 20);
             const node = victim === undefined ? dutyFleet.getHolder() : dutyFleet.fleet.nodes[victim];
             node.access = storeAccess;
-            node.frozen = frozen;
+            node.paused = frozen;
           }
           for (const node of dutyFleet.fleet.nodes) {
             node.access = 'serves';
-            node.frozen = false;
+            node.paused = false;
           }
           const recoveredAt = dutyFleet.fleet.time.now() + 5000;
           dutyFleet.sendRequestsUntil(recoveredAt + 15_000, 20);
--- a/test/effects.test.ts
+++ b/test/effects.test.ts
@@ -6,7 +6,7 @@
 import { parse } from 'devalue';
 import fc from 'fast-check';
 import { runFaults } from '../simulation/fault-run.js';
-import { drawnFaults } from '../simulation/drawn-faults.js';
+import { faultsArbitrary } from '../simulation/drawn-faults.js';
 import { decodePeerMessage, encodePeerMessage } from '../src/adapters/peer-codec.js';
 import { CompletionDaemon } from '../src/daemon/completion-daemon.js';
 import { DEFAULT_COMPLETION_DAEMON_SETTINGS } from '../src/daemon/completion-daemon-settings.js';
@@ -39,7 +39,7 @@
 
   it('are unchanged if completions are served', () => {
     const snapshot = new Snapshot('effects-completions');
-    const plans = fc.sample(drawnFaults, { numRuns: SEEDS.length, seed: 46 });
+    const plans = fc.sample(faultsArbitrary, { numRuns: SEEDS.length, seed: 46 });
     const allocation = { ...DEFAULT_COMPLETION_DAEMON_SETTINGS.allocation, policy: 'threshold' } as const;
     for (const seed of SEEDS) {
       const digest = new EffectsDigest(COMPLETION_LABELS);
--- a/test/leaving-signals.test.ts
+++ b/test/leaving-signals.test.ts
@@ -14,7 +14,7 @@
 describe('back ends that signal that they are leaving', () => {
   it('get no more requests although their records say that they are ready', () => {
     const site = startSite();
-    site.load(LOAD, 20_000);
+    site.startLoad(LOAD, 20_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLeaving(id);
     site.run(PROPAGATION_MS);
@@ -26,7 +26,7 @@
 
   it('get none when their records are written again, or expire and are added again', () => {
     const site = startSite();
-    site.load(LOAD, 30_000);
+    site.startLoad(LOAD, 30_000);
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLeaving(id);
     site.run(PROPAGATION_MS);
@@ -34,18 +34,18 @@
     site.writeBackend(1, 'gone');
     site.fleet.time.after(1500, () => site.writeBackend(1, 'ready'));
     site.run(10_000);
-    expect(site.findLateToLeaving()).to.deep.equal([]);
+    expect(site.findSentAfterLeaving()).to.deep.equal([]);
   });
 
   it('get none from daemons that cannot read the store', () => {
     const site = startSite();
-    site.load(LOAD, 30_000);
+    site.startLoad(LOAD, 30_000);
     site.run(2000);
     for (const node of site.fleet.nodes) node.access = 'refuses';
     site.run(1000);
     for (const id of ['b0', 'b1']) site.setLeaving(id);
     site.run(20_000);
-    expect(site.findLateToLeaving()).to.deep.equal([]);
+    expect(site.findSentAfterLeaving()).to.deep.equal([]);
     expect(site.countSince('b0', site.fleet.time.now() - 15_000)).to.equal(0);
   });
 
@@ -53,16 +53,16 @@
     const site = startSite(9, 8, true);
     const parts = [{ id: 'own', tokens: 2000 }];
     const prompt = { model: 'm', parts, promptTokens: 2000, maximumOutputTokens: 10 };
-    site.load(LOAD, 20_000, { prompt });
+    site.startLoad(LOAD, 20_000, { prompt });
     site.run(2000);
     for (const id of ['b0', 'b1']) site.setLeaving(id);
     site.run(12_000);
-    expect(site.findLateToLeaving()).to.deep.equal([]);
+    expect(site.findSentAfterLeaving()).to.deep.equal([]);
   });
 
   it('get requests again as another incarnation at the same address', () => {
     const site = startSite();
-    site.load(LOAD, 20_000);
+    site.startLoad(LOAD, 20_000);
     site.writeBackend(0, 'ready', 1);
     site.run(2000);
     site.setLeaving('b0');
--- a/test/load-relay.test.ts
+++ b/test/load-relay.test.ts
@@ -138,8 +138,8 @@
     const fleet = startSettledFleet(66);
     sendRequests(fleet, fleet.nodes.slice(0, 30), 30);
     for (const attempt of fleet.attempts.slice())
-      if (attempt.backendId === 'a') fleet.endAttempt(attempt, { kind: 'broken', reason: 'reset' });
-      else fleet.endAttempt(attempt, { kind: 'whole', status: 200 });
+      if (attempt.backendId === 'a') fleet.sendAttemptEvent(attempt, { kind: 'broken', reason: 'reset' });
+      else fleet.sendAttemptEvent(attempt, { kind: 'whole', status: 200 });
     fleet.time.runUntil(fleet.time.now() + LOADS_KNOWN_MS);
     expect(sendRequests(fleet, fleet.nodes.slice(30), 36).get('a') ?? 0).to.equal(0);
   });
@@ -149,8 +149,8 @@
     sendRequests(fleet, fleet.nodes, 200);
     const failing = fleet.nodes[0];
     for (const attempt of fleet.attempts.slice())
-      if (attempt.node === failing) fleet.endAttempt(attempt, { kind: 'broken', reason: 'reset' });
-      else fleet.endAttempt(attempt, { kind: 'whole', status: 200 });
+      if (attempt.node === failing) fleet.sendAttemptEvent(attempt, { kind: 'broken', reason: 'reset' });
+      else fleet.sendAttemptEvent(attempt, { kind: 'whole', status: 200 });
     fleet.time.runUntil(fleet.time.now() + LOADS_KNOWN_MS);
     expect([...sendRequests(fleet, fleet.nodes.slice(1), 60).keys()].sort()).to.deep.equal(['a', 'b']);
   });
--- a/test/names.test.ts
+++ b/test/names.test.ts
@@ -15,7 +15,7 @@
   createProcessSettings,
 } from '../platform/settings.js';
 import { getSiteProfile } from '../lab/site-profiles.js';
-import { optionsForSite } from '../simulation/site-options.js';
+import { createSiteOptions } from '../simulation/site-options.js';
 import { SimulatedSite } from '../simulation/simulated-site.js';
 import { peerMessageSchema } from '../src/adapters/peer-codec.js';
 import { serviceRowSchema } from '../src/configuration/service-row.js';
@@ -174,7 +174,7 @@
   });
 
   it('the status document', () => {
-    const site = new SimulatedSite(optionsForSite(getSiteProfile('cundinamarca'), 1));
+    const site = new SimulatedSite(createSiteOptions(getSiteProfile('cundinamarca'), 1));
     site.time.runUntil(8000);
     pin('status', listNames(site.daemons[0].daemon.status(8000)));
   });
--- a/test/promises.test.ts
+++ b/test/promises.test.ts
@@ -7,9 +7,9 @@
 import type { Fault, FaultKind } from '../simulation/simulated-faults.js';
 import { runFaults, type FaultRunOptions, type FaultRunResult } from '../simulation/fault-run.js';
 import type { PromiseName } from '../simulation/monitor.js';
-import { drawnFaults } from '../simulation/drawn-faults.js';
+import { faultsArbitrary } from '../simulation/drawn-faults.js';
 import { SimulatedSite } from '../simulation/simulated-site.js';
-import { optionsForSite } from '../simulation/site-options.js';
+import { createSiteOptions } from '../simulation/site-options.js';
 import { getSiteProfile } from '../lab/site-profiles.js';
 import {
   DEFAULT_COMPLETION_DAEMON_SETTINGS,
@@ -48,7 +48,7 @@
 }
 
 function createSiteWithoutLoad(): SimulatedSite {
-  return new SimulatedSite(optionsForSite(getSiteProfile('cundinamarca'), 1));
+  return new SimulatedSite(createSiteOptions(getSiteProfile('cundinamarca'), 1));
 }
 
 function getViolatedGuarantees(result: FaultRunResult): PromiseName[] {
@@ -72,7 +72,7 @@
 describe('guarantees under faults', () => {
   it('hold under any plan of faults, also overlapping and repeated ones, and every request is answered', () => {
     fc.assert(
-      fc.property(drawnFaults, fc.nat({ max: 1000 }), (plan, seed) => {
+      fc.property(faultsArbitrary, fc.nat({ max: 1000 }), (plan, seed) => {
         const result = run(plan, seed);
         expect(result.violations).to.deep.equal([]);
         expect(result.unanswered).to.equal(0);
@@ -83,7 +83,7 @@
 
   it('hold at the site trust-tt-north too', () => {
     fc.assert(
-      fc.property(drawnFaults, fc.nat({ max: 1000 }), (plan, seed) => {
+      fc.property(faultsArbitrary, fc.nat({ max: 1000 }), (plan, seed) => {
         const result = run(plan, seed, { site: 'trust-tt-north' });
         expect(result.violations).to.deep.equal([]);
         expect(result.unanswered).to.equal(0);
@@ -113,7 +113,7 @@
           const result = control(unfenced, holder, tableEpoch);
           const accepted = request.kind === 'order' && result.kind === 'report';
           if (accepted)
-            site.monitor.orderAccepted(engine.name, holder, request.epoch, request.sequence, tableEpoch);
+            site.monitor.onOrderAccepted(engine.name, holder, request.epoch, request.sequence, tableEpoch);
           return result;
         };
       }
@@ -125,7 +125,7 @@
   it('without other faults no stream breaks while roles change continually', () => {
     const result = run([], 3, { loadUntilMs: 100_000 });
     expect(result.roleChanges).to.be.greaterThan(10);
-    expect(result.cut).to.equal(0);
+    expect(result.brokenStreams).to.equal(0);
     expect(result.counts.failed.get('attempt-broken') ?? 0).to.equal(0);
   });
 
@@ -137,7 +137,7 @@
           const change = request.kind === 'order' && request.action.kind === 'drain';
           const streams = engine.model.getStreamCount();
           const result = control(request, holder, tableEpoch);
-          if (change && result.kind === 'report') site.monitor.changeWithStreams(engine.name, streams);
+          if (change && result.kind === 'report') site.monitor.onChangeStarted(engine.name, streams);
           return result;
         };
       }
--- a/test/quota-restarts.test.ts
+++ b/test/quota-restarts.test.ts
@@ -43,7 +43,7 @@
       fleet.submit(node, `r${at}-${i}`, '/a/x', { keyDigest: 'k' });
     for (const attempt of fleet.attempts.slice(handledAttempts)) {
       sentAt.push(at);
-      fleet.endAttempt(attempt, { kind: 'whole', status: 200 });
+      fleet.sendAttemptEvent(attempt, { kind: 'whole', status: 200 });
     }
     handledAttempts = fleet.attempts.length;
   }
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -196,7 +196,7 @@
     const fleet = makeFleet();
     fleet.time.runUntil(5000);
     startTraffic(fleet, 't', fleet.nodes, 10 * LIMIT.ratePerSecond, 30_000);
-    for (const node of fleet.nodes.slice(0, 24)) fleet.time.after(3000, () => fleet.cut(node, 12_000));
+    for (const node of fleet.nodes.slice(0, 24)) fleet.time.after(3000, () => fleet.partition(node, 12_000));
     fleet.time.runUntil(31_000);
     checkWindow(fleet);
   });
@@ -205,7 +205,7 @@
     const fleet = makeFleet();
     fleet.time.runUntil(30_000);
     startTraffic(fleet, 't', fleet.nodes, 10 * LIMIT.ratePerSecond, 60_000);
-    for (const node of fleet.nodes) fleet.cut(node, 30_000);
+    for (const node of fleet.nodes) fleet.partition(node, 30_000);
     fleet.time.runUntil(60_000);
     const worst = fleet.getWorstWindow('t', SETTINGS.windowMs, 34_000);
     expect(worst).to.be.within(1, 0.15 * SETTINGS.slackTokens);
@@ -228,7 +228,7 @@
     startTraffic(fleet, 't', fleet.nodes, 4 * LIMIT.ratePerSecond, 40_000);
     for (const at of [10_000, 14_000, 20_000]) {
       fleet.time.runUntil(at);
-      fleet.freeze(findOwner(fleet, 't'), at === 20_000 ? 9000 : 2500);
+      fleet.pause(findOwner(fleet, 't'), at === 20_000 ? 9000 : 2500);
     }
     fleet.time.runUntil(41_000);
     checkWindow(fleet);
@@ -238,9 +238,9 @@
     const fleet = makeFleet();
     fleet.time.runUntil(5000);
     startTraffic(fleet, 't', fleet.nodes, 4 * LIMIT.ratePerSecond, 20_000);
-    fleet.loss = 0.6;
+    fleet.lossRate = 0.6;
     fleet.time.runUntil(10_000);
-    fleet.loss = 0;
+    fleet.lossRate = 0;
     fleet.time.runUntil(12_000);
     expect(fleet.nodes.filter((node) => node.manager.isOwner('t', fleet.time.now())).length).to.equal(1);
   });
@@ -252,7 +252,7 @@
       startTraffic(fleet, 't', fleet.nodes, LIMIT.ratePerSecond, 20_000);
       fleet.time.runUntil(8000);
       const owner = findOwner(fleet, 't');
-      fleet.freeze(owner, pauseMs);
+      fleet.pause(owner, pauseMs);
       fleet.time.runUntil(8000 + pauseMs + 500);
       expect(owner.manager.isOwner('t', fleet.time.now())).to.equal(false);
       fleet.time.runUntil(8000 + pauseMs + 3000);
@@ -287,7 +287,7 @@
     startTraffic(fleet, 't', fleet.nodes, 4 * LIMIT.ratePerSecond, 40_000);
     const partitioned = fleet.nodes.slice(0, 24);
     fleet.time.after(4000, () => {
-      for (const node of partitioned) fleet.cut(node, 20_000);
+      for (const node of partitioned) fleet.partition(node, 20_000);
     });
     fleet.time.after(5000, () => fleet.configure(new Map([['t', lower]]), partitioned));
     fleet.time.runUntil(41_000);
@@ -314,7 +314,7 @@
     const other = fleet.nodes.find((node) => node !== owner) as QuotaNode;
     for (let i = 0; i < 5; i += 1) {
       const id = fleet.request(other, 't', 20_000);
-      fleet.leave(id);
+      fleet.cancelRequest(id);
       fleet.time.runUntil(fleet.time.now() + 1000);
     }
     fleet.request(other, 't', 20_000);
@@ -366,15 +366,15 @@
             );
             fleet.time.after(at, () => {
               if (kind === 'lossy') {
-                fleet.loss = 0.2;
-                fleet.time.after(forMs, () => (fleet.loss = 0));
+                fleet.lossRate = 0.2;
+                fleet.time.after(forMs, () => (fleet.lossRate = 0));
               } else if (kind === 'kill')
                 fleet.kill(
                   hit.filter((node) => !node.down),
                   forMs,
                 );
-              else if (kind === 'cut') for (const node of hit) fleet.cut(node, forMs);
-              else for (const node of hit) fleet.freeze(node, forMs);
+              else if (kind === 'cut') for (const node of hit) fleet.partition(node, forMs);
+              else for (const node of hit) fleet.pause(node, forMs);
             });
           }
           fleet.time.runUntil(33_000);
--- a/test/retry-budget.test.ts
+++ b/test/retry-budget.test.ts
@@ -70,7 +70,7 @@
       const key = `${attempt.node.id}/${attempt.requestId}`;
       if (this.seen.has(key)) this.retriesAt.push(at);
       this.seen.add(key);
-      this.fleet.endAttempt(attempt, { kind: 'notExecuted', status: 503, wrongIncarnation: false });
+      this.fleet.sendAttemptEvent(attempt, { kind: 'notExecuted', status: 503, wrongIncarnation: false });
     }
   }
 
--- a/test/stages.test.ts
+++ b/test/stages.test.ts
@@ -144,7 +144,7 @@
         fleet.write({ collection: 'backends', id, revision: 0, value: engine });
       }
     fleet.time.runUntil(8000);
-    expect([...fleet.leasesAsked].sort()).to.deep.equal(['other', 'service']);
+    expect([...fleet.requestedLeases].sort()).to.deep.equal(['other', 'service']);
   });
 });
 
@@ -188,14 +188,14 @@
       const ranked = rankNodes(fleet);
       ranked.slice(0, refused).forEach((node) => (node.access = 'refuses'));
       fleet.time.runUntil(2000 + STANDBY_BOUND_MS);
-      expect(fleet.enginesAsked.map(({ node }) => node.id)).to.include(ranked[refused].id);
+      expect(fleet.queriedEngines.map(({ node }) => node.id)).to.include(ranked[refused].id);
     });
 
   it('is the only one to hold the lease otherwise', () => {
     const fleet = startFleet();
     const [first] = rankNodes(fleet);
     fleet.time.runUntil(30_000);
-    expect(new Set(fleet.enginesAsked.map(({ node }) => node.id))).to.deep.equal(new Set([first.id]));
+    expect(new Set(fleet.queriedEngines.map(({ node }) => node.id))).to.deep.equal(new Set([first.id]));
   });
 });
 
--- a/test/store-readers.test.ts
+++ b/test/store-readers.test.ts
@@ -60,10 +60,10 @@
   for (const count of [2, 9, 88]) {
     it(`${count} daemons: one follows the store, the others receive changes from it`, () => {
       const fleet = startSettledFleet(count);
-      const before = fleet.reads();
+      const before = fleet.getReadCount();
       fleet.time.runUntil(SETTLED_MS + 20_000);
       const snapshot = new Snapshot(`store-readers-${count}`);
-      snapshot.add(`reads in 20 s without a change: ${fleet.reads() - before}`);
+      snapshot.add(`reads in 20 s without a change: ${fleet.getReadCount() - before}`);
       let since = fleet.time.now();
       fleet.write(configuration(2));
       fleet.time.runUntil(since + 3000);
@@ -76,7 +76,7 @@
       fleet.write(backend('a', 'gone'));
       fleet.time.runUntil(since + 3000);
       snapshot.add(`removal known after ${Math.round(getSlowestStateMs(fleet, 'a', 'gone', since))} ms`);
-      snapshot.add(`reads in all: ${fleet.reads() - before}`);
+      snapshot.add(`reads in all: ${fleet.getReadCount() - before}`);
       snapshot.check();
     });
   }
@@ -120,14 +120,14 @@
     it(`${count} daemons: a change of the configuration costs the store a few reads, not one per daemon`, () => {
       const fleet = startSettledFleet(count);
       fleet.time.runUntil(SETTLED_MS + 10_000);
-      const quietReads = fleet.reads();
+      const quietReads = fleet.getReadCount();
       fleet.time.runUntil(fleet.time.now() + 2000);
-      const before = fleet.reads();
+      const before = fleet.getReadCount();
       const since = fleet.time.now();
       fleet.write(configuration(2));
       fleet.time.runUntil(since + 2000);
       expect(getSlowestMs(fleet, 2, since)).to.be.lessThan(BOUND_MS);
-      expect(fleet.reads() - before).to.be.at.most(before - quietReads + 4);
+      expect(fleet.getReadCount() - before).to.be.at.most(before - quietReads + 4);
     });
   }
 
