--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -1,6 +1,6 @@
 /**
  * The quarantine of a daemon that serves completions and application calls: requests whose attempts crashed
- * several back ends are kept from back ends. Receives the outcomes of attempts from the two managers and
+ * several back ends are no longer sent. Receives the outcomes of attempts from the two managers and
  * passes them to the quarantine machine in `src/quarantine`, which owns the state and the rules.
  */
 import type { Member } from '../membership/membership-messages.js';
@@ -45,8 +45,8 @@
     const getMemberIds = (): string[] => options.getMembers().map(({ id }) => id);
     const context = {
       selfId,
-      members: () => options.getMembers(),
-      isFirst: () => getRendezvousRank(CLEANER_KEY, getMemberIds(), selfId) === 0,
+      getMembers: () => options.getMembers(),
+      isCleaner: () => getRendezvousRank(CLEANER_KEY, getMemberIds(), selfId) === 0,
       hasOlderAttempt: ({ id }: BackendIncarnation, before: number) => options.hasOlderAttempt(id, before),
     };
     const onEffect = (effect: QuarantineEffect): void => this.onQuarantineEffect(effect);
--- a/src/parts/health-part.ts
+++ b/src/parts/health-part.ts
@@ -9,9 +9,9 @@
 
   constructor(private readonly context: PartContext) {
     super()
-    const {directory, getRoutes: routes, emit} = context
+    const {directory, getRoutes, emit} = context
     this.prober = new HealthProber(directory, probe => {
-      const healthPath = routes()?.getService(probe.backend.service)?.healthPath
+      const healthPath = getRoutes()?.getService(probe.backend.service)?.healthPath
       if (healthPath !== undefined) emit({kind: "probeBackend", probe, healthPath})
     })
   }
--- a/src/parts/request-hooks.ts
+++ b/src/parts/request-hooks.ts
@@ -6,7 +6,7 @@
 /// The hooks of the forwarding of requests that parts implement.
 type RequestHooks = Pick<
   ForwardContext,
-  | "onRequestBegan"
+  | "onExecutionStarted"
   | "getQuarantineMs"
   | "getIsolatedCaller"
   | "onAttemptBroken"
