--- a/test/reload-signal.test.ts
+++ b/test/reload-signal.test.ts
@@ -1,7 +1,7 @@
 /**
- * Guards against SIGHUP, which announces a changed settings file, ending a daemon. A completion daemon had no
- * handler for it, so the signal's default action ended the process with all its open requests. A ready daemon
- * that was sent one SIGHUP was terminated by it at once, without a log line.
+ * Guards against a daemon that is terminated by SIGHUP, the signal for a changed settings file. A completion
+ * daemon had no handler for it, so the signal's default action terminated the process with all its open requests.
+ * Seen with a ready daemon: one SIGHUP terminated it at once, without a log line.
  */
 import { expect } from 'chai';
 import { spawn } from 'node:child_process';
@@ -13,7 +13,7 @@
 import { delay } from '../src/shared/delay.js';
 import { SeededRandom } from '../src/shared/random.js';
 
-const PRODUCT = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
+const MAIN_MODULE = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
 const SIGNALS = 8;
 const SIGNAL_INTERVAL_MS = 250;
 /** A module loader that reports when the commands start to load, and delays them to simulate a slow start. */
@@ -57,8 +57,8 @@
     await running;
     const { child } = site.daemons[0];
     expect({ code: child.exitCode, signal: child.signalCode }).to.deep.equal({ code: null, signal: null });
-    const { sent, complete: whole } = load.getResult('policy-review');
-    expect(whole).to.equal(sent);
+    const { sent, complete } = load.getResult('policy-review');
+    expect(complete).to.equal(sent);
     const reloads = site.readLog(0).filter(({ event }) => event === 'process.reloaded');
     expect(reloads.map(({ valid }) => valid)).to.deep.equal([
       true,
@@ -72,9 +72,9 @@
     ]);
   });
 
-  it('is not ended by SIGHUP while it is loading', async () => {
+  it('is not terminated by SIGHUP while it is loading', async () => {
     const register = `import { register } from 'node:module'; register(${JSON.stringify(toDataUrl(SLOW_LOADER))});`;
-    const flags = ['--import', toDataUrl(register), PRODUCT, 'serve', '--settings', 'no-such-file'];
+    const flags = ['--import', toDataUrl(register), MAIN_MODULE, 'serve', '--settings', 'no-such-file'];
     const child = spawn(process.execPath, flags, { stdio: ['ignore', 'ignore', 'pipe'] });
     child.stderr.once('data', () => child.kill('SIGHUP'));
     const [code, signal] = (await once(child, 'exit')) as [number | null, string | null];
--- a/test/retry-budget.test.ts
+++ b/test/retry-budget.test.ts
@@ -1,7 +1,8 @@
 /**
  * The retry budget of a whole fleet, counted at the back ends, where it must hold.
  *
- * Guards against retries beyond ratio and slack while daemons are restarted, as users have seen on one service.
+ * Guards against more retries than the budget's ratio and slack allow while daemons are restarted; users saw this
+ * on one service.
  * The back ends reject every request as busy, so every daemon retries as much as it may; then daemons are
  * stopped or killed one after another within one window.
  */
@@ -74,8 +75,8 @@
     }
   }
 
-  /** The window in which the retries exceed the allowed number the most. */
-  findWorst(): { from: number; retries: number; allowed: number } {
+  /** Returns the window in which the retries exceed the allowed number the most. */
+  findWorstWindow(): { from: number; retries: number; allowed: number } {
     const { ratio, slack, windowMs } = BUDGET;
     const windows = this.retriesAt.map((from) => {
       const requests = Math.max(
@@ -106,7 +107,7 @@
     site.runUntil(FAULTS_FROM_MS);
     addFaults(site);
     site.runUntil(END_MS);
-    const { from, retries, allowed } = site.findWorst();
+    const { from, retries, allowed } = site.findWorstWindow();
     const what = `${perSecond} requests per second, window from ${from} ms`;
     expect(retries, what).to.be.at.most(allowed);
   }
--- a/test/stop-listening.test.ts
+++ b/test/stop-listening.test.ts
@@ -99,7 +99,7 @@
       });
     });
     caller.postMessage('begin');
-    // By the end of this the caller's message has arrived; it is handled in the first turn of `stopListening`.
+    // After this the caller's message has arrived; it is handled in the first turn of `stopListening`.
     block(20);
     await stopListening(server);
     expect(await answered).to.equal('HTTP/1.1 200 OK');
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -40,7 +40,7 @@
   }
 
   deliverAnswers(): void {
-    for (const take of this.answers.splice(0)) take();
+    for (const deliver of this.answers.splice(0)) deliver();
   }
 
   holds(): boolean {
@@ -75,15 +75,15 @@
     const step = fc.record({ ms: fc.nat(5000), suspendedMs: fc.nat(20_000), setBackMs: fc.nat(5000) });
     fc.assert(
       fc.property(fc.array(step), (steps) => {
-        const watch = new SuspensionDetector();
+        const detector = new SuspensionDetector();
         let [steady, wall] = [0, WALL_MS];
-        watch.observe(steady, wall);
+        detector.observe(steady, wall);
         for (const { ms, suspendedMs, setBackMs } of steps) {
           steady += ms;
           wall += ms + suspendedMs;
-          expect(watch.observe(steady, wall)).to.equal(suspendedMs > 250 ? suspendedMs : 0);
+          expect(detector.observe(steady, wall)).to.equal(suspendedMs > 250 ? suspendedMs : 0);
           wall -= setBackMs;
-          expect(watch.observe(steady, wall)).to.equal(0);
+          expect(detector.observe(steady, wall)).to.equal(0);
         }
       }),
       { seed: SEED, numRuns: 300 },
@@ -134,7 +134,7 @@
     expect(second.holds()).to.equal(false);
   });
 
-  it('treats its configuration as stale and denies no request by it', () => {
+  it('treats its configuration as stale and denies no request because of it', () => {
     const fleet = new ForwardingFleet(3, 1);
     fleet.write({
       collection: 'configuration',
--- a/test/true-refusals.test.ts
+++ b/test/true-refusals.test.ts
@@ -24,7 +24,7 @@
 
 type Step = { readonly event: ForwardAttemptEvent } | { readonly waitMs: number };
 
-const steps: fc.Arbitrary<Step> = fc.oneof(
+const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
   fc
     .constantFrom<ForwardAttemptEvent>(
       { kind: 'unreachable', reason: 'refused' },
@@ -69,7 +69,10 @@
     this.events.set(attemptId, [...this.getEvents(attemptId), kind]);
   }
 
-  /** Whether the back end may have executed the request: yes, unless it was unreachable or rejected it. */
+  /**
+   * Whether the back end may have executed the request: yes, unless it only computed the prompt, was unreachable or
+   * rejected the request.
+   */
   mayHaveExecuted({ attemptId, prefillOnly }: AttemptStart): boolean {
     const events = this.getEvents(attemptId);
     return !prefillOnly && !events.includes('unreachable') && !events.includes('notExecuted');
@@ -86,16 +89,16 @@
       const scenario = fc.record({
         engines: fc.boolean(),
         slack: fc.nat(3),
-        steps: fc.array(steps, { maxLength: 14 }),
+        steps: fc.array(stepArbitrary, { maxLength: 14 }),
       });
       fc.assert(
-        fc.property(scenario, ({ engines, slack, steps: scenarioSteps }) => {
+        fc.property(scenario, ({ engines, slack, steps }) => {
           const route = makeLabRoute({ kind, resumable: true, maximumAttempts: 3, timeoutMs: 3000 });
           const site = new Forwarding([route], engines ? ENGINES : BACKENDS, slack);
           site.begin({ callerDeadlineMs: 3000, ...(engines ? { prompt: PROMPT } : {}) });
           const attempts = new AttemptEvents();
           let now = 0;
-          for (const step of scenarioSteps) {
+          for (const step of steps) {
             const last = site.starts().at(-1);
             if ('waitMs' in step) site.manager.tick((now += step.waitMs));
             else if (last && attempts.isPossible(last, step.event)) {
--- a/test/unequal-engines.test.ts
+++ b/test/unequal-engines.test.ts
@@ -11,11 +11,12 @@
 
 const STREAM: Partial<Route> = { kind: 'stream', resumable: true, maximumAttempts: 2, targetLatencyMs: 200 };
 const EIGHT = ['1', '2', '3', '4'].flatMap((id) => [engine(`p${id}`, 'prefill'), engine(`d${id}`, 'decode')]);
-const SLOW = 5;
+/** Factor by which a slow back end is slower. */
+const SLOW_FACTOR = 5;
 const WORK_MS = 40;
 
-/** Requests that are sent at the same time. */
-const WAVE = 8;
+/** Number of requests that are sent at the same time. */
+const WAVE_SIZE = 8;
 
 /** A site that gets requests in waves, each answered before the next. */
 class Waves {
@@ -36,7 +37,7 @@
       this.now += 20;
       this.site.directory.paces.tick(this.now);
       this.site.effects.length = 0;
-      for (let index = 0; index < WAVE; index += 1) this.begin();
+      for (let index = 0; index < WAVE_SIZE; index += 1) this.begin();
       const starts = this.site.starts();
       for (const { backend } of starts) sent.set(backend.id, (sent.get(backend.id) ?? 0) + 1);
       this.answerAll(starts);
@@ -95,13 +96,13 @@
 }
 
 /**
- * Checks that a back end with its share of the load gets at most 0.6 of it, one request of a wave, after it has
- * become slow.
+ * Checks that a back end gets its share of the load, and after it has become slow at most 0.6 of that share: about
+ * one request per wave.
  */
 function expectAvoided(waves: Waves, id: string, minimumFactor: number): void {
   const before = waves.send(20).get(id) ?? 0;
-  expect(before).to.be.at.least(WAVE * 3);
-  waves.slowdowns.set(id, SLOW);
+  expect(before).to.be.at.least(WAVE_SIZE * 3);
+  waves.slowdowns.set(id, SLOW_FACTOR);
   waves.send(5);
   expect(waves.factor(id)).to.be.at.least(minimumFactor);
   expect(waves.send(20).get(id) ?? 0).to.be.at.most(before * 0.6);
@@ -109,16 +110,16 @@
 
 const SLACK = 50;
 /**
- * Least estimated factor of a slow back end after five waves. With several regions it already gets no more work, and
+ * Minimum estimated factor of a slow back end after five waves. With several regions it already gets no more work, and
  * so no more samples, at a factor below 2.
  */
-const PLACES = {
+const REGION_CASES = {
   'one region': { regionByZone: {}, minimumFactor: 2 },
   'several regions': { regionByZone: { 'zone-a': 'r1', 'zone-b': 'r2' }, minimumFactor: 1.3 },
 };
 
-for (const [places, { regionByZone, minimumFactor }] of Object.entries(PLACES))
-  describe(`back ends of unequal speed, ${places}`, () => {
+for (const [regions, { regionByZone, minimumFactor }] of Object.entries(REGION_CASES))
+  describe(`back ends of unequal speed, ${regions}`, () => {
     const plain = () => new Waves(new Forwarding([makeLabRoute({})], PLAIN, SLACK, regionByZone), () => ({}));
     const prefill = () =>
       new Waves(new Forwarding([makeLabRoute(STREAM)], EIGHT, SLACK, regionByZone), (count) => ({
@@ -150,12 +151,12 @@
       waves.slowdowns.delete('b2');
       waves.send(300);
       expect(waves.factor('b2')).to.be.below(1.5);
-      expect(waves.send(20).get('b2') ?? 0).to.be.at.least(WAVE * 4);
+      expect(waves.send(20).get('b2') ?? 0).to.be.at.least(WAVE_SIZE * 4);
     });
 
     it('one that is replaced at another address starts as average', () => {
       const waves = plain();
-      waves.slowdowns.set('b2', SLOW);
+      waves.slowdowns.set('b2', SLOW_FACTOR);
       waves.send(10);
       expect(waves.factor('b2')).to.be.at.least(minimumFactor);
       waves.site.directory.put({ ...PLAIN[1], address: '10.0.0.9:9' });
@@ -164,7 +165,7 @@
 
     it('one that is removed and added again starts as average', () => {
       const waves = plain();
-      waves.slowdowns.set('b2', SLOW);
+      waves.slowdowns.set('b2', SLOW_FACTOR);
       waves.send(10);
       waves.site.directory.remove('b2');
       waves.site.directory.put(PLAIN[1]);
--- a/test/word-of-a-new-copy.test.ts
+++ b/test/word-of-a-new-copy.test.ts
@@ -1,11 +1,11 @@
 /**
- * Requests were sent to a back end long after its removal, because all daemons but one had skipped the removal.
+ * Guards against requests to a back end long after its removal, because all daemons but one skip the removal.
  *
  * The store rejects the first reader, a ready back end's record is removed, and a daemon starts and reads a
  * snapshot. The snapshot is newer than the other copies and does not contain the removed back end. The daemon
  * reports to its peers that its copy is complete up to the snapshot and that its newest change is an old one, so
  * they treated their own copies as complete up to there, and the next reader read only the changes after it.
- * The removal is before that revision and was never read.
+ * The removal precedes the snapshot, so that reader never read it.
  *
  * Seen with 66 daemons and a bound of 3,000 ms, the start moved in steps of 25 ms: in 1 of 40 runs 29 of 30
  * daemons never knew of the removal. Virtual time.
