--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -9,7 +9,7 @@
 
 const TICK_MS = 100;
 
-/** Membership machines on a network whose links can be cut. */
+/** Membership state machines on a simulated network whose links can be cut. */
 class Group {
   now = 0;
   readonly machines = new Map<string, Membership>();
@@ -75,8 +75,8 @@
 
   it('groups that formed around different seeds merge once they are connected', () => {
     const group = new Group(12, () => ['10.0.0.0:7', '10.0.0.1:7']);
-    const left = (address: string): boolean => Number(address.split('.')[3].split(':')[0]) % 2 === 0;
-    group.cut = (from, to) => left(from) !== left(to);
+    const isLeft = (address: string): boolean => Number(address.split('.')[3].split(':')[0]) % 2 === 0;
+    group.cut = (from, to) => isLeft(from) !== isLeft(to);
     group.run(20_000);
     expect(group.getAliveCounts()).to.deep.equal(Array(12).fill(6));
     group.cut = () => false;
@@ -106,8 +106,8 @@
   it('the two sides of a partition declare each other dead and merge again when it heals', () => {
     const group = new Group(12);
     group.run(10_000);
-    const left = (address: string): boolean => Number(address.split('.')[3].split(':')[0]) < 5;
-    group.cut = (from, to) => left(from) !== left(to);
+    const isLeft = (address: string): boolean => Number(address.split('.')[3].split(':')[0]) < 5;
+    group.cut = (from, to) => isLeft(from) !== isLeft(to);
     group.run(40_000);
     expect(group.getAliveCounts()).to.deep.equal([...Array(5).fill(5), ...Array(7).fill(7)]);
     const minority = group.machines.get('10.0.0.1:7')?.getContact();
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -5,8 +5,8 @@
 import { ENGINES, Forwarding, prompt } from './forwarding-harness.js';
 
 const STREAM: Partial<Route> = { kind: 'stream', resumable: true, maximumAttempts: 2, targetLatencyMs: 200 };
-const OVERDUE_RANK = 9;
-const CALLER_MS = 2000;
+const OVERDUE_URGENCY = 9;
+const CALLER_DEADLINE_MS = 2000;
 
 /** A site without requests in flight, whose engines have been measured to compute 100 prompt tokens per millisecond. */
 function makeMeasuredSite(): Forwarding {
@@ -15,7 +15,11 @@
     const tokens = 1000 * (1 + (count % 4));
     const now = count * 1000;
     site.begin(
-      { id: `measured${count}`, prompt: prompt(tokens, 0, `k${count}`), callerDeadlineMs: CALLER_MS },
+      {
+        id: `measured${count}`,
+        prompt: prompt(tokens, 0, `k${count}`),
+        callerDeadlineMs: CALLER_DEADLINE_MS,
+      },
       now,
     );
     site.event({ kind: 'prefilled', handle: 'h' }, now + tokens / 100);
@@ -27,7 +31,7 @@
 }
 
 /** Sends `count` prompts of 4,000 tokens at the same time. */
-function sendMany(site: Forwarding, count: number, now: number, callerDeadlineMs = CALLER_MS): void {
+function sendMany(site: Forwarding, count: number, now: number, callerDeadlineMs = CALLER_DEADLINE_MS): void {
   for (let index = 0; index < count; index += 1)
     site.begin({ id: `b${now}-${index}`, prompt: prompt(4000, 0, `s${index}`), callerDeadlineMs }, now);
 }
@@ -42,20 +46,23 @@
   it('yield to others: both engines first get the prompts that meet the target', () => {
     const site = makeMeasuredSite();
     sendMany(site, 10, 30_000);
-    const ranks = site.starts().map((start) => start.urgency);
-    expect(ranks.filter((rank) => rank < OVERDUE_RANK)).to.have.length(6);
-    expect(ranks.slice(6).every((rank) => rank === OVERDUE_RANK)).to.equal(true);
+    const urgencies = site.starts().map((start) => start.urgency);
+    expect(urgencies.filter((urgency) => urgency < OVERDUE_URGENCY)).to.have.length(6);
+    expect(urgencies.slice(6).every((urgency) => urgency === OVERDUE_URGENCY)).to.equal(true);
   });
 
   it('do not make a later prompt overdue', () => {
     const site = makeMeasuredSite();
     sendMany(site, 10, 30_000);
-    const urgent = site.starts().filter((start) => start.urgency < OVERDUE_RANK);
+    const urgent = site.starts().filter((start) => start.urgency < OVERDUE_URGENCY);
     for (const { requestId, attemptId } of urgent)
       site.manager.receiveAttemptEvent(requestId, attemptId, { kind: 'prefilled', handle: 'h' }, 30_120);
-    site.begin({ id: 'later', prompt: prompt(4000, 0, 'later'), callerDeadlineMs: CALLER_MS }, 30_130);
+    site.begin(
+      { id: 'later', prompt: prompt(4000, 0, 'later'), callerDeadlineMs: CALLER_DEADLINE_MS },
+      30_130,
+    );
     expect(site.starts().at(-1)).to.include({ requestId: 'later', prefillOnly: true });
-    expect(site.starts().at(-1)?.urgency).to.be.lessThan(OVERDUE_RANK);
+    expect(site.starts().at(-1)?.urgency).to.be.lessThan(OVERDUE_URGENCY);
   });
 
   it('are never sent to decode engines, where they would delay every stream', () => {
@@ -78,7 +85,7 @@
     const before = getRefusalDelays(site).length;
     site.begin({ id: 'back', prompt: prompt(4000, 0, 'back'), callerDeadlineMs: 1400 }, 30_600);
     expect(getRefusalDelays(site)).to.have.length(before);
-    expect(site.starts().at(-1)).to.include({ requestId: 'back', urgency: OVERDUE_RANK });
+    expect(site.starts().at(-1)).to.include({ requestId: 'back', urgency: OVERDUE_URGENCY });
   });
 });
 
@@ -87,8 +94,8 @@
     const site = makeMeasuredSite();
     const shared = prompt(1000, 13_000, 'subject');
     site.kvIndex.addComputedPrompt('p1', shared, 440_000);
-    site.begin({ id: 'r1', prompt: shared, callerDeadlineMs: CALLER_MS }, 30_000);
-    site.begin({ id: 'r2', prompt: shared, callerDeadlineMs: CALLER_MS }, 30_000);
+    site.begin({ id: 'r1', prompt: shared, callerDeadlineMs: CALLER_DEADLINE_MS }, 30_000);
+    site.begin({ id: 'r2', prompt: shared, callerDeadlineMs: CALLER_DEADLINE_MS }, 30_000);
     const [first, second] = site.starts();
     expect(first).to.include({ copyFrom: undefined });
     expect(first.backend.id).to.equal('p1');
@@ -102,7 +109,7 @@
     const shared = prompt(1000, 13_000, 'subject');
     site.kvIndex.addComputedPrompt('p1', shared, 440_000);
     site.directory.get('p1')?.health.onUnreachable(30_000);
-    site.begin({ id: 'r1', prompt: shared, callerDeadlineMs: CALLER_MS }, 30_000);
+    site.begin({ id: 'r1', prompt: shared, callerDeadlineMs: CALLER_DEADLINE_MS }, 30_000);
     expect(site.starts()[0]).to.include({ copyFrom: undefined });
     expect(site.starts()[0].backend.id).to.equal('p2');
   });
--- a/test/peer-loads.test.ts
+++ b/test/peer-loads.test.ts
@@ -7,26 +7,30 @@
 const SEED = 20261204;
 const LIFETIME_MS = 2000;
 
-const load = fc.tuple(
+const loadArbitrary = fc.tuple(
   fc.constantFrom('a', 'b', 'c'),
   fc.nat({ max: 9 }),
   fc.nat({ max: 9000 }),
   fc.constantFrom(0, 1, 2),
 );
-const loads = fc.uniqueArray(load, { selector: ([id]) => id, maxLength: 3 });
-const step = fc.record({ peer: fc.constantFrom('p', 'q', 'r', 's'), loads, afterMs: fc.nat({ max: 900 }) });
+const loadsArbitrary = fc.uniqueArray(loadArbitrary, { selector: ([id]) => id, maxLength: 3 });
+const stepArbitrary = fc.record({
+  peer: fc.constantFrom('p', 'q', 'r', 's'),
+  loads: loadsArbitrary,
+  afterMs: fc.nat({ max: 900 }),
+});
 
 describe('loads of peers', () => {
   it('the sums are those of the unexpired digests, after any sequence of digests', () => {
     fc.assert(
-      fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
+      fc.property(fc.array(stepArbitrary, { maxLength: 40 }), (steps) => {
         const peers = new PeerLoads();
         const digests = new Map<string, { loads: readonly BackendLoad[]; at: number }>();
         let now = 0;
-        for (const { peer, loads: reported, afterMs } of steps) {
+        for (const { peer, loads, afterMs } of steps) {
           now += afterMs;
-          peers.applyDigest(peer, reported, now);
-          digests.set(peer, { loads: reported, at: now });
+          peers.applyDigest(peer, loads, now);
+          digests.set(peer, { loads, at: now });
           peers.removeOld(now);
         }
         for (const id of ['a', 'b', 'c']) {
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -113,7 +113,7 @@
 });
 
 describe('choice of a back end among regions', () => {
-  it('plain: the own zone while it has capacity, then the own region, another one only to avoid a long wait', () => {
+  it('plain: the local zone while it has capacity, then the local region, another one only to avoid a long wait', () => {
     const site = makeSite(
       makeRecord('zone-a', 'near'),
       makeRecord('zone-b', 'next'),
@@ -133,7 +133,7 @@
     expect(lastBackend(site)).to.equal('far');
   });
 
-  it('prompts: computed and generated in the own region while its engines are not clearly busier', () => {
+  it('prompts: computed and generated in the local region while its engines are not clearly busier', () => {
     const stages: [string, EngineStage][] = [
       ['p', 'prefill'],
       ['d', 'decode'],
@@ -154,7 +154,7 @@
     expect(lastBackend(site), 'both stages in the same region').to.equal('d-zone-c');
   });
 
-  it('short prompts: a decode engine of the own region', () => {
+  it('short prompts: a decode engine of the local region', () => {
     const site = makeSite(makeRecord('zone-b', 'near', 'decode'), makeRecord('zone-c', 'far', 'decode'));
     addLoad(site, 'near', 6);
     site.begin({ prompt: SHORT });
@@ -258,7 +258,7 @@
     expect(site.starts()).to.have.length(1);
   });
 
-  it('a link between regions of 200 ms: requests stay in the own region until they would wait longer than that', () => {
+  it('a link between regions of 200 ms: requests stay in the local region until they would wait longer than that', () => {
     const site = makeSite(makeRecord('zone-a', 'near', 'decode'), makeRecord('zone-c', 'far', 'decode'));
     for (let count = 0; count < 40; count += 1) site.roundTrips.addSample('r2', 'otherRegion', 400);
     // At 90 tokens a millisecond, 30,000 tokens are computed in 333 ms, and in twice that on a decode engine.
@@ -283,7 +283,7 @@
     expect(distances).to.deep.equal([['otherRegion'], [undefined]]);
   });
 
-  it('the log line of an attempt in another region has its cost there and the cost in the own region', () => {
+  it('the log line of an attempt in another region has its cost there and the cost in the local region', () => {
     const site = makeSite(makeRecord('zone-a', 'near'), makeRecord('zone-c', 'far'));
     addLoad(site, 'near', 40);
     site.begin();
--- a/test/restarted-back-ends.test.ts
+++ b/test/restarted-back-ends.test.ts
@@ -13,7 +13,7 @@
 
 const BORN_MS = 1_800_000_000_000;
 
-function bornAt(bornMs: number | undefined): BackendRecord {
+function makeBackend(bornMs: number | undefined): BackendRecord {
   return { ...makeLabBackend('b1', '10.0.0.1:80'), bornMs };
 }
 
@@ -44,14 +44,17 @@
 
 describe('a back end that restarts under its id', () => {
   it('is removed and added again; one whose record changes otherwise is not', () => {
-    const changed = { ...bornAt(BORN_MS), state: 'draining' as const };
-    expect(getChangeKinds([bornAt(BORN_MS), changed])).to.deep.equal(['backendChanged', 'backendChanged']);
-    expect(getChangeKinds([bornAt(BORN_MS), bornAt(BORN_MS + 5000)])).to.deep.equal([
+    const changed = { ...makeBackend(BORN_MS), state: 'draining' as const };
+    expect(getChangeKinds([makeBackend(BORN_MS), changed])).to.deep.equal([
+      'backendChanged',
+      'backendChanged',
+    ]);
+    expect(getChangeKinds([makeBackend(BORN_MS), makeBackend(BORN_MS + 5000)])).to.deep.equal([
       'backendChanged',
       'backendRemoved',
       'backendChanged',
     ]);
-    expect(getChangeKinds([bornAt(undefined), bornAt(BORN_MS)])).to.deep.equal([
+    expect(getChangeKinds([makeBackend(undefined), makeBackend(BORN_MS)])).to.deep.equal([
       'backendChanged',
       'backendChanged',
     ]);
@@ -72,7 +75,7 @@
   });
 
   it('is distinguished from the previous incarnation by its start time', () => {
-    expect(getIncarnation(bornAt(BORN_MS))).not.to.equal(getIncarnation(bornAt(BORN_MS + 1)));
-    expect(getIncarnation(bornAt(undefined))).to.equal('b1');
+    expect(getIncarnation(makeBackend(BORN_MS))).not.to.equal(getIncarnation(makeBackend(BORN_MS + 1)));
+    expect(getIncarnation(makeBackend(undefined))).to.equal('b1');
   });
 });
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -68,7 +68,7 @@
     expect(errors).to.equal(0);
   });
 
-  it('are not assumed where a peer only has nothing to send', async () => {
+  it('are not assumed where a peer merely has nothing to send', async () => {
     const address = await proxy.start();
     near.send(address, ping());
     await delay(REPLACED_MS);
@@ -106,7 +106,7 @@
     spare.close();
   });
 
-  async function ask(id: string, deadlineMs = 3000): Promise<{ status: number; ms: number }> {
+  async function sendRequest(id: string, deadlineMs = 3000): Promise<{ status: number; ms: number }> {
     const startedAt = performance.now();
     const answer = await fetch(`http://${site.callers}/a/x`, {
       headers: { 'X-Attempt-Id': id, 'X-Deadline-Ms': String(deadlineMs) },
@@ -115,31 +115,31 @@
     return { status: answer.status, ms: performance.now() - startedAt };
   }
 
-  it('a silent one makes the older ones suspect: after a second, requests use new ones', async () => {
+  it('a silent connection makes the older ones suspect: after a second, requests use new ones', async () => {
     site = await startForwardingSite(
       [makeLabRoute({ host: '127.0.0.1' })],
       [makeLabBackend('b1', await proxy.start())],
     );
-    await Promise.all(Array.from({ length: 8 }, (_, index) => ask(`warm${index}`)));
+    await Promise.all(Array.from({ length: 8 }, (_, index) => sendRequest(`warm${index}`)));
     proxy.silenceOpenConnections();
-    const first = ask('first');
+    const first = sendRequest('first');
     await delay(1600);
-    const later = await Promise.all(Array.from({ length: 7 }, (_, index) => ask(`later${index}`)));
+    const later = await Promise.all(Array.from({ length: 7 }, (_, index) => sendRequest(`later${index}`)));
     expect(later.map(({ status }) => status)).to.deep.equal(Array.from({ length: 7 }, () => 200));
     expect(Math.max(...later.map(({ ms }) => ms))).to.be.lessThan(600);
     await first;
   });
 
-  it('a request that waits on a silent one is retried elsewhere once its server answers on new ones', async () => {
+  it('a request that waits on a silent connection is retried elsewhere once its server answers on new ones', async () => {
     const route = makeLabRoute({ host: '127.0.0.1', timeoutMs: 8000, maximumAttempts: 2 });
     const proxied = makeLabBackend('b1', await proxy.start());
     site = await startForwardingSite([route], [proxied]);
-    await Promise.all([ask('warm1'), ask('warm2'), ask('warm3')]);
+    await Promise.all([sendRequest('warm1'), sendRequest('warm2'), sendRequest('warm3')]);
     proxy.silenceOpenConnections();
-    const waiting = ['first', 'second', 'third'].map((id) => ask(id, 8000));
+    const waiting = ['first', 'second', 'third'].map((id) => sendRequest(id, 8000));
     const answered: number[] = [];
     for (let count = 0; count < 15; count += 1) {
-      answered.push((await ask(`other${count}`)).status);
+      answered.push((await sendRequest(`other${count}`)).status);
       await delay(100);
     }
     site.store.put({
@@ -159,13 +159,13 @@
       [makeLabRoute({ host: '127.0.0.1' })],
       [makeLabBackend('b1', await proxy.start())],
     );
-    await Promise.all(Array.from({ length: 4 }, (_, index) => ask(`warm${index}`)));
+    await Promise.all(Array.from({ length: 4 }, (_, index) => sendRequest(`warm${index}`)));
     unanswered.add('slow');
-    const slow = ask('slow', 1900);
+    const slow = sendRequest('slow', 1900);
     const before = proxy.getConnectionCount();
     const end = performance.now() + 1800;
     while (performance.now() < end) {
-      await ask('quick');
+      await sendRequest('quick');
       await delay(50);
     }
     await slow;
--- a/test/store-reader.ts
+++ b/test/store-reader.ts
@@ -1,9 +1,9 @@
-/** Fleets in virtual time with a store and a few back ends, and which of the daemons follows the store. */
+/** Starts fleets in virtual time with a store and a few back ends, and finds the daemon that follows the store. */
 import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { ForwardingFleet, type FleetNode } from '../simulation/forwarding-fleet.js';
 import type { StoredRecord } from '../src/fleet/record-store.js';
 
-/** By then all daemons know each other and the store's records. Milliseconds. */
+/** Time at which all daemons know each other and the store's records. Milliseconds. */
 const SETTLED_MS = 6000;
 
 /** A back end's record in the store; without a value when it is gone. */
@@ -22,7 +22,7 @@
   return fleet;
 }
 
-/** The daemon with the most reads in a second without failures. Advances the time by that second. */
+/** Returns the daemon with the most reads in the next second, and advances the time by that second. No fault may be active. */
 export function findReader(fleet: ForwardingFleet): FleetNode {
   const before = fleet.nodes.map((node) => node.reads);
   fleet.time.runUntil(fleet.time.now() + 1000);
--- a/test/store-readers.test.ts
+++ b/test/store-readers.test.ts
@@ -13,7 +13,7 @@
 /** Number of steps of 10 ms after which a peer has received the report of a change. */
 const REPORTED_STEPS = 3;
 
-function configuration(version: number) {
+function makeConfigurationRecord(version: number) {
   return {
     collection: 'configuration' as const,
     revision: 0,
@@ -21,16 +21,16 @@
   };
 }
 
-function backend(id: string, state: 'ready' | 'draining' | 'gone') {
+function makeBackendRecord(id: string, state: 'ready' | 'draining' | 'gone') {
   const value = state === 'gone' ? undefined : { ...makeLabBackend(id, '10.1.0.1:80'), state };
   return { collection: 'backends' as const, id, revision: 0, value };
 }
 
 function startSettledFleet(count: number): ForwardingFleet {
   const fleet = new ForwardingFleet(count, SEED);
-  fleet.write(configuration(1));
-  fleet.write(backend('a', 'ready'));
-  fleet.write(backend('b', 'ready'));
+  fleet.write(makeConfigurationRecord(1));
+  fleet.write(makeBackendRecord('a', 'ready'));
+  fleet.write(makeBackendRecord('b', 'ready'));
   fleet.time.runUntil(SETTLED_MS);
   return fleet;
 }
@@ -65,15 +65,15 @@
       const snapshot = new Snapshot(`store-readers-${count}`);
       snapshot.add(`reads in 20 s without a change: ${fleet.getReadCount() - before}`);
       let since = fleet.time.now();
-      fleet.write(configuration(2));
+      fleet.write(makeConfigurationRecord(2));
       fleet.time.runUntil(since + 3000);
       snapshot.add(`configuration in force everywhere after ${Math.round(getSlowestMs(fleet, 2, since))} ms`);
       since = fleet.time.now();
-      fleet.write(backend('a', 'draining'));
+      fleet.write(makeBackendRecord('a', 'draining'));
       fleet.time.runUntil(since + 3000);
       snapshot.add(`draining known after ${Math.round(getSlowestStateMs(fleet, 'a', 'draining', since))} ms`);
       since = fleet.time.now();
-      fleet.write(backend('a', 'gone'));
+      fleet.write(makeBackendRecord('a', 'gone'));
       fleet.time.runUntil(since + 3000);
       snapshot.add(`removal known after ${Math.round(getSlowestStateMs(fleet, 'a', 'gone', since))} ms`);
       snapshot.add(`reads in all: ${fleet.getReadCount() - before}`);
@@ -88,12 +88,12 @@
   ];
   for (const [name, fail] of failures) {
     for (const count of [2, 9, 88]) {
-      it(`${count} daemons: a change when the reader ${name} is in force everywhere within the bound`, () => {
+      it(`${count} daemons: when the reader ${name}, a change is in force everywhere within the bound`, () => {
         const fleet = startSettledFleet(count);
         fail(findReader(fleet));
         const since = fleet.time.now();
-        fleet.write(configuration(2));
-        fleet.write(backend('a', 'draining'));
+        fleet.write(makeConfigurationRecord(2));
+        fleet.write(makeBackendRecord('a', 'draining'));
         fleet.time.runUntil(since + 5000);
         expect(getSlowestMs(fleet, 2, since)).to.be.lessThan(BOUND_MS);
         expect(getSlowestStateMs(fleet, 'a', 'draining', since)).to.be.lessThan(BOUND_MS);
@@ -108,8 +108,8 @@
     for (const node of fleet.nodes.filter((other) => other !== reader).slice(0, 2)) node.access = 'silent';
     for (let version = 2; version < 8; version += 1) {
       const since = fleet.time.now();
-      fleet.write(configuration(version));
-      fleet.write(backend(`new-${version}`, 'ready'));
+      fleet.write(makeConfigurationRecord(version));
+      fleet.write(makeBackendRecord(`new-${version}`, 'ready'));
       fleet.time.runUntil(since + 2500);
       expect(getSlowestMs(fleet, version, since)).to.be.lessThan(BOUND_MS);
       expect(getSlowestStateMs(fleet, `new-${version}`, 'ready', since)).to.be.lessThan(BOUND_MS);
@@ -124,7 +124,7 @@
       fleet.time.runUntil(fleet.time.now() + 2000);
       const before = fleet.getReadCount();
       const since = fleet.time.now();
-      fleet.write(configuration(2));
+      fleet.write(makeConfigurationRecord(2));
       fleet.time.runUntil(since + 2000);
       expect(getSlowestMs(fleet, 2, since)).to.be.lessThan(BOUND_MS);
       expect(fleet.getReadCount() - before).to.be.at.most(before - quietReads + 4);
@@ -160,7 +160,7 @@
   });
 
   for (const count of [9, 66]) {
-    it(`${count} daemons on slow links: a confirmation that is forwarded in a circle does not appear newer`, () => {
+    it(`${count} daemons on slow links: a confirmation that is forwarded in a cycle does not appear newer`, () => {
       const fleet = startSettledFleet(count);
       fleet.networkMs = SLOW_NETWORK_MS;
       fleet.time.runUntil(fleet.time.now() + 5000);
@@ -184,10 +184,10 @@
   });
 
   for (const access of ['refuses', 'silent'] as const) {
-    it(`all daemons start while the store ${access}: callers get increasing retry times; all serve soon after`, () => {
+    it(`all daemons start (access to the store: ${access}): callers get increasing retry times; all serve soon after`, () => {
       const fleet = new ForwardingFleet(7, SEED);
-      fleet.write(configuration(1));
-      fleet.write(backend('a', 'ready'));
+      fleet.write(makeConfigurationRecord(1));
+      fleet.write(makeBackendRecord('a', 'ready'));
       for (const node of fleet.nodes) node.access = access;
       const snapshot = new Snapshot(`store-outage-at-start-${access}`);
       for (const at of [50, 500, 1500, 2900]) {
@@ -207,7 +207,7 @@
   it('a single daemon without records reads within 350 ms of the recovery of the store, at any time', () => {
     for (let backAt = 2000; backAt < 6000; backAt += 173) {
       const fleet = new ForwardingFleet(1, SEED);
-      fleet.write(configuration(1));
+      fleet.write(makeConfigurationRecord(1));
       fleet.nodes[0].access = 'refuses';
       fleet.time.runUntil(backAt);
       fleet.nodes[0].access = 'serves';
--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -225,7 +225,7 @@
     fleet.write({ collection: 'configuration', revision: 0, value });
   }
 
-  it('a removed key is denied in time also by daemons that the store refuses, and never as unknown by one that is cut off', () => {
+  it('a removed key is denied in time also by daemons that the store refuses or does not answer', () => {
     for (const access of ['refuses', 'silent'] as const) {
       const fleet = makeFleetWithKeys();
       for (const node of fleet.nodes.slice(0, 4)) node.access = access;
--- a/test/true-refusals.test.ts
+++ b/test/true-refusals.test.ts
@@ -118,7 +118,7 @@
     });
   }
 
-  it('discard an answer that is not passed on', () => {
+  it('an answer that is not passed on is discarded', () => {
     const site = new Forwarding([makeLabRoute({ maximumAttempts: 2 })], BACKENDS);
     site.begin();
     const [first] = site.starts();
@@ -129,7 +129,7 @@
     ]);
   });
 
-  it('discard a failure that arrives in place of the rest of a stream', () => {
+  it('a failure that arrives in place of the rest of a stream is discarded', () => {
     const site = new Forwarding(
       [makeLabRoute({ kind: 'stream', resumable: true, maximumAttempts: 2 })],
       BACKENDS,
