--- a/test/pace-book.test.ts
+++ b/test/pace-book.test.ts
@@ -15,7 +15,8 @@
 
 /** Engines whose answer times deviate by about half of their mean. */
 class Engines {
-  readonly speeds = new Map<string, number>();
+  /** Factor by which each engine is slower, by id. */
+  readonly slowdowns = new Map<string, number>();
   private now = 0;
 
   constructor(
@@ -24,7 +25,7 @@
   ) {}
 
   /** Each engine answers once per round, `intervalMs` apart. */
-  answer(rounds: number, intervalMs: number, ids: Iterable<string> = [...this.speeds.keys()]): void {
+  answer(rounds: number, intervalMs: number, ids: Iterable<string> = [...this.slowdowns.keys()]): void {
     const answering = [...ids];
     for (let round = 0; round < rounds; round += 1) {
       this.now += intervalMs;
@@ -46,28 +47,28 @@
   private answerOnce(id: string): void {
     const tokens = 1000 + this.random.below(20_000);
     const noise = 0.2 + 1.6 * this.random.next();
-    const ms = (FIXED_MS + tokens / TOKENS_PER_MS) * (this.speeds.get(id) ?? 1) * noise;
+    const ms = (FIXED_MS + tokens / TOKENS_PER_MS) * (this.slowdowns.get(id) ?? 1) * noise;
     this.tracker.get(id).addSample(GROUP, tokens, ms);
   }
 }
 
 function makeEngines(
-  speeds: readonly number[],
+  slowdowns: readonly number[],
   settings: PaceTrackerSettings = DEFAULT_PACE_TRACKER_SETTINGS,
 ): Engines {
   const engines = new Engines(new PaceTracker(settings), new SeededRandom(SEED));
-  speeds.forEach((speed, index) => engines.speeds.set(`engine-${index}`, speed));
+  slowdowns.forEach((slowdown, index) => engines.slowdowns.set(`engine-${index}`, slowdown));
   return engines;
 }
 
-const TWO_SPEEDS = Array.from({ length: 27 }, (_, index) => (index % 3 === 2 ? 1.3 : 1));
+const TWO_SLOWDOWNS = Array.from({ length: 27 }, (_, index) => (index % 3 === 2 ? 1.3 : 1));
 
 describe('paces of back ends', () => {
   it('separates two speeds that differ by a factor of 1.3 after twenty samples an engine, 400 ms apart', () => {
-    const engines = makeEngines(TWO_SPEEDS);
+    const engines = makeEngines(TWO_SLOWDOWNS);
     engines.answer(20, 400);
-    const mean = (speed: number) => {
-      const ids = [...engines.speeds].filter(([, own]) => own === speed).map(([id]) => id);
+    const mean = (slowdown: number) => {
+      const ids = [...engines.slowdowns].filter(([, other]) => other === slowdown).map(([id]) => id);
       return ids.reduce((sum, id) => sum + engines.factor(id), 0) / ids.length;
     };
     expect(mean(1.3) / mean(1)).to.be.within(1.12, 1.35);
@@ -77,7 +78,7 @@
     const engines = makeEngines(Array<number>(27).fill(1));
     for (let step = 0; step < 20; step += 1) {
       engines.answer(5, 400);
-      for (const id of engines.speeds.keys()) expect(engines.factor(id)).to.be.within(0.65, 1.45);
+      for (const id of engines.slowdowns.keys()) expect(engines.factor(id)).to.be.within(0.65, 1.45);
     }
     expect(engines.tracker.takeChanges()).to.deep.equal([]);
   });
@@ -85,13 +86,13 @@
   it('detects an engine that becomes five times slower within six samples, and its recovery within eight', () => {
     const engines = makeEngines(Array<number>(27).fill(1));
     engines.answer(40, 400);
-    engines.speeds.set('engine-3', 5);
+    engines.slowdowns.set('engine-3', 5);
     engines.answer(6, 400);
     expect(engines.factor('engine-3')).to.be.at.least(2);
     expect(engines.tracker.takeChanges().map(({ id, slow }) => ({ id, slow }))).to.deep.equal([
       { id: 'engine-3', slow: true },
     ]);
-    engines.speeds.set('engine-3', 1);
+    engines.slowdowns.set('engine-3', 1);
     engines.answer(8, 400);
     expect(engines.factor('engine-3')).to.be.below(1.5);
     expect(engines.tracker.takeChanges().map(({ id, slow }) => ({ id, slow }))).to.deep.equal([
@@ -103,8 +104,8 @@
     const engines = makeEngines(Array<number>(9).fill(1));
     engines.answer(40, 400);
     for (let step = 0; step < 5; step += 1)
-      for (const id of engines.speeds.keys()) engines.tracker.get(id).applySamples(12, 3);
-    for (const id of engines.speeds.keys()) expect(engines.factor(id)).to.be.at.least(2);
+      for (const id of engines.slowdowns.keys()) engines.tracker.get(id).applySamples(12, 3);
+    for (const id of engines.slowdowns.keys()) expect(engines.factor(id)).to.be.at.least(2);
     expect(engines.tracker.takeChanges()).to.deep.equal([]);
     engines.tracker.get('engine-3').applySamples(800, 100);
     expect(engines.tracker.takeChanges().map(({ id }) => id)).to.deep.equal(['engine-3']);
@@ -113,7 +114,7 @@
   it('does not estimate the others as more than twice as fast when 4 of 28 engines become slow', () => {
     const engines = makeEngines(Array<number>(28).fill(1));
     engines.answer(40, 400);
-    for (const index of [1, 8, 15, 22]) engines.speeds.set(`engine-${index}`, 5);
+    for (const index of [1, 8, 15, 22]) engines.slowdowns.set(`engine-${index}`, 5);
     engines.answer(12, 400);
     expect(engines.factor('engine-1') / engines.factor('engine-0')).to.be.at.least(2.5);
     expect(engines.factor('engine-0')).to.be.within(0.5, 1.2);
@@ -121,7 +122,7 @@
 
   it('returns a slow engine that gets no work to nearly average within 20 s, so that it is tried again', () => {
     const engines = makeEngines(Array<number>(27).fill(1));
-    engines.speeds.set('engine-3', 5);
+    engines.slowdowns.set('engine-3', 5);
     engines.answer(40, 400);
     const slow = engines.factor('engine-3');
     engines.wait(20_000);
@@ -142,21 +143,21 @@
 
   it('starts a replaced engine from the prior', () => {
     const engines = makeEngines(Array<number>(5).fill(1));
-    engines.speeds.set('engine-3', 5);
+    engines.slowdowns.set('engine-3', 5);
     engines.answer(40, 400);
     engines.tracker.remove('engine-3');
     expect(engines.factor('engine-3')).to.equal(1);
   });
 
   it('gives nearly the same estimates from the samples of other daemons', () => {
-    const [sender, receiver] = [makeEngines(TWO_SPEEDS), new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS)];
-    for (const id of sender.speeds.keys()) receiver.get(id);
+    const [sender, receiver] = [makeEngines(TWO_SLOWDOWNS), new PaceTracker(DEFAULT_PACE_TRACKER_SETTINGS)];
+    for (const id of sender.slowdowns.keys()) receiver.get(id);
     for (let step = 0; step < 40; step += 1) {
       sender.answer(1, 400);
       receiver.applySamples(sender.tracker.takeSamples());
       receiver.tick((step + 1) * 400);
     }
-    for (const id of sender.speeds.keys())
+    for (const id of sender.slowdowns.keys())
       expect(receiver.get(id).factor()).to.be.closeTo(sender.factor(id), 0.12);
     expect(sender.tracker.takeSamples()).to.deep.equal([]);
     receiver.applySamples([['unknown', 3, 1]]);
--- a/test/platform-connection.test.ts
+++ b/test/platform-connection.test.ts
@@ -1,3 +1,4 @@
+/** A connection to the platform that goes silent is closed and replaced after one unanswered call. */
 import { createServer, type AddressInfo, type Socket } from 'node:net';
 import { expect } from 'chai';
 import { Client } from 'undici';
@@ -12,6 +13,7 @@
 
 /** A service that neither answers on connections marked as silent nor closes them. */
 class SilentService {
+  /** The number of the connection, counted from 1, of each request received. */
   readonly served: number[] = [];
   private readonly silent = new Set<number>();
   private readonly sockets = new Set<Socket>();
@@ -77,7 +79,7 @@
 
   after(() => service.stop());
 
-  it('is not reused after a time-out: the next call is answered on a new one', async () => {
+  it('is not reused after a timeout: the next call is answered on a new one', async () => {
     const connection = new PlatformConnection(address);
     const call = { method: 'GET' as const, path: '/', timeoutMs: TIMEOUT_MS };
     expect((await connection.call(call)).status).to.equal(200);
@@ -114,14 +116,14 @@
     const store = new StoreClient(address, () => undefined);
     const table = new TableClient(address);
     const read = { collection: 'configuration' as const, after: undefined, waitMs: 0, answerTimeoutMs: 800 };
-    for (const ask of [
+    for (const call of [
       () => store.read(read),
       () => table.perform({ kind: 'read', table: 'leases', key: 'k' }),
     ]) {
-      expect((await ask()).kind).to.not.equal('noAnswer');
+      expect((await call()).kind).to.not.equal('noAnswer');
       service.silence();
-      expect((await ask()).kind).to.equal('noAnswer');
-      expect((await ask()).kind).to.not.equal('noAnswer');
+      expect((await call()).kind).to.equal('noAnswer');
+      expect((await call()).kind).to.not.equal('noAnswer');
     }
   });
 });
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -56,7 +56,7 @@
   resumable: true,
 };
 
-function configuration(route: object): string {
+function encodeConfiguration(route: object): string {
   return JSON.stringify({ version: 7, routes: [route], services: [{ name: 's' }] });
 }
 
@@ -100,8 +100,8 @@
     for (const boundMs of [2000, 3000, 4000, 6000]) {
       const text = SETTINGS.replace(/config_ms = \d+/, `config_ms = ${boundMs}`);
       const { replica } = createProcessSettings(checkPlatformSettings(text)).daemon;
-      const longestPauseMs = replica.backoffMs * 1.5;
-      const secondReadAt = replica.maximumStandbyDelayMs + replica.firstAnswerTimeoutMs + longestPauseMs;
+      const longestBackOffMs = replica.backoffMs * 1.5;
+      const secondReadAt = replica.maximumStandbyDelayMs + replica.firstAnswerTimeoutMs + longestBackOffMs;
       expect(secondReadAt).to.be.at.most(boundMs - SECOND_READ_MS);
       expect(replica.firstAnswerTimeoutMs).to.be.within(100, replica.answerTimeoutMs);
     }
@@ -126,14 +126,14 @@
 
 describe('records of the store', () => {
   it('a configuration is parsed into routes', () => {
-    const { version, routes } = readConfiguration(configuration(ROUTE));
+    const { version, routes } = readConfiguration(encodeConfiguration(ROUTE));
     expect(version).to.equal(7);
     expect(routes[0]).to.include({ kind: 'stream', resumable: true, targetLatencyMs: 300 });
     expect(routes[0].targets).to.deep.equal([{ service: 's', weight: 1 }]);
   });
 
   it('errors name an invalid field', () => {
-    const wrong = configuration({ ...ROUTE, timeout_ms: 'soon' });
+    const wrong = encodeConfiguration({ ...ROUTE, timeout_ms: 'soon' });
     expect(() => readConfiguration(wrong)).to.throw(ValidationError, /routes\.0\.timeout_ms/);
     expect(() => readServer('i', '{"service":"s","addr":"a","zone":"z","slots":0,"state":"ready"}')).to.throw(
       ValidationError,
@@ -183,8 +183,8 @@
   });
 
   it('an invalid record is reported and skipped, and the others are used', async () => {
-    const bad: string[] = [];
-    const store = new StoreClient(address, (key) => bad.push(key));
+    const invalidKeys: string[] = [];
+    const store = new StoreClient(address, (key) => invalidKeys.push(key));
     const good = { service: 's', addr: '10.0.0.1:80', zone: 'z', slots: 4, state: 'ready' };
     const encode = (value: unknown): string => Buffer.from(JSON.stringify(value)).toString('base64');
     const rows = [
@@ -199,7 +199,7 @@
       waitMs: 0,
       answerTimeoutMs: 800,
     });
-    expect(bad).to.deep.equal(['b']);
+    expect(invalidKeys).to.deep.equal(['b']);
     expect(result).to.include({ kind: 'snapshot', revision: 9 });
     if (result.kind === 'snapshot')
       expect(result.records.map((record) => record.value?.constructor === Object)).to.deep.equal([
@@ -208,9 +208,9 @@
       ]);
   });
 
-  it('entries of other writers are not servers, and the others are used', async () => {
-    const bad: string[] = [];
-    const store = new StoreClient(address, (key) => bad.push(key));
+  it('entries that are not valid servers are reported and skipped, and the others are used', async () => {
+    const invalidKeys: string[] = [];
+    const store = new StoreClient(address, (key) => invalidKeys.push(key));
     const good = {
       service: 's',
       addr: '10.0.0.1:80',
@@ -254,7 +254,9 @@
         ['goodToo', good.born],
       ]);
     }
-    expect(new Set(bad)).to.deep.equal(new Set([...Object.keys(invalid), 'bytes', 'noText', '(row)']));
+    expect(new Set(invalidKeys)).to.deep.equal(
+      new Set([...Object.keys(invalid), 'bytes', 'noText', '(row)']),
+    );
   });
 
   it('rejections, discarded histories and missing answers are distinguished', async () => {
@@ -271,14 +273,14 @@
   });
 
   it('an invalid stored row is reported and counts as empty', async () => {
-    const bad: string[] = [];
-    const table = new TableClient(address, (key, error) => bad.push(`${key} ${error.code}`));
+    const invalidKeys: string[] = [];
+    const table = new TableClient(address, (key, error) => invalidKeys.push(`${key} ${error.code}`));
     const value = Buffer.from('{"writeId":').toString('base64');
     answer = () => ({ status: 200, body: { rows: [{ key: 'k', ver: 3, value }], ver: 9 } });
     const result = await table.perform({ kind: 'read', table: 'leases', key: 'k' });
     const row = { table: 'leases', key: 'k', revision: 3, value: null };
     expect(result).to.deep.equal({ kind: 'row', row });
-    expect(bad).to.deep.equal(['k invalid-input']);
+    expect(invalidKeys).to.deep.equal(['k invalid-input']);
   });
 
   it('a row whose key has spaces is found, although the store reads + as a plus sign', async () => {
--- a/test/policies.test.ts
+++ b/test/policies.test.ts
@@ -21,14 +21,14 @@
 const SEED = 20261202;
 const capability = getCapability(DEFAULT_ENGINE_MODEL_SETTINGS);
 
-function assignment(role: EngineRole, version = 1): EngineAssignment {
+function makeAssignment(role: EngineRole, version = 1): EngineAssignment {
   return { role, model: 'm', version, adapters: [] };
 }
 
-function allocatable(roles: readonly EngineRole[]): AllocatableEngine[] {
+function makeEngines(roles: readonly EngineRole[]): AllocatableEngine[] {
   return roles.map((role, index) => ({
     id: `e${index}`,
-    assignment: assignment(role),
+    assignment: makeAssignment(role),
     capability,
     streams: index,
     cachedShare: 0,
@@ -37,7 +37,7 @@
   }));
 }
 
-function demand(prefillPerSecond: number, decodePerSecond: number, version = 1): ModelDemand {
+function makeDemand(prefillPerSecond: number, decodePerSecond: number, version = 1): ModelDemand {
   return { model: 'm', version, adapters: [], prefillPerSecond, decodePerSecond };
 }
 
@@ -85,10 +85,10 @@
 });
 
 describe('engine picker', () => {
-  function view(id: string, role: EngineRole, streams: number, waitingPrefillTokens = 0): EngineView {
+  function makeView(id: string, role: EngineRole, streams: number, waitingPrefillTokens = 0): EngineView {
     const engine = new EngineView(id, id, 'z', 'c', 5000);
     const report: EngineReport = {
-      assignment: assignment(role),
+      assignment: makeAssignment(role),
       phase: 'active',
       streams,
       maximumStreams: 64,
@@ -114,27 +114,27 @@
   const picker = new EnginePicker(DEFAULT_PICKER_SETTINGS, 'z', new SeededRandom(1));
 
   it('picks the least loaded engine, and tells busy from missing engines', () => {
-    const picked = picker.pick(request, [view('a', 'mixed', 10, 9000), view('b', 'mixed', 10, 0)], 0);
+    const picked = picker.pick(request, [makeView('a', 'mixed', 10, 9000), makeView('b', 'mixed', 10, 0)], 0);
     expect(picked.kind === 'chosen' && picked.choice.generate.id).to.equal('b');
-    expect(picker.pick(request, [view('a', 'mixed', 64)], 0).kind).to.equal('busy');
-    expect(picker.pick({ ...request, version: 2 }, [view('a', 'mixed', 0)], 0).kind).to.equal('none');
+    expect(picker.pick(request, [makeView('a', 'mixed', 64)], 0).kind).to.equal('busy');
+    expect(picker.pick({ ...request, version: 2 }, [makeView('a', 'mixed', 0)], 0).kind).to.equal('none');
   });
 
   it('sends a long prompt to a prefill engine only where its first token is expected earlier', () => {
-    const idle = [view('p', 'prefill', 0), view('d', 'decode', 0), view('m', 'mixed', 0, 20_000)];
+    const idle = [makeView('p', 'prefill', 0), makeView('d', 'decode', 0), makeView('m', 'mixed', 0, 20_000)];
     const split = picker.pick(request, idle, 0);
     expect(split.kind === 'chosen' && split.choice.prefill?.id).to.equal('p');
-    const busy = [view('p', 'prefill', 0, 60_000), view('d', 'decode', 0), view('m', 'mixed', 0)];
+    const busy = [makeView('p', 'prefill', 0, 60_000), makeView('d', 'decode', 0), makeView('m', 'mixed', 0)];
     const direct = picker.pick(request, busy, 0);
     expect(direct.kind === 'chosen' && direct.choice.prefill).to.equal(undefined);
   });
 
   it('never picks an engine that is draining, leaving or ejected', () => {
-    const draining = view('a', 'mixed', 0);
+    const draining = makeView('a', 'mixed', 0);
     draining.markPhase('draining', 1);
-    const leaving = view('b', 'mixed', 0);
+    const leaving = makeView('b', 'mixed', 0);
     leaving.listedLeaving = true;
-    const failing = view('c', 'mixed', 0);
+    const failing = makeView('c', 'mixed', 0);
     for (let count = 0; count < 3; count += 1)
       failing.addFailure(0, {
         reportLagMs: 0,
@@ -151,8 +151,8 @@
   it('changes nothing when the gain is below the cost of the change', () => {
     expect(
       planNextChange(
-        allocatable(['mixed', 'mixed', 'mixed', 'mixed']),
-        [demand(10_000, 1000)],
+        makeEngines(['mixed', 'mixed', 'mixed', 'mixed']),
+        [makeDemand(10_000, 1000)],
         DEFAULT_ALLOCATION_SETTINGS,
       ),
     ).to.equal(undefined);
@@ -160,28 +160,32 @@
 
   it('moves engines from an idle role to an overloaded one', () => {
     const change = planNextChange(
-      allocatable(['prefill', 'prefill', 'prefill', 'decode']),
-      [demand(2000, 9000)],
+      makeEngines(['prefill', 'prefill', 'prefill', 'decode']),
+      [makeDemand(2000, 9000)],
       DEFAULT_ALLOCATION_SETTINGS,
     );
     expect(change?.assignment.role).to.be.oneOf(['decode', 'mixed']);
     const costlierChange = { ...DEFAULT_ALLOCATION_SETTINGS, roleChangeCostSeconds: 10_000 };
     expect(
       planNextChange(
-        allocatable(['prefill', 'prefill', 'prefill', 'decode']),
-        [demand(2000, 9000)],
+        makeEngines(['prefill', 'prefill', 'prefill', 'decode']),
+        [makeDemand(2000, 9000)],
         costlierChange,
       ),
     ).to.equal(undefined);
   });
 
   it('gives a new version an engine, and never takes the last one of another', () => {
-    const engines = allocatable(['mixed', 'mixed']);
-    const change = planNextChange(engines, [demand(10, 10), demand(10, 10, 2)], DEFAULT_ALLOCATION_SETTINGS);
+    const engines = makeEngines(['mixed', 'mixed']);
+    const change = planNextChange(
+      engines,
+      [makeDemand(10, 10), makeDemand(10, 10, 2)],
+      DEFAULT_ALLOCATION_SETTINGS,
+    );
     expect(change?.assignment.version).to.equal(2);
     const withoutDonor = planNextChange(
-      allocatable(['mixed']),
-      [demand(10, 10), demand(10, 10, 2)],
+      makeEngines(['mixed']),
+      [makeDemand(10, 10), makeDemand(10, 10, 2)],
       DEFAULT_ALLOCATION_SETTINGS,
     );
     expect(withoutDonor).to.equal(undefined);
@@ -199,8 +203,8 @@
         fc.nat({ max: 20_000 }),
         fc.nat({ max: 50 }),
         (currentRoles, prefill, decode, cost) => {
-          const engines = allocatable(currentRoles);
-          const change = planNextChange(engines, [demand(prefill, decode)], {
+          const engines = makeEngines(currentRoles);
+          const change = planNextChange(engines, [makeDemand(prefill, decode)], {
             ...DEFAULT_ALLOCATION_SETTINGS,
             roleChangeCostSeconds: cost,
           });
@@ -220,7 +224,7 @@
     const count = fc.nat({ max: 6 });
     fc.assert(
       fc.property(count, count, count, (prefill, decode, mixed) => {
-        const load = demand(20_000, 4000);
+        const load = makeDemand(20_000, 4000);
         const factor = servableFactor({ prefill, decode, mixed }, load, capability);
         expect(servableFactor({ prefill, decode, mixed: mixed + 1 }, load, capability)).to.be.at.least(
           factor,
--- a/test/quota-requests.test.ts
+++ b/test/quota-requests.test.ts
@@ -131,7 +131,7 @@
     ]);
   });
 
-  it('charge a request once whose prompt is computed separately', () => {
+  it('charge a request whose prompt is computed separately only once', () => {
     const daemon = makeForwarding({ kind: 'granted' }, ENGINES, makeLabRoute({ kind: 'stream' }));
     begin(daemon, { prompt: prompt(500, 500), usageTokens: 1010 });
     daemon.event({ kind: 'prefilled', handle: 'h' }, 10);
@@ -179,10 +179,10 @@
 
   it('add both token numbers of a request and ignore invalid ones', () => {
     const dialect = new HttpDialect();
-    const tokensOf = (value: string): number | undefined =>
+    const parseTokens = (value: string): number | undefined =>
       dialect.parseCallerHead(['X-Token-Usage', value]).usageTokens;
-    expect(tokensOf('1460,80')).to.equal(1540);
-    expect(tokensOf('1460')).to.equal(1460);
-    for (const wrong of ['-5,3', 'many', '1,x']) expect(tokensOf(wrong)).to.equal(undefined);
+    expect(parseTokens('1460,80')).to.equal(1540);
+    expect(parseTokens('1460')).to.equal(1460);
+    for (const wrong of ['-5,3', 'many', '1,x']) expect(parseTokens(wrong)).to.equal(undefined);
   });
 });
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -168,7 +168,7 @@
   });
 
   for (const through of [72, 3]) {
-    it(`serve a tenant at 4 times its limit, through ${through} daemons, no more and little less than the limit`, () => {
+    it(`serve a tenant that sends 4 times its limit through ${through} daemons no more than the limit, and little less`, () => {
       const fleet = makeFleet();
       fleet.time.runUntil(5000);
       startTraffic(fleet, 't', fleet.nodes.slice(0, through), 4 * LIMIT.ratePerSecond, 30_000);
@@ -280,7 +280,7 @@
     checkWindow(fleet);
   });
 
-  it('hold a daemon that is partitioned while the limit is lowered to its allowance', () => {
+  it('hold after the limit is lowered, although partitioned daemons do not learn of it', () => {
     const fleet = makeFleet();
     const lower = { ratePerSecond: 6000, burst: 6000 };
     fleet.time.runUntil(5000);
@@ -360,7 +360,7 @@
           startTraffic(fleet, 't', fleet.nodes.slice(0, through), 6 * LIMIT.ratePerSecond, 32_000, seed);
           for (const { kind, at, forMs, share, from } of faults) {
             const first = Math.floor(from * count);
-            const hit = [...fleet.nodes, ...fleet.nodes].slice(
+            const affected = [...fleet.nodes, ...fleet.nodes].slice(
               first,
               first + Math.max(1, Math.floor(share * count)),
             );
@@ -370,11 +370,11 @@
                 fleet.time.after(forMs, () => (fleet.lossRate = 0));
               } else if (kind === 'kill')
                 fleet.kill(
-                  hit.filter((node) => !node.down),
+                  affected.filter((node) => !node.down),
                   forMs,
                 );
-              else if (kind === 'cut') for (const node of hit) fleet.partition(node, forMs);
-              else for (const node of hit) fleet.pause(node, forMs);
+              else if (kind === 'cut') for (const node of affected) fleet.partition(node, forMs);
+              else for (const node of affected) fleet.pause(node, forMs);
             });
           }
           fleet.time.runUntil(33_000);
--- a/test/ready-connections.test.ts
+++ b/test/ready-connections.test.ts
@@ -10,12 +10,12 @@
 import { findHeader, ScriptedBackend } from '../lab/scripted-backend.js';
 import { checkPlatformSettings, createProcessSettings } from '../platform/settings.js';
 
-const LIMIT = 60;
+const CONNECTION_LIMIT = 60;
 /** Longer than a connection must be idle before it may be closed for a new one. Milliseconds. */
 const IDLE_MS = 300;
 const SIGNED = 'X-Server-Signature: s1\r\n';
 
-describe('a daemon that is ready', () => {
+describe('a daemon that reports its readiness', () => {
   let site: ForwardingSite;
   let backend: ScriptedBackend;
   let sockets: Socket[];
@@ -31,7 +31,7 @@
     });
     const record = { ...makeLabBackend('b1', await backend.listen()), slots: 1000 };
     const route = makeLabRoute({ host: '127.0.0.1', timeoutMs: 20_000, targetLatencyMs: 20_000 });
-    site = await startForwardingSite([route], [record], null, LIMIT);
+    site = await startForwardingSite([route], [record], null, CONNECTION_LIMIT);
   });
 
   afterEach(async () => {
@@ -44,7 +44,7 @@
     socket.write(`HTTP/1.1 200 OK\r\nX-Attempt-Id: ${id}\r\n${SIGNED}Content-Length: 2\r\n\r\nok`);
   }
 
-  async function open(): Promise<Socket> {
+  async function openConnection(): Promise<Socket> {
     const [host, port] = site.callers.split(':');
     const socket = connect({ host, port: Number(port) });
     socket.on('error', () => undefined);
@@ -53,9 +53,9 @@
     return socket;
   }
 
-  async function openMany(count: number): Promise<Socket[]> {
+  async function openConnections(count: number): Promise<Socket[]> {
     const opened: Socket[] = [];
-    for (let index = 0; index < count; index += 1) opened.push(await open());
+    for (let index = 0; index < count; index += 1) opened.push(await openConnection());
     return opened;
   }
 
@@ -73,53 +73,53 @@
   const isReady = async (): Promise<boolean> => (await fetch(`http://${site.ready}/ready`)).status === 200;
 
   it('serves new connections while old ones are idle, however many there are', async () => {
-    await openMany(LIMIT);
+    await openConnections(CONNECTION_LIMIT);
     await delay(IDLE_MS);
-    await openMany(LIMIT / 2);
+    await openConnections(CONNECTION_LIMIT / 2);
     expect(await isReady()).to.equal(true);
     const statuses = await Promise.all(
-      (await openMany(20)).map((socket, index) => sendRequest(socket, `new${index}`)),
+      (await openConnections(20)).map((socket, index) => sendRequest(socket, `new${index}`)),
     );
     expect(statuses).to.deep.equal(Array.from({ length: 20 }, () => 200));
   });
 
   it('does not close a connection with a pending answer to accept a new one', async () => {
-    const busy = await openMany(20);
+    const busy = await openConnections(20);
     const answers = busy.map((socket, index) => sendRequest(socket, `held${index}`));
-    await openMany(LIMIT - 20);
+    await openConnections(CONNECTION_LIMIT - 20);
     await delay(IDLE_MS);
-    await openMany(LIMIT / 2);
+    await openConnections(CONNECTION_LIMIT / 2);
     for (const { socket, id } of held) answer(socket, id);
     expect(await Promise.all(answers)).to.deep.equal(Array.from({ length: 20 }, () => 200));
   });
 
   it('is not ready while all connections up to the limit are busy, and is ready again afterwards', async () => {
-    const busy = await openMany(LIMIT);
+    const busy = await openConnections(CONNECTION_LIMIT);
     const answers = busy.map((socket, index) => sendRequest(socket, `held${index}`));
-    for (let tries = 0; held.length < LIMIT && tries < 200; tries += 1) await delay(20);
+    for (let tries = 0; held.length < CONNECTION_LIMIT && tries < 200; tries += 1) await delay(20);
     expect(await isReady()).to.equal(false);
     for (const { socket, id } of held) answer(socket, id);
     await Promise.all(answers);
     await delay(IDLE_MS);
     expect(await isReady()).to.equal(true);
-    expect(await sendRequest(await open(), 'after')).to.equal(200);
+    expect(await sendRequest(await openConnection(), 'after')).to.equal(200);
   });
 
   it('accepts a burst of connections, and reports ready only while it accepts connections', async () => {
     const burst = await Promise.all(
-      Array.from({ length: 600 }, async (_, index) => sendRequest(await open(), `burst${index}`)),
+      Array.from({ length: 600 }, async (_, index) => sendRequest(await openConnection(), `burst${index}`)),
     );
-    expect(burst.filter((status) => status === 200).length).to.be.at.least(LIMIT);
+    expect(burst.filter((status) => status === 200).length).to.be.at.least(CONNECTION_LIMIT);
     await delay(IDLE_MS);
     expect(await isReady()).to.equal(true);
-    expect(await sendRequest(await open(), 'after')).to.equal(200);
+    expect(await sendRequest(await openConnection(), 'after')).to.equal(200);
   });
 
   it('is not ready while draining, and still serves new connections', async () => {
     const stopped = site.daemon.stop();
     await delay(50);
     expect(await isReady()).to.equal(false);
-    expect(await sendRequest(await open(), 'late')).to.equal(200);
+    expect(await sendRequest(await openConnection(), 'late')).to.equal(200);
     for (const socket of sockets) socket.destroy();
     await stopped;
   });
@@ -128,7 +128,7 @@
     const until = performance.now() + 1500;
     while (performance.now() < until);
     expect(await isReady()).to.equal(true);
-    expect(await sendRequest(await open(), 'after')).to.equal(200);
+    expect(await sendRequest(await openConnection(), 'after')).to.equal(200);
   });
 });
 
--- a/test/real-process.test.ts
+++ b/test/real-process.test.ts
@@ -12,7 +12,7 @@
 import { SeededRandom } from '../src/shared/random.js';
 
 const PROFILE = getSiteProfile('trust-tt-north');
-const PRODUCT = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
+const MAIN_MODULE = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
 const execute = promisify(execFile);
 /** How long a stopping daemon accepts new connections. Milliseconds; the default of the settings. */
 const DRAIN_NOTICE_MS = 2000;
@@ -33,7 +33,7 @@
 
 interface Totals {
   sent: number;
-  whole: number;
+  complete: number;
   broken: number;
   wrong: number;
   unanswered: number;
@@ -41,10 +41,10 @@
 }
 
 function getTotals(load: LoadGenerator): Totals {
-  const sum: Totals = { sent: 0, whole: 0, broken: 0, wrong: 0, unanswered: 0, refused: [] };
+  const sum: Totals = { sent: 0, complete: 0, broken: 0, wrong: 0, unanswered: 0, refused: [] };
   for (const [service, result] of load.results) {
     sum.sent += result.sent;
-    sum.whole += result.complete;
+    sum.complete += result.complete;
     sum.broken += result.broken;
     sum.wrong += result.wrong;
     sum.unanswered += result.unanswered;
@@ -63,9 +63,9 @@
 }
 
 /** Runs the program and returns its exit code and output. */
-async function pulleyledge(...args: string[]): Promise<{ code: number; stdout: string; stderr: string }> {
+async function runProgram(...args: string[]): Promise<{ code: number; stdout: string; stderr: string }> {
   try {
-    const { stdout, stderr } = await execute(process.execPath, [PRODUCT, ...args]);
+    const { stdout, stderr } = await execute(process.execPath, [MAIN_MODULE, ...args]);
     return { code: 0, stdout, stderr };
   } catch (error) {
     const { code, stdout, stderr } = error as { code: number; stdout: string; stderr: string };
@@ -106,7 +106,7 @@
     }
     await running;
     const { sent, ...sum } = getTotals(load);
-    expect(sum).to.deep.equal({ whole: sent, broken: 0, wrong: 0, unanswered: 0, refused: [] });
+    expect(sum).to.deep.equal({ complete: sent, broken: 0, wrong: 0, unanswered: 0, refused: [] });
   });
 
   it('a rolling restart of daemons that are paused as their drain notice ends fails no request', async () => {
@@ -125,7 +125,7 @@
     }
     await running;
     const { sent, ...sum } = getTotals(load);
-    expect(sum).to.deep.equal({ whole: sent, broken: 0, wrong: 0, unanswered: 0, refused: [] });
+    expect(sum).to.deep.equal({ complete: sent, broken: 0, wrong: 0, unanswered: 0, refused: [] });
   });
 
   it('a daemon that reports ready accepts connections of callers', async () => {
@@ -159,7 +159,7 @@
     await running;
     const sum = getTotals(load);
     expect(sum.wrong).to.equal(0);
-    expect(sum.whole).to.be.greaterThan(sum.sent / 3);
+    expect(sum.complete).to.be.greaterThan(sum.sent / 3);
     expect(Math.max(...(await readExecutionCounts(site)))).to.equal(1);
     const statuses = await Promise.all(
       site.daemons.map((daemon) => new OperatorClient(daemon.addresses.operator).getStatus()),
@@ -204,19 +204,19 @@
     await load.run([createPhase(5, 8)]);
     silent.close();
     const sum = getTotals(load);
-    expect(sum.whole).to.equal(sum.sent);
+    expect(sum.complete).to.equal(sum.sent);
   });
 
   it('operators edit the table: a change takes effect at every daemon, a conflicting edit fails showing both values', async () => {
     const operator = site.daemons[0].addresses.operator;
-    const edited = await pulleyledge('services', 'set', 'eligibility', 'weight=7', '--operator', operator);
+    const edited = await runProgram('services', 'set', 'eligibility', 'weight=7', '--operator', operator);
     expect(edited.code, edited.stderr).to.equal(0);
     await delay(5000);
     for (const daemon of site.daemons) {
       const { services } = await new OperatorClient(daemon.addresses.operator).getServices();
       expect(services.find((entry) => entry.name === 'eligibility')?.row?.weight).to.equal(7);
     }
-    const conflicting = await pulleyledge(
+    const conflicting = await runProgram(
       'services',
       'set',
       'eligibility',
@@ -228,7 +228,7 @@
     );
     expect(conflicting.code).to.equal(3);
     expect(conflicting.stderr).to.include('"weight": 7').and.to.include('"weight": 9');
-    const invalidValue = await pulleyledge(
+    const invalidValue = await runProgram(
       'services',
       'set',
       'eligibility',
--- a/test/region-part.test.ts
+++ b/test/region-part.test.ts
@@ -57,7 +57,7 @@
 }
 
 /** Sends a probe to the far daemon, answered by `from` after `ms` milliseconds. */
-function probe(part: RegionPart, sequence: number, ms: number, from = FAR): void {
+function sendProbe(part: RegionPart, sequence: number, ms: number, from = FAR): void {
   part.addToMembership({ kind: 'ping', sequence, target: FAR, updates: [] }, 1000);
   part.receivePeer(from, '10.0.0.2:1', { kind: 'ack', sequence, updates: [] }, 1000 + ms);
 }
@@ -65,13 +65,13 @@
 describe('the region part', () => {
   it('measures the round trip to each region by probes', () => {
     const { part } = makePart();
-    for (let sequence = 0; sequence < 30; sequence += 1) probe(part, sequence, 400);
+    for (let sequence = 0; sequence < 30; sequence += 1) sendProbe(part, sequence, 400);
     expect(part.getFigures().round_trip_ms_r2).to.be.closeTo(400, 20);
   });
 
   it('ignores answers of other daemons, answers to no probe, and the time of a process pause', () => {
     const { part } = makePart();
-    probe(part, 1, 400, THIRD);
+    sendProbe(part, 1, 400, THIRD);
     part.receivePeer(FAR, '10.0.0.2:1', { kind: 'ack', sequence: 7, updates: [] }, 1000);
     part.addToMembership({ kind: 'ping', sequence: 2, target: FAR, updates: [] }, 1000);
     part.onProcessResumed();
--- a/test/retry-after-header.test.ts
+++ b/test/retry-after-header.test.ts
@@ -33,7 +33,10 @@
   }
 }
 
-async function askEngine(retryAfter: string | undefined, unreadable: string[] = []): Promise<AttemptEvent> {
+async function callRejectingEngine(
+  retryAfter: string | undefined,
+  unreadable: string[] = [],
+): Promise<AttemptEvent> {
   return withRejectingServer(retryAfter, async (address) => {
     const client = new HttpEngineClient((text) => unreadable.push(text));
     const attempt = {
@@ -79,10 +82,17 @@
   });
 
   it('the Retry-After of an engine of the completions interface reaches the daemon', async () => {
-    expect(await askEngine('1.5')).to.deep.equal({ kind: 'refused', reason: 'full', retryAfterMs: 1500 });
-    expect(await askEngine(undefined)).to.deep.include({ kind: 'refused', retryAfterMs: undefined });
+    expect(await callRejectingEngine('1.5')).to.deep.equal({
+      kind: 'refused',
+      reason: 'full',
+      retryAfterMs: 1500,
+    });
+    expect(await callRejectingEngine(undefined)).to.deep.include({
+      kind: 'refused',
+      retryAfterMs: undefined,
+    });
     const unreadable: string[] = [];
-    expect(await askEngine('soon', unreadable)).to.deep.include({ retryAfterMs: undefined });
+    expect(await callRejectingEngine('soon', unreadable)).to.deep.include({ retryAfterMs: undefined });
     expect(unreadable).to.deep.equal(['soon']);
   });
 
@@ -101,7 +111,7 @@
     expect(takesWork(3000)).to.equal(true);
   });
 
-  it('an application server gets no calls until then, even if it is the only one, and the waiting time is known', () => {
+  it('an application server gets no calls during its back-off, even if it is the only one, and the waiting time is known', () => {
     const servers = new ApplicationServers(new SeededRandom(1));
     servers.setServers([{ id: 'a', address: '10.0.0.1:1', leaving: false }]);
     const server = servers.pick(new Set(), 0);
@@ -114,7 +124,7 @@
 
   it('the Retry-After of the store replaces the default delay, within bounds', async () => {
     const unreadable: string[] = [];
-    const ask = (retryAfter: string | undefined) =>
+    const readTable = (retryAfter: string | undefined) =>
       withRejectingServer(retryAfter, (address) =>
         new TableClient(address, (key) => unreadable.push(key)).perform({
           kind: 'read',
@@ -122,11 +132,11 @@
           key: 'k',
         }),
       );
-    expect(await ask('1.2')).to.deep.equal({ kind: 'rateLimited', retryAfterMs: 1200 });
-    expect(await ask(undefined)).to.deep.equal({ kind: 'rateLimited', retryAfterMs: 300 });
-    expect(await ask('600')).to.deep.equal({ kind: 'rateLimited', retryAfterMs: 3000 });
+    expect(await readTable('1.2')).to.deep.equal({ kind: 'rateLimited', retryAfterMs: 1200 });
+    expect(await readTable(undefined)).to.deep.equal({ kind: 'rateLimited', retryAfterMs: 300 });
+    expect(await readTable('600')).to.deep.equal({ kind: 'rateLimited', retryAfterMs: 3000 });
     expect(unreadable).to.deep.equal([]);
-    expect(await ask('soon')).to.deep.equal({ kind: 'rateLimited', retryAfterMs: 300 });
+    expect(await readTable('soon')).to.deep.equal({ kind: 'rateLimited', retryAfterMs: 300 });
     expect(unreadable).to.deep.equal(['Retry-After']);
   });
 });
--- a/test/retry-allowance.test.ts
+++ b/test/retry-allowance.test.ts
@@ -47,7 +47,7 @@
   const END_MS = 45_000;
   const FAILURES_FROM_MS = 15_000;
 
-  /** A fleet whose back ends fail after `FAILURES_FROM_MS`; a daemon spends its whole allowance before it is killed. */
+  /** A fleet whose back ends fail from `FAILURES_FROM_MS` on; a daemon spends its whole allowance before it is killed. */
   interface Scenario {
     readonly daemons: number;
     readonly perSecond: number;
@@ -55,7 +55,7 @@
     readonly killGapMs: number;
     readonly downMs: number;
     readonly victims: 'next' | 'any' | 'half' | 'all';
-    /** Failures come in bursts, or all the time. */
+    /** Whether back ends fail in bursts; otherwise they fail all the time. */
     readonly bursts: boolean;
     readonly seed: number;
   }
@@ -99,7 +99,7 @@
         const allowance = running[random.below(running.length)];
         requests.push(now);
         allowance.addRequest('s', now);
-        for (let wished = 0; failing && wished < 2; wished += 1)
+        for (let attempt = 0; failing && attempt < 2; attempt += 1)
           if (allowance.tryTakeRetry('s', daemons, now)) retries.push(now);
       }
     }
@@ -123,8 +123,10 @@
         const count = (times: number[], from: number): number =>
           times.filter((at) => at >= from && at < from + WINDOW_MS).length;
         for (const from of new Set(retries)) {
-          const most = Math.max(...[0, 0.5, 1].map((back) => count(requests, from - back * WINDOW_MS)));
-          expect(count(retries, from)).to.be.at.most(0.2 * most + scenario.slack);
+          const maximumRequests = Math.max(
+            ...[0, 0.5, 1].map((back) => count(requests, from - back * WINDOW_MS)),
+          );
+          expect(count(retries, from)).to.be.at.most(0.2 * maximumRequests + scenario.slack);
         }
       }),
       { seed: SEED, numRuns: 60 },
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,3 +1,4 @@
+/** The settings file of completion daemons: every setting can be set, and unknown keys are rejected. */
 import { expect } from 'chai';
 import { DEFAULT_COMPLETION_DAEMON_SETTINGS } from '../src/daemon/completion-daemon-settings.js';
 import { SettingsError } from '../src/errors/index.js';
--- a/test/stage-regions.test.ts
+++ b/test/stage-regions.test.ts
@@ -19,11 +19,16 @@
 const SLOTS = 12;
 const SETTINGS = DEFAULT_STAGE_PLANNER_SETTINGS;
 
-function demand(prefillEngines: number, decodeEngines: number, streams: number, prompts = 0): StageDemand {
+function makeDemand(
+  prefillEngines: number,
+  decodeEngines: number,
+  streams: number,
+  prompts = 0,
+): StageDemand {
   return { prefillEngines, decodeEngines, slots: SLOTS, prompts, streams };
 }
 
-function plan(regions: Readonly<Record<string, StageDemand>>): string[] {
+function planSteps(regions: Readonly<Record<string, StageDemand>>): string[] {
   return planRegions(SETTINGS, new Map(Object.entries(regions))).map(
     ({ region, step }) => `${region} ${step}`,
   );
@@ -39,9 +44,9 @@
         fc.integer({ min: 0, max: 3000 }),
         count,
         (prefill, decode, streams, prompts) => {
-          const only = demand(prefill, decode, streams, prompts);
+          const only = makeDemand(prefill, decode, streams, prompts);
           const step = planStage(SETTINGS, only);
-          expect(plan({ only })).to.deep.equal(step === 'none' ? [] : [`only ${step}`]);
+          expect(planSteps({ only })).to.deep.equal(step === 'none' ? [] : [`only ${step}`]);
         },
       ),
       { seed: SEED, numRuns: 1000 },
@@ -49,34 +54,37 @@
   });
 
   it('each region reaches its shares', () => {
-    expect(plan({ a: demand(9, 4, 10), b: demand(12, 1, 10), c: demand(9, 4, 10) })).to.deep.equal([
-      'b toDecode',
-    ]);
+    expect(
+      planSteps({ a: makeDemand(9, 4, 10), b: makeDemand(12, 1, 10), c: makeDemand(9, 4, 10) }),
+    ).to.deep.equal(['b toDecode']);
   });
 
   it('a region without engines of a stage gets one, even when the other engines are full', () => {
-    expect(plan({ a: demand(0, 4, 48), b: demand(9, 4, 48) })).to.include('a toPrefill');
-    expect(plan({ a: demand(4, 0, 0), b: demand(9, 4, 10) })).to.include('a toDecode');
+    expect(planSteps({ a: makeDemand(0, 4, 48), b: makeDemand(9, 4, 48) })).to.include('a toPrefill');
+    expect(planSteps({ a: makeDemand(4, 0, 0), b: makeDemand(9, 4, 10) })).to.include('a toDecode');
   });
 
   it('a full region changes nothing while another has room for its excess streams', () => {
-    expect(plan({ a: demand(9, 4, 45), b: demand(9, 4, 10) })).to.deep.equal([]);
-    expect(plan({ a: demand(9, 4, 45), b: demand(9, 4, 28) })).to.deep.equal(['a toDecode']);
+    expect(planSteps({ a: makeDemand(9, 4, 45), b: makeDemand(9, 4, 10) })).to.deep.equal([]);
+    expect(planSteps({ a: makeDemand(9, 4, 45), b: makeDemand(9, 4, 28) })).to.deep.equal(['a toDecode']);
   });
 
   it('a region returns no engine to prefill whose slots another region needs', () => {
-    expect(plan({ a: demand(8, 5, 20), b: demand(9, 4, 20) })).to.deep.equal(['a toPrefill']);
-    expect(plan({ a: demand(8, 5, 20), b: demand(9, 4, 48) })).to.deep.equal([]);
+    expect(planSteps({ a: makeDemand(8, 5, 20), b: makeDemand(9, 4, 20) })).to.deep.equal(['a toPrefill']);
+    expect(planSteps({ a: makeDemand(8, 5, 20), b: makeDemand(9, 4, 48) })).to.deep.equal([]);
   });
 
   it('other regions add capacity for a region that has no engine left to change', () => {
-    expect(plan({ a: demand(1, 2, 60), b: demand(9, 4, 20) })).to.deep.equal(['b toDecode']);
+    expect(planSteps({ a: makeDemand(1, 2, 60), b: makeDemand(9, 4, 20) })).to.deep.equal(['b toDecode']);
   });
 
   it('the region with the higher load comes first, and added decode engines before returned ones', () => {
-    const full = { a: demand(9, 4, 42), b: demand(9, 4, 47), c: demand(5, 8, 90) };
-    expect(plan(full)).to.deep.equal(['b toDecode', 'c toDecode', 'a toDecode']);
-    expect(plan({ a: demand(8, 5, 20), b: demand(13, 0, 0) })).to.deep.equal(['b toDecode', 'a toPrefill']);
+    const full = { a: makeDemand(9, 4, 42), b: makeDemand(9, 4, 47), c: makeDemand(5, 8, 90) };
+    expect(planSteps(full)).to.deep.equal(['b toDecode', 'c toDecode', 'a toDecode']);
+    expect(planSteps({ a: makeDemand(8, 5, 20), b: makeDemand(13, 0, 0) })).to.deep.equal([
+      'b toDecode',
+      'a toPrefill',
+    ]);
   });
 
   it('converges for any regions and any constant load, and each region keeps both stages', () => {
@@ -92,7 +100,7 @@
         const step = (): boolean => {
           const demands = regions.map((one, index): [string, StageDemand] => [
             String(index),
-            demand(one.engines - decodes[index], decodes[index], one.streams),
+            makeDemand(one.engines - decodes[index], decodes[index], one.streams),
           ]);
           const steps = planRegions(SETTINGS, new Map(demands));
           if (steps.length === 0) return false;
@@ -168,7 +176,7 @@
     index < 4 ? 'prefill' : 'decode',
   ]);
 
-  it('a region that has lost all prefill engines changes one of its own engines to prefill', () => {
+  it('a region that has lost all prefill engines changes one of its remaining engines to prefill', () => {
     const south: [string, EngineStage][] = [
       ['south-1', 'decode'],
       ['south-2', 'decode'],
--- a/test/stages.test.ts
+++ b/test/stages.test.ts
@@ -54,11 +54,11 @@
 
   readonly handled: StageEffect[] = [];
 
-  orders(): StageEffect[] {
+  getOrders(): StageEffect[] {
     return this.handled.filter((effect) => effect.kind === 'orderEngine');
   }
 
-  asked(): StageEffect[] {
+  getStatusRequests(): StageEffect[] {
     return this.handled.filter((effect) => effect.kind === 'askEngine');
   }
 
@@ -153,7 +153,7 @@
  * daemon used to request the service's lease, so no other changed a stage and prompts waited for engines until the
  * store accepted it again. Seen with four daemons: 97 calls by the first, none by the others.
  */
-describe('a daemon that should hold the lease and cannot reach the store', () => {
+describe('the daemon that should hold the lease', () => {
   const SERVICE = 'service';
   /** Two standby delays, the expiry of a lease, and the takeover wait of a new holder. Milliseconds. */
   const STANDBY_BOUND_MS = 10_000;
@@ -183,7 +183,7 @@
   }
 
   for (const refused of [1, 2])
-    it(`is replaced by the next in rank when the first ${refused} cannot`, () => {
+    it(`is replaced by the next in rank when the first ${refused} cannot reach the store`, () => {
       const fleet = startFleet();
       const ranked = rankNodes(fleet);
       ranked.slice(0, refused).forEach((node) => (node.access = 'refuses'));
@@ -191,7 +191,7 @@
       expect(fleet.queriedEngines.map(({ node }) => node.id)).to.include(ranked[refused].id);
     });
 
-  it('is the only one to hold the lease otherwise', () => {
+  it('is the only one to hold the lease when it can reach the store', () => {
     const fleet = startFleet();
     const [first] = rankNodes(fleet);
     fleet.time.runUntil(30_000);
@@ -203,19 +203,19 @@
   it('orders only under the lease, one engine at a time, with the number of orders that the engine reported', () => {
     const site = new CoordinatorSite(makeViews(FAR_FROM_PLAN));
     site.tick(0, false);
-    expect(site.asked()).to.have.length(0);
+    expect(site.getStatusRequests()).to.have.length(0);
     for (let now = 10; now < 5000; now += 10) site.tick(now);
-    expect(site.asked()).to.have.length(1);
-    const [asked] = site.asked();
+    expect(site.getStatusRequests()).to.have.length(1);
+    const [asked] = site.getStatusRequests();
     if (asked.kind !== 'askEngine') throw new Error('no engine state was requested');
     site.coordinator.receiveStatus(asked.backend.id, { stage: 'prefill', changing: false, orders: 3 }, 5000);
     site.tick(5000);
-    const [order] = site.orders();
+    const [order] = site.getOrders();
     expect(order)
       .to.have.property('order')
       .that.includes({ expectedOrders: 3, fence: 1, stage: 'decode', holder: 'daemon-1' });
     for (let now = 5010; now < 9000; now += 10) site.tick(now);
-    expect(site.asked()).to.have.length(1);
+    expect(site.getStatusRequests()).to.have.length(1);
   });
 
   it('changes up to a tenth of the engines of a large service at the same time under load, and no more', () => {
@@ -248,7 +248,7 @@
     let askedAt = Infinity;
     for (let now = 10; now < 12_000 && askedAt === Infinity; now += 10) {
       site.tick(now);
-      if (site.asked().length > 0) askedAt = now;
+      if (site.getStatusRequests().length > 0) askedAt = now;
     }
     const acquired = site.handled.find((effect) => effect.kind === 'leaseAcquired');
     expect(acquired).to.include({ epoch: 8 });
@@ -258,9 +258,9 @@
   it('sends no order for an answer that arrives after the lease has expired', () => {
     const site = new CoordinatorSite(makeViews(FAR_FROM_PLAN));
     for (let now = 10; now < 3000; now += 10) site.tick(now);
-    const [asked] = site.asked();
+    const [asked] = site.getStatusRequests();
     if (asked.kind !== 'askEngine') throw new Error('no engine state was requested');
     site.receiveStatus(asked.backend.id, 0, 60_000);
-    expect(site.orders()).to.have.length(0);
+    expect(site.getOrders()).to.have.length(0);
   });
 });
--- a/test/unanswered-calls.test.ts
+++ b/test/unanswered-calls.test.ts
@@ -1,3 +1,4 @@
+/** Calls to back ends without an answer are counted and reported, at a limited rate. */
 import { expect } from 'chai';
 import { HttpDialect } from '../platform/http-dialect.js';
 import { BackendClient } from '../src/adapters/backend-client.js';
