--- a/lab/soak/backend-stand-in.ts
+++ b/lab/soak/backend-stand-in.ts
@@ -1,5 +1,5 @@
-/// A stand-in for a back end, written from the platform's published pages: a plain application server or a
-/// model engine with two stages. It records every arrival, execution and order, and injects the faults that it
+/// A stand-in for a back end, written from the platform's published documentation: a plain application
+/// server or a model engine with two stages. It records every arrival, execution and order, and injects the faults that it
 /// is set to.
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from "node:http"
 import type {AddressInfo, Socket} from "node:net"
@@ -68,9 +68,9 @@
   private readonly lastUses = new WeakMap<Socket, number>()
   private heartbeat: NodeJS.Timeout | undefined
   private readonly startedAtMs = Date.now()
-  /// Announces in its answers that it is leaving, whatever its record says.
+  /// Whether its answers announce that it is leaving, whatever its record says.
   signalsLeaving = false
-  /// Rejects this share of the requests and asks daemons to back off for this number of seconds.
+  /// If set, it rejects this share of the requests and asks daemons to back off for this number of seconds.
   backOff: {readonly share: number; readonly seconds: number} | undefined
   /// Called when it stops, by a crash or not.
   onStopped: () => void = () => undefined
@@ -256,7 +256,7 @@
     else this.sendAnswer(request, response, id, behavior)
   }
 
-  /// Crashes this back end because of a request, unless it has stopped before.
+  /// Records a crash by the request with this body and calls `onCrash`, unless this back end has stopped before.
   private crashOn(body: string): void {
     if (this.stopped) return
     this.record.crashes.push({body, at: performance.now()})
--- a/lab/soak/caller-load.ts
+++ b/lab/soak/caller-load.ts
@@ -10,7 +10,7 @@
   readonly address: string
 }
 
-/// Callers close the connection this long after the route's time-out. Milliseconds.
+/// Callers close the connection this long after the route's timeout. Milliseconds.
 const CALLER_GRACE_MS = 4000
 const ABANDON_SHARE = 0.03
 /// Share of the requests with an unknown key, and share without a key.
@@ -52,11 +52,11 @@
   async sendRepeatedly(
     body: string,
     route: CallerRoute,
-    pauseMs: number,
+    intervalMs: number,
     random: () => number
   ): Promise<void> {
     while (this.running) {
-      await wait(pauseMs * (0.5 + random()))
+      await wait(intervalMs * (0.5 + random()))
       if (!this.running) return
       const target = this.targets[Math.floor(random() * this.targets.length)]
       const sent = this.send(target, route, body).finally(() => this.inFlight.delete(sent))
@@ -69,7 +69,7 @@
     this.running = false
   }
 
-  /// A random daemon among those in use; among all of them, which do not run then, when none is in use.
+  /// Picks a random daemon among those in use; when none is in use, among all of them, although none is running.
   private pickTarget(): CallerTarget {
     const used = this.targets.filter(this.isUsed)
     const targets = used.length > 0 ? used : this.targets
@@ -146,8 +146,8 @@
     return headers
   }
 
-  /// How long the caller waits, in milliseconds. Most wait past the time-out; a few give up early, and their
-  /// missing answers count as no broken promise.
+  /// How long the caller waits, in milliseconds. Most wait past the timeout; a few give up early, and their
+  /// missing answers do not count as violations.
   private getCallerTimeout(call: CallerRecord, route: CallerRoute): number {
     if (this.random() >= ABANDON_SHARE) return route.timeoutMs + CALLER_GRACE_MS
     call.endedAt = call.sentAt
--- a/lab/soak/duty-stand-in.ts
+++ b/lab/soak/duty-stand-in.ts
@@ -1,6 +1,6 @@
-/// A stand-in for the platform's side of the duties, written from its published pages: usage reports and orders
-/// of servers, with fencing tokens and injected faults. Each daemon calls a port of its own, which identifies
-/// the caller whatever name is in the call.
+/// A stand-in for the platform's side of the duties, written from its published documentation: usage reports and
+/// orders of servers, with fencing tokens and injected faults. Each daemon calls a port of its own, which
+/// identifies the caller whatever name is in the call.
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from "node:http"
 import type {AddressInfo} from "node:net"
 import * as z from "zod"
--- a/lab/soak/faults.ts
+++ b/lab/soak/faults.ts
@@ -143,6 +143,7 @@
   }
 }
 
+/// Delay of the bytes on a delayed link. Milliseconds.
 const DELAY_MS = 120
 
 /// The store is faulty for some daemons.
--- a/lab/soak/handle-registry.ts
+++ b/lab/soak/handle-registry.ts
@@ -2,6 +2,7 @@
 export class HandleRegistry {
   private readonly requests = new Map<string, string>()
 
+  /// Adds a handle for the prompt of a request.
   add(handle: string, requestId: string): void {
     this.requests.set(handle, requestId)
   }
--- a/lab/soak/signal-check.ts
+++ b/lab/soak/signal-check.ts
@@ -1,7 +1,8 @@
 /// Checks the bounds on requests to back ends that announce a limit, that they are leaving, or a back-off. Counts
 /// requests at the back ends, and only from daemons that had received the signal.
 
-/// In any window a back end receives at most this multiple of its limit, plus a number of extra requests.
+/// In any window of this length, in milliseconds, a back end receives at most this multiple of its limit, plus a
+/// number of extra requests.
 const WINDOW_MS = 4000
 const ALLOWED_FACTOR = 1.5
 const ALLOWED_EXTRA = 5
--- a/lab/soak/signal-record.ts
+++ b/lab/soak/signal-record.ts
@@ -19,9 +19,9 @@
   readonly sentAt: number
   endedAt?: number
   signature?: string
-  /// The answer announces a limit of its back end.
+  /// Whether the answer announces a limit of its back end.
   signalsLimit?: boolean
-  /// The answer announces that its back end is leaving.
+  /// Whether the answer announces that its back end is leaving.
   signalsLeaving?: boolean
 }
 
--- a/lab/soak/soak-routes.ts
+++ b/lab/soak/soak-routes.ts
@@ -3,7 +3,7 @@
 /// The kinds of routes in the operator's configuration.
 export type RouteForm = "idempotent" | "non_idempotent" | "streaming"
 
-/// A route from the callers' point of view. Time-outs are milliseconds.
+/// A route from the callers' point of view. Timeouts are milliseconds.
 export interface CallerRoute {
   readonly name: string
   readonly host: string
--- a/lab/soak/stage-orders.ts
+++ b/lab/soak/stage-orders.ts
@@ -10,8 +10,10 @@
 const SWITCH_MS = 400
 
 const stageSchema = z.enum(["prefill", "decode"])
+/// The stage of a model engine.
 export type Stage = z.infer<typeof stageSchema>
 
+/// The body of an order.
 export const orderSchema = z.object({
   phase: stageSchema,
   holder: z.string(),
