--- a/lab/duty-model.ts
+++ b/lab/duty-model.ts
@@ -20,7 +20,7 @@
   private readonly holders = new Map<number, string>();
   private readonly arrivals: Arrival[] = [];
 
-  /** `fenced`: whether calls with a fence below the highest so far are rejected, or else recorded as violations. */
+  /** `fenced`: calls with a fence below the highest so far are rejected; without it they are recorded as violations. */
   constructor(
     private readonly fenced: boolean,
     private readonly leaseMs: number,
--- a/lab/launcher.ts
+++ b/lab/launcher.ts
@@ -247,7 +247,7 @@
 
   private async post(address: string, path: string, value: unknown): Promise<unknown> {
     const { body } = await request(`http://${address}${path}`, {
-      // Don't reuse connections: the stand-in could close one at the moment at which the next call is sent.
+      // Don't reuse connections: the stand-in could close one just as the next call is sent.
       reset: true,
       method: 'POST',
       body: JSON.stringify(value),
--- a/lab/load-generator.ts
+++ b/lab/load-generator.ts
@@ -55,6 +55,7 @@
     process.stderr.write(`load: no answer: ${code}: ${message} on ${connection}\n`);
   }
 
+  /** Counts a refusal by its problem code. */
   addRefusal(code: string): void {
     this.refused.set(code, (this.refused.get(code) ?? 0) + 1);
   }
--- a/lab/platform-model.ts
+++ b/lab/platform-model.ts
@@ -4,7 +4,7 @@
 
 /** Faults to inject into the platform; the fields are also the body of `/faults`. */
 export interface PlatformFaults {
-  /** Requests have no effect and get no answer. */
+  /** Whether the platform is down: requests have no effect and get no answer. */
   down: boolean;
   /** Probability with which a request has its effect but its answer is lost. */
   loseAnswers: number;
--- a/lab/site-profiles.ts
+++ b/lab/site-profiles.ts
@@ -25,8 +25,8 @@
   readonly longWork: WorkloadClass;
   readonly shortWork: WorkloadClass;
   /**
-   * Cost of a role change at this site, in addition to the engine time, as seconds; the only setting in which the
-   * sites differ.
+   * Cost of a role change at this site, in addition to the time that the engine needs for it, in seconds; the only
+   * setting in which the sites differ.
    */
   readonly roleChangeCostSeconds: number;
 }
--- a/lab/soak/soak-record.ts
+++ b/lab/soak/soak-record.ts
@@ -29,9 +29,9 @@
   /// Undefined when the connection ended before the answer was complete.
   status?: number
   signature?: string
-  /// The answer announces a limit of its back end.
+  /// Whether the answer announces a limit of its back end.
   signalsLimit?: boolean
-  /// The answer announces that its back end is leaving.
+  /// Whether the answer announces that its back end is leaving.
   signalsLeaving?: boolean
   body?: string
   /// Whether the answer ended as complete, by its HTTP framing.
@@ -64,7 +64,7 @@
   readonly at: number
 }
 
-/// Default bounds; they don't allow for series of restarts.
+/// The default bounds, for soaks without series of restarts.
 export const SOAK_BOUNDS: SoakBounds = {
   configMs: 2000,
   drainMs: 2000,
@@ -74,7 +74,7 @@
   retries: {ratio: 0.2, slack: 50, windowMs: 10_000}
 }
 
-/// A broken promise, with the request, back end or daemon in question.
+/// A violated promise, with the request, back end or daemon in question.
 export interface Violation {
   readonly promise: string
   readonly text: string
--- a/lab/soak/soak-site.ts
+++ b/lab/soak/soak-site.ts
@@ -24,7 +24,7 @@
 /// Seed of the generator for down times of crashed back ends. A separate one keeps the plans of faults the same.
 const CRASH_SEED = 43
 
-/// The places of back ends: each keeps its service and its first stage over all incarnations.
+/// The places of back ends: the service of all incarnations at a place, and the stage with which each starts.
 const PLACES: readonly {service: string; stage: "prefill" | "decode" | undefined}[] = [
   ...Array.from({length: 2}, () => ({service: SOAK_SERVICES.plain, stage: undefined})),
   ...Array.from({length: 2}, () => ({service: SOAK_SERVICES.otherPlain, stage: undefined})),
@@ -105,6 +105,7 @@
     this.duties.close()
   }
 
+  /// Returns a daemon by its name. Throws RangeError for an unknown one.
   getDaemon(name: string): DaemonProcess {
     const daemon = this.daemons.find(candidate => candidate.name === name)
     if (!daemon) throw new RangeError(`no daemon ${name}`)
@@ -117,6 +118,7 @@
     return kind === "backend" ? this.places[Number(name)].proxy : this.proxies.get(link)
   }
 
+  /// Sets the behavior of the back end at a place, if one is running there.
   setBehavior(place: number, behavior: BackendBehavior): void {
     const {backend} = this.places[place]
     if (backend) backend.behavior = behavior
@@ -196,10 +198,12 @@
     }, downMs)
   }
 
+  /// Sets the record of the back end at a place to draining.
   drainBackend(index: number): void {
     this.places[index].backend?.drain()
   }
 
+  /// Stops the back end at a place and removes its record.
   closeBackend(index: number): void {
     this.places[index].backend?.close()
     this.places[index].backend = undefined
--- a/lab/soak/store-stand-in.ts
+++ b/lab/soak/store-stand-in.ts
@@ -1,6 +1,6 @@
-/// A stand-in for the platform's table store, written from its published pages: conditional transactions, feeds
-/// of changes, and injected faults for some of its callers. Each caller has a port of its own, so that faults can
-/// be set for one caller.
+/// A stand-in for the platform's table store, written from its published documentation: conditional transactions,
+/// feeds of changes, and injected faults for some of its callers. Each caller has a port of its own, so that
+/// faults can be set for one caller.
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from "node:http"
 import type {AddressInfo} from "node:net"
 import * as z from "zod"
@@ -60,7 +60,7 @@
     return `127.0.0.1:${(server.address() as AddressInfo).port}`
   }
 
-  /// Sets a caller's behavior for the calls from now on.
+  /// Sets the behavior for a caller's calls from now on.
   setBehavior(caller: string, behavior: StoreBehavior): void {
     this.behaviors.set(caller, behavior)
   }
