--- a/test/attempt-arrivals.test.ts
+++ b/test/attempt-arrivals.test.ts
@@ -11,7 +11,7 @@
 import type { AttemptStart, ForwardAttemptEvent } from '../src/forwarding/forward-messages.js';
 import type { Route } from '../src/forwarding/routes/route.js';
 import { SeededRandom } from '../src/shared/random.js';
-import { ENGINES, Forwarding, PLAIN, prompt } from './forwarding-harness.js';
+import { ENGINES, ForwardingHarness, PLAIN, makePrompt } from './forwarding-harness.js';
 
 const SEED = 20261204;
 const AMPLE_BUDGET = 1_000_000;
@@ -45,20 +45,20 @@
   }
 }
 
-function makeSite(route: Partial<Route>, engines: boolean): Forwarding {
+function makeSite(route: Partial<Route>, engines: boolean): ForwardingHarness {
   const backends = engines ? ENGINES : PLAIN;
-  return new Forwarding([makeLabRoute({ timeoutMs: 60_000, ...route })], backends, AMPLE_BUDGET);
+  return new ForwardingHarness([makeLabRoute({ timeoutMs: 60_000, ...route })], backends, AMPLE_BUDGET);
 }
 
 /** Runs one request to its end and returns the number of repeated arrivals at back ends. */
-function runRequest(site: Forwarding, draws: readonly number[], engines: boolean): number {
-  const fields = engines ? { prompt: prompt(2000, 8000) } : {};
+function runRequest(site: ForwardingHarness, draws: readonly number[], engines: boolean): number {
+  const fields = engines ? { prompt: makePrompt(2000, 8000) } : {};
   site.begin({ callerDeadlineMs: 60_000, ...fields });
   const count = new ArrivalCount();
   let handled = 0;
-  for (let step = 0; site.starts().length > handled; step += 1) {
-    handled = site.starts().length;
-    const start = site.starts()[handled - 1];
+  for (let step = 0; site.getStarts().length > handled; step += 1) {
+    handled = site.getStarts().length;
+    const start = site.getStarts()[handled - 1];
     const drawn = draws[step % draws.length];
     const outcome = OUTCOMES[drawn % OUTCOMES.length];
     const event = start.prefillOnly && drawn % 2 === 0 ? PREFILLED : outcome.event;
--- a/test/crash-site.ts
+++ b/test/crash-site.ts
@@ -217,7 +217,7 @@
   }
 
   private isCrashing({ content, caller }: SentRequest): boolean {
-    return content.startsWith(CRASHING) && !this.harmlessCallers.has(caller);
+    return content.startsWith(CRASHING_PREFIX) && !this.harmlessCallers.has(caller);
   }
 
   private crashUnderRequest(slot: number, backend: RunningBackend, key: string): void {
@@ -232,7 +232,7 @@
 }
 
 /** Requests whose content starts with this crash the back ends that execute them. */
-export const CRASHING = 'crash';
+export const CRASHING_PREFIX = 'crash';
 
 /** Creates a predicate for the keys of a content, of one caller or any. */
 function makeFilter(content: string, caller: string | undefined): (key: string) => boolean {
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -19,7 +19,7 @@
 import { UsageCounter } from '../src/duties/usage-counter.js';
 import { DEFAULT_USAGE_REPORTER_SETTINGS } from '../src/duties/usage-reporter.js';
 import { SeededRandom } from '../src/shared/random.js';
-import { Forwarding, PLAIN } from './forwarding-harness.js';
+import { ForwardingHarness, PLAIN } from './forwarding-harness.js';
 
 const SEED = 20261208;
 const LEASE_MS = 3000;
@@ -247,7 +247,7 @@
   });
 
   it('a request counts once for its tenant, when a back end is first known to have begun to execute it', () => {
-    const daemon = new Forwarding([makeLabRoute({})], PLAIN);
+    const daemon = new ForwardingHarness([makeLabRoute({})], PLAIN);
     daemon.tenants.apply(TENANTS);
     daemon.begin({ keyDigest: 'key of anna' }, 100);
     daemon.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 110);
@@ -256,6 +256,6 @@
     daemon.begin({ id: 'r2', keyDigest: 'key of bert' }, 200);
     daemon.event({ kind: 'unreachable', reason: 'refused' }, 210);
     daemon.manager.cancel('r2', 220);
-    expect(daemon.begun).to.deep.equal([['anna', 110]]);
+    expect(daemon.executionStarts).to.deep.equal([['anna', 110]]);
   });
 });
--- a/test/forwarding-harness.ts
+++ b/test/forwarding-harness.ts
@@ -42,14 +42,14 @@
 }
 
 /** The forwarding machine of one daemon, with its effects collected. */
-export class Forwarding {
+export class ForwardingHarness {
   readonly effects: ForwardEffect[] = [];
   readonly directory = new BackendDirectory(DEFAULT_BACKEND_HEALTH_SETTINGS);
   readonly kvIndex = new KvIndex();
   readonly retries: RetryAllowance;
   readonly manager: ForwardManager;
   readonly tenants = new TenantDirectory();
-  readonly begun: [tenant: string, at: number][] = [];
+  readonly executionStarts: [tenant: string, at: number][] = [];
   readonly permits = makePermits();
   stale = false;
   readonly roundTrips = new RoundTrips(DEFAULT_DISTANCE_SETTINGS.roundTripMs);
@@ -83,7 +83,7 @@
         configurationMayBeStale: () => this.stale,
         getOutageMs: () => 0,
         getDaemonCount: () => 1,
-        onRequestBegan: (tenant, at) => this.begun.push([tenant, at]),
+        onRequestBegan: (tenant, at) => this.executionStarts.push([tenant, at]),
         getQuarantineMs: () => undefined,
         getIsolatedCaller: () => undefined,
         onAttemptBroken: () => undefined,
@@ -117,16 +117,16 @@
     );
   }
 
-  starts(): AttemptStart[] {
+  getStarts(): AttemptStart[] {
     return this.effects.flatMap((effect) => (effect.kind === 'startAttempt' ? [effect.start] : []));
   }
 
   event(event: ForwardAttemptEvent, now: number): void {
-    const last = this.starts().at(-1) as AttemptStart;
+    const last = this.getStarts().at(-1) as AttemptStart;
     this.manager.receiveAttemptEvent(last.requestId, last.attemptId, event, now);
   }
 
-  failures(): (number | 'broken')[] {
+  getFailures(): (number | 'broken')[] {
     return this.effects.flatMap((effect): (number | 'broken')[] => {
       if (effect.kind === 'replyFailure') return [effect.status];
       return effect.kind === 'replyBroken' ? ['broken'] : [];
@@ -140,18 +140,18 @@
 
 export const PLAIN = ['b1', 'b2', 'b3'].map((id) => makeLabBackend(id, `10.0.0.1:${id.slice(1)}`));
 
-export function engine(id: string, stage: EngineStage): BackendRecord {
+export function makeEngine(id: string, stage: EngineStage): BackendRecord {
   return { ...makeLabBackend(id, `10.0.1.1:${id.length}`), stage };
 }
 
 export const ENGINES = [
-  engine('p1', 'prefill'),
-  engine('p2', 'prefill'),
-  engine('d1', 'decode'),
-  engine('d2', 'decode'),
+  makeEngine('p1', 'prefill'),
+  makeEngine('p2', 'prefill'),
+  makeEngine('d1', 'decode'),
+  makeEngine('d2', 'decode'),
 ];
 
-export function prompt(own: number, shared: number, key = 'k'): PromptOutline {
+export function makePrompt(own: number, shared: number, key = 'k'): PromptOutline {
   const parts = [
     { id: key, tokens: shared },
     { id: 'own', tokens: own },
--- a/test/forwarding.test.ts
+++ b/test/forwarding.test.ts
@@ -5,7 +5,7 @@
 import type { Route } from '../src/forwarding/routes/route.js';
 import { RouteTable } from '../src/forwarding/routes/route-table.js';
 import { WeightedChoice } from '../src/forwarding/routes/weighted-choice.js';
-import { engine, ENGINES, Forwarding, PLAIN, prompt } from './forwarding-harness.js';
+import { makeEngine, ENGINES, ForwardingHarness, PLAIN, makePrompt } from './forwarding-harness.js';
 
 const SEED = 20261202;
 
@@ -47,59 +47,59 @@
 
 describe('forwarding', () => {
   it('a non-idempotent request is never retried once a back end may have received it', () => {
-    const site = new Forwarding([makeLabRoute({ kind: 'nonIdempotent', maximumAttempts: 3 })], PLAIN);
+    const site = new ForwardingHarness([makeLabRoute({ kind: 'nonIdempotent', maximumAttempts: 3 })], PLAIN);
     site.begin();
     site.event({ kind: 'broken', reason: 'reset' }, 10);
-    expect(site.starts()).to.have.length(1);
-    expect(site.failures()).to.deep.equal([502]);
+    expect(site.getStarts()).to.have.length(1);
+    expect(site.getFailures()).to.deep.equal([502]);
   });
 
   it('a request that no back end received is retried elsewhere, whatever its kind, without charge to the budget', () => {
-    const site = new Forwarding([makeLabRoute({ kind: 'nonIdempotent' })], PLAIN, 0);
+    const site = new ForwardingHarness([makeLabRoute({ kind: 'nonIdempotent' })], PLAIN, 0);
     site.begin();
     site.event({ kind: 'unreachable', reason: 'refused' }, 10);
-    expect(site.starts().map((start) => start.backend.id)).to.have.length(2);
-    expect(site.starts()[1].backend.id).not.to.equal(site.starts()[0].backend.id);
+    expect(site.getStarts().map((start) => start.backend.id)).to.have.length(2);
+    expect(site.getStarts()[1].backend.id).not.to.equal(site.getStarts()[0].backend.id);
   });
 
   it('a rejected request is refused as not executed when the retry budget is used up', () => {
-    const site = new Forwarding([makeLabRoute({})], PLAIN, 0);
+    const site = new ForwardingHarness([makeLabRoute({})], PLAIN, 0);
     site.begin();
     site.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 10);
-    expect(site.starts()).to.have.length(1);
-    expect(site.failures()).to.deep.equal([503]);
+    expect(site.getStarts()).to.have.length(1);
+    expect(site.getFailures()).to.deep.equal([503]);
     const [refusal] = site.getEffects('replyFailure');
     expect(refusal).to.have.property('retryAfterMs').that.is.greaterThan(0);
   });
 
   it('a request is executed at no more back ends than its route allows', () => {
-    const site = new Forwarding([makeLabRoute({ maximumAttempts: 2 })], PLAIN);
+    const site = new ForwardingHarness([makeLabRoute({ maximumAttempts: 2 })], PLAIN);
     site.begin();
     site.event({ kind: 'broken', reason: 'reset' }, 10);
     site.event({ kind: 'broken', reason: 'reset' }, 20);
-    expect(site.starts()).to.have.length(2);
-    expect(site.failures()).to.deep.equal([502]);
+    expect(site.getStarts()).to.have.length(2);
+    expect(site.getFailures()).to.deep.equal([502]);
   });
 
   it('at the timeout the answer is immediate: refused as not executed only if that is certain', () => {
-    const site = new Forwarding([makeLabRoute({ kind: 'nonIdempotent', timeoutMs: 500 })], PLAIN);
+    const site = new ForwardingHarness([makeLabRoute({ kind: 'nonIdempotent', timeoutMs: 500 })], PLAIN);
     site.begin();
     site.manager.tick(499);
-    expect(site.failures()).to.deep.equal([]);
+    expect(site.getFailures()).to.deep.equal([]);
     site.manager.tick(500);
-    expect(site.failures()).to.deep.equal([504]);
+    expect(site.getFailures()).to.deep.equal([504]);
     expect(site.getEffects('abortAttempt')).to.have.length(1);
   });
 
   it('a back end gets no more time than the deadlines of the caller and the route leave', () => {
-    const site = new Forwarding([makeLabRoute({ timeoutMs: 800 })], PLAIN);
+    const site = new ForwardingHarness([makeLabRoute({ timeoutMs: 800 })], PLAIN);
     site.begin({ callerDeadlineMs: 600 });
     site.event({ kind: 'unreachable', reason: 'refused' }, 100);
-    expect(site.starts().map((start) => start.remainingMs)).to.deep.equal([600, 500]);
+    expect(site.getStarts().map((start) => start.remainingMs)).to.deep.equal([600, 500]);
   });
 
   it('a request whose caller disconnects is aborted and removed from its back end', () => {
-    const site = new Forwarding([makeLabRoute({})], PLAIN);
+    const site = new ForwardingHarness([makeLabRoute({})], PLAIN);
     site.begin();
     site.manager.cancel('r1', 10);
     expect(site.getEffects('abortAttempt')).to.have.length(1);
@@ -108,33 +108,33 @@
   });
 
   it('a path without a route gets 404 only while the configuration is confirmed, else 503', () => {
-    const site = new Forwarding([makeLabRoute({})], PLAIN);
+    const site = new ForwardingHarness([makeLabRoute({})], PLAIN);
     site.begin({ path: '/none' });
     site.stale = true;
     site.begin({ id: 'r2', path: '/none' });
-    expect(site.failures()).to.deep.equal([404, 503]);
+    expect(site.getFailures()).to.deep.equal([404, 503]);
   });
 
   it('requests after admission has closed are refused with a Retry-After', () => {
-    const site = new Forwarding([makeLabRoute({})], PLAIN);
+    const site = new ForwardingHarness([makeLabRoute({})], PLAIN);
     site.manager.closeForNew();
     site.begin();
-    expect(site.failures()).to.deep.equal([503]);
-    expect(site.starts()).to.have.length(0);
+    expect(site.getFailures()).to.deep.equal([503]);
+    expect(site.getStarts()).to.have.length(0);
   });
 
   it('a back end gets no more concurrent requests than this daemon’s share of its connections', () => {
     const [only] = PLAIN;
-    const site = new Forwarding([makeLabRoute({})], [{ ...only, slots: 1000 }]);
+    const site = new ForwardingHarness([makeLabRoute({})], [{ ...only, slots: 1000 }]);
     for (let count = 0; count < 95; count += 1) site.begin({ id: `r${count}` });
-    expect(site.starts()).to.have.length(90);
-    expect(site.failures()).to.deep.equal([503, 503, 503, 503, 503]);
+    expect(site.getStarts()).to.have.length(90);
+    expect(site.getFailures()).to.deep.equal([503, 503, 503, 503, 503]);
   });
 
   it('no further requests go to an address that another incarnation has taken over', () => {
-    const site = new Forwarding([makeLabRoute({})], PLAIN);
+    const site = new ForwardingHarness([makeLabRoute({})], PLAIN);
     site.begin();
-    const [{ backend }] = site.starts();
+    const [{ backend }] = site.getStarts();
     site.event({ kind: 'notExecuted', status: 421, wrongIncarnation: true }, 10);
     expect(site.directory.get(backend.id)?.takesWork()).to.equal(false);
   });
@@ -142,30 +142,39 @@
 
 describe('streams', () => {
   it('a resumable stream is resumed at another back end after its last complete event', () => {
-    const site = new Forwarding([makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
+    const site = new ForwardingHarness(
+      [makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })],
+      PLAIN,
+    );
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
     site.event({ kind: 'streamProgress', lastEventId: '7' }, 20);
     site.event({ kind: 'broken', reason: 'reset' }, 30);
-    expect(site.starts()[1].resumeAfter).to.equal('7');
+    expect(site.getStarts()[1].resumeAfter).to.equal('7');
   });
 
   it('a prompt is computed separately again only where the attempts of the route allow that and the generation', () => {
     const route = makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 });
-    const site = new Forwarding([route], [...ENGINES, engine('p3', 'prefill'), engine('d3', 'decode')]);
-    site.begin({ prompt: prompt(400, 100) });
+    const site = new ForwardingHarness(
+      [route],
+      [...ENGINES, makeEngine('p3', 'prefill'), makeEngine('d3', 'decode')],
+    );
+    site.begin({ prompt: makePrompt(400, 100) });
     site.event({ kind: 'prefilled', handle: 'h1' }, 10);
     site.event({ kind: 'streamStarted' }, 20);
     site.event({ kind: 'broken', reason: 'reset' }, 30);
-    expect(site.starts()[2]).to.include({ prefillOnly: false });
-    expect(site.starts()[2].backend.stage).to.equal('decode');
+    expect(site.getStarts()[2]).to.include({ prefillOnly: false });
+    expect(site.getStarts()[2].backend.stage).to.equal('decode');
     site.event({ kind: 'broken', reason: 'reset' }, 31);
-    expect(site.starts()).to.have.length(3);
-    expect(site.failures()).to.deep.equal(['broken']);
+    expect(site.getStarts()).to.have.length(3);
+    expect(site.getFailures()).to.deep.equal(['broken']);
   });
 
   it('a stream is not moved because of a process pause', () => {
-    const site = new Forwarding([makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
+    const site = new ForwardingHarness(
+      [makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })],
+      PLAIN,
+    );
     site.begin({ callerDeadlineMs: 9000 });
     site.event({ kind: 'streamStarted' }, 10);
     for (let now = 20; now < 200; now += 20) site.manager.tick(now);
@@ -173,55 +182,61 @@
     site.manager.tick(1800);
     site.event({ kind: 'streamProgress', lastEventId: '2' }, 1801);
     for (let now = 1820; now < 2000; now += 20) site.manager.tick(now);
-    expect(site.starts()).to.have.length(1);
+    expect(site.getStarts()).to.have.length(1);
   });
 
   it('a stream whose second engine is lost too is resumed at a third', () => {
     const route = makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 4 });
-    const site = new Forwarding([route], [...ENGINES, engine('p3', 'prefill'), engine('d3', 'decode')]);
-    site.begin({ prompt: prompt(400, 100) });
+    const site = new ForwardingHarness(
+      [route],
+      [...ENGINES, makeEngine('p3', 'prefill'), makeEngine('d3', 'decode')],
+    );
+    site.begin({ prompt: makePrompt(400, 100) });
     site.event({ kind: 'prefilled', handle: 'h1' }, 10);
     site.event({ kind: 'streamStarted' }, 20);
     site.event({ kind: 'broken', reason: 'reset' }, 30);
     site.event({ kind: 'broken', reason: 'reset' }, 31);
-    expect(site.failures()).to.deep.equal([]);
-    expect(site.starts()).to.have.length(4);
+    expect(site.getFailures()).to.deep.equal([]);
+    expect(site.getStarts()).to.have.length(4);
   });
 
   it('a stream whose second engine answers with a failure is broken off, not ended as if it were complete', () => {
-    const site = new Forwarding([makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })], PLAIN);
+    const site = new ForwardingHarness(
+      [makeLabRoute({ ...STREAM, resumable: true, maximumAttempts: 2 })],
+      PLAIN,
+    );
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
     site.event({ kind: 'streamProgress', lastEventId: '7' }, 20);
     site.event({ kind: 'broken', reason: 'reset' }, 30);
     site.event({ kind: 'whole', status: 500 }, 40);
-    expect(site.failures()).to.deep.equal(['broken']);
+    expect(site.getFailures()).to.deep.equal(['broken']);
     expect(site.getEffects('replyWhole')).to.have.length(0);
   });
 
   it('a stream that is not resumable is broken off, never finished by another attempt', () => {
-    const site = new Forwarding([makeLabRoute(STREAM)], PLAIN);
+    const site = new ForwardingHarness([makeLabRoute(STREAM)], PLAIN);
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
     site.event({ kind: 'broken', reason: 'reset' }, 30);
-    expect(site.starts()).to.have.length(1);
-    expect(site.failures()).to.deep.equal(['broken']);
+    expect(site.getStarts()).to.have.length(1);
+    expect(site.getFailures()).to.deep.equal(['broken']);
   });
 
   it('a long prompt is computed by a prefill engine and generated by a decode engine', () => {
-    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
-    site.begin({ prompt: prompt(3000, 13_000) });
-    expect(site.starts()[0]).to.include({ prefillOnly: true });
-    expect(site.starts()[0].backend.stage).to.equal('prefill');
+    const site = new ForwardingHarness([makeLabRoute(STREAM)], ENGINES);
+    site.begin({ prompt: makePrompt(3000, 13_000) });
+    expect(site.getStarts()[0]).to.include({ prefillOnly: true });
+    expect(site.getStarts()[0].backend.stage).to.equal('prefill');
     site.event({ kind: 'prefilled', handle: 'h1' }, 100);
-    expect(site.starts()[1]).to.include({ prefillOnly: false });
-    expect(site.starts()[1].backend.stage).to.equal('decode');
-    expect(site.starts()[1].kvSource?.handle).to.equal('h1');
+    expect(site.getStarts()[1]).to.include({ prefillOnly: false });
+    expect(site.getStarts()[1].backend.stage).to.equal('decode');
+    expect(site.getStarts()[1].kvSource?.handle).to.equal('h1');
   });
 
   it('a KV cache that will not be used is freed', () => {
-    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
-    site.begin({ prompt: prompt(3000, 13_000) });
+    const site = new ForwardingHarness([makeLabRoute(STREAM)], ENGINES);
+    site.begin({ prompt: makePrompt(3000, 13_000) });
     site.event({ kind: 'prefilled', handle: 'h1' }, 100);
     site.manager.cancel('r1', 110);
     expect(site.getEffects('freeKv')).to.have.length(1);
@@ -230,16 +245,16 @@
   it('computing a prompt again takes as much of the retry budget as the generation after it', () => {
     const slack = 10;
     const engines = ['a', 'b', 'c', 'd', 'e'].flatMap((name) => [
-      engine(`p${name}`, 'prefill'),
-      engine(`d${name}`, 'decode'),
+      makeEngine(`p${name}`, 'prefill'),
+      makeEngine(`d${name}`, 'decode'),
     ]);
-    const site = new Forwarding([makeLabRoute({ ...STREAM, maximumAttempts: 9 })], engines, slack);
+    const site = new ForwardingHarness([makeLabRoute({ ...STREAM, maximumAttempts: 9 })], engines, slack);
     const requests = 12;
     for (let i = 0; i < requests; i += 1) {
-      site.begin({ id: `r${i}`, prompt: prompt(2000, 0) });
+      site.begin({ id: `r${i}`, prompt: makePrompt(2000, 0) });
       for (;;) {
-        const before = site.starts().length;
-        const last = site.starts()[before - 1];
+        const before = site.getStarts().length;
+        const last = site.getStarts()[before - 1];
         if (last.requestId !== `r${i}`) break;
         site.event(
           last.prefillOnly
@@ -247,78 +262,78 @@
             : { kind: 'notExecuted', status: 503, wrongIncarnation: false },
           1,
         );
-        if (site.starts().length === before) break;
+        if (site.getStarts().length === before) break;
       }
     }
     // The first separate computation of a prompt is free, and the first generation after it is no retry.
-    const retries = site.starts().length - 2 * requests;
+    const retries = site.getStarts().length - 2 * requests;
     expect(retries).to.be.within(1, slack);
   });
 
   it('a long prompt yields to short ones of the same priority, never to a lower priority', () => {
     const urgency = (priority: number, own: number): number => {
-      const site = new Forwarding([makeLabRoute({ ...STREAM, priority })], ENGINES);
-      site.begin({ prompt: prompt(own, 0) });
-      return site.starts()[0].urgency;
+      const site = new ForwardingHarness([makeLabRoute({ ...STREAM, priority })], ENGINES);
+      site.begin({ prompt: makePrompt(own, 0) });
+      return site.getStarts()[0].urgency;
     };
     expect(urgency(1, 2000)).to.be.lessThan(urgency(1, 20_000));
     expect(urgency(1, 20_000)).to.be.lessThan(urgency(2, 2000));
   });
 
   it('if every decode engine is unhealthy one of them is tried anyway: no prefill engine can replace it', () => {
-    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
+    const site = new ForwardingHarness([makeLabRoute(STREAM)], ENGINES);
     for (const id of ['d1', 'd2']) site.directory.get(id)?.health.onUnreachable(0);
-    site.begin({ prompt: prompt(100, 50) });
-    site.begin({ id: 'r2', prompt: prompt(3000, 13_000) });
-    expect(site.failures()).to.deep.equal([]);
-    expect(site.starts().map((start) => start.backend.stage)).to.deep.equal(['decode', 'prefill']);
+    site.begin({ prompt: makePrompt(100, 50) });
+    site.begin({ id: 'r2', prompt: makePrompt(3000, 13_000) });
+    expect(site.getFailures()).to.deep.equal([]);
+    expect(site.getStarts().map((start) => start.backend.stage)).to.deep.equal(['decode', 'prefill']);
     site.event({ kind: 'prefilled', handle: 'h' }, 50);
-    expect(site.starts().at(-1)?.backend.stage).to.equal('decode');
+    expect(site.getStarts().at(-1)?.backend.stage).to.equal('decode');
   });
 
   it('a short prompt goes to a decode engine directly', () => {
-    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
-    site.begin({ prompt: prompt(100, 50) });
-    expect(site.starts()[0].backend.stage).to.equal('decode');
-    expect(site.starts()[0].prefillOnly).to.equal(false);
+    const site = new ForwardingHarness([makeLabRoute(STREAM)], ENGINES);
+    site.begin({ prompt: makePrompt(100, 50) });
+    expect(site.getStarts()[0].backend.stage).to.equal('decode');
+    expect(site.getStarts()[0].prefillOnly).to.equal(false);
   });
 
   it('prompts with the same shared parts go to one home engine, which every daemon computes by itself', () => {
     const homes = new Set<string>();
     for (let daemon = 0; daemon < 5; daemon += 1) {
-      const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
-      site.begin({ prompt: prompt(3000 + daemon, 13_000, 'subject') });
-      homes.add(site.starts()[0].backend.id);
+      const site = new ForwardingHarness([makeLabRoute(STREAM)], ENGINES);
+      site.begin({ prompt: makePrompt(3000 + daemon, 13_000, 'subject') });
+      homes.add(site.getStarts()[0].backend.id);
     }
     expect(homes.size).to.equal(1);
   });
 
   it('a busy engine is not taken for a silent one: the stall limit grows with the queued prompts', () => {
-    const site = new Forwarding([makeLabRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
-    site.begin({ prompt: prompt(50_000, 2000), callerDeadlineMs: 9000 });
+    const site = new ForwardingHarness([makeLabRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
+    site.begin({ prompt: makePrompt(50_000, 2000), callerDeadlineMs: 9000 });
     site.manager.tick(2500);
-    expect(site.starts()).to.have.length(1);
+    expect(site.getStarts()).to.have.length(1);
     site.manager.tick(5000);
-    expect(site.starts().length).to.be.greaterThan(1);
+    expect(site.getStarts().length).to.be.greaterThan(1);
   });
 });
 
 describe('a home engine that has not computed the shared parts yet', () => {
   it('is allowed the time that the whole prompt takes', () => {
-    const site = new Forwarding([makeLabRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
-    site.begin({ prompt: prompt(2000, 40_000), callerDeadlineMs: 9000 });
+    const site = new ForwardingHarness([makeLabRoute({ ...STREAM, timeoutMs: 9000 })], ENGINES);
+    site.begin({ prompt: makePrompt(2000, 40_000), callerDeadlineMs: 9000 });
     site.manager.tick(2000);
-    expect(site.starts()).to.have.length(1);
-    expect(site.directory.get(site.starts()[0].backend.id)?.pendingTokens()).to.equal(42_000);
+    expect(site.getStarts()).to.have.length(1);
+    expect(site.directory.get(site.getStarts()[0].backend.id)?.pendingTokens()).to.equal(42_000);
   });
 
   it('saves their tokens once they are known to be in its KV cache', () => {
-    const site = new Forwarding([makeLabRoute(STREAM)], ENGINES);
-    site.begin({ prompt: prompt(2000, 13_000) });
+    const site = new ForwardingHarness([makeLabRoute(STREAM)], ENGINES);
+    site.begin({ prompt: makePrompt(2000, 13_000) });
     site.event({ kind: 'prefilled', handle: 'h' }, 300);
-    site.begin({ id: 'r2', prompt: prompt(1000, 13_000) }, 400);
-    const home = site.starts()[0].backend.id;
-    expect(site.starts().at(-1)?.backend.id).to.equal(home);
+    site.begin({ id: 'r2', prompt: makePrompt(1000, 13_000) }, 400);
+    const home = site.getStarts()[0].backend.id;
+    expect(site.getStarts().at(-1)?.backend.id).to.equal(home);
     expect(site.directory.get(home)?.pendingTokens()).to.equal(1000);
   });
 });
--- a/test/lost-back-ends.test.ts
+++ b/test/lost-back-ends.test.ts
@@ -4,7 +4,7 @@
 import { findCutOffRegions } from '../src/forwarding/backends/region-contact.js';
 import { DEFAULT_DISTANCE_SETTINGS } from '../src/places/distance-settings.js';
 import { RoundTrips } from '../src/places/round-trips.js';
-import { Forwarding, PLAIN } from './forwarding-harness.js';
+import { ForwardingHarness, PLAIN } from './forwarding-harness.js';
 
 const DEADLINE_MS = 5000;
 /** A request without an answer is sent elsewhere after this time: twice its target and a tick. Milliseconds. */
@@ -13,9 +13,9 @@
 describe('lost back ends', () => {
   it('all requests that wait at a back end that became silent are sent elsewhere at the same time', () => {
     const route = makeLabRoute({ kind: 'idempotent', timeoutMs: DEADLINE_MS, targetLatencyMs: 400 });
-    const site = new Forwarding([route], PLAIN);
+    const site = new ForwardingHarness([route], PLAIN);
     for (let count = 0; count < 9; count += 1) site.begin({ id: `r${count}`, callerDeadlineMs: DEADLINE_MS });
-    const started = site.starts();
+    const started = site.getStarts();
     const silent = started[0].backend.id;
     const waiting = started.filter(({ backend }) => backend.id === silent);
     expect(waiting.length).to.be.greaterThan(1);
@@ -23,7 +23,7 @@
       if (backend.id !== silent)
         site.manager.receiveAttemptEvent(requestId, attemptId, { kind: 'whole', status: 200 }, 20);
     site.manager.tick(STALLED_MS);
-    const moved = site.starts().slice(started.length);
+    const moved = site.getStarts().slice(started.length);
     expect(moved).to.have.length(waiting.length);
     expect(moved.map(({ backend }) => backend.id)).not.to.include(silent);
   });
@@ -35,7 +35,7 @@
     }));
     const near = { ...makeLabBackend('near', '10.0.0.1:1'), zone: 'zone-a' };
     const regions = { 'zone-a': 'r1', 'zone-c': 'r2' };
-    const site = new Forwarding([makeLabRoute({})], [near, ...far], 50, regions);
+    const site = new ForwardingHarness([makeLabRoute({})], [near, ...far], 50, regions);
     for (const { id } of far) site.directory.get(id)?.health.addSuccess(100);
     site.directory.get('far0')?.health.onUnreachable(1000);
     site.directory.get('far1')?.health.onUnreachable(1100);
--- a/test/quota-requests.test.ts
+++ b/test/quota-requests.test.ts
@@ -9,7 +9,7 @@
 import type { Tenant } from '../src/forwarding/routes/route.js';
 import { TenantDirectory } from '../src/forwarding/routes/tenant-directory.js';
 import type { QuotaAnswer } from '../src/forwarding/admit/tenant-quota.js';
-import { ENGINES, Forwarding, PLAIN, prompt } from './forwarding-harness.js';
+import { ENGINES, ForwardingHarness, PLAIN, makePrompt } from './forwarding-harness.js';
 
 const LIMIT = { ratePerSecond: 62_000, burst: 62_000 };
 
@@ -26,8 +26,8 @@
     answer: QuotaAnswer,
     backends = PLAIN,
     route = makeLabRoute({ kind: 'idempotent' }),
-  ): Forwarding {
-    const daemon = new Forwarding([route], backends);
+  ): ForwardingHarness {
+    const daemon = new ForwardingHarness([route], backends);
     daemon.tenants.apply([tenant]);
     daemon.takeQuota = (request) => {
       daemon.quotaCharges.push(['asked', request.cost]);
@@ -36,13 +36,13 @@
     return daemon;
   }
 
-  function begin(daemon: Forwarding, fields: Partial<ForwardRequest> = {}): void {
+  function begin(daemon: ForwardingHarness, fields: Partial<ForwardRequest> = {}): void {
     daemon.begin({ keyDigest: digestKey(KEY), ...fields });
   }
 
   it('are refunded if only the prompt was being computed when the caller disconnected', () => {
     const daemon = makeForwarding({ kind: 'granted' }, ENGINES, makeLabRoute({ kind: 'stream' }));
-    begin(daemon, { prompt: prompt(500, 500), usageTokens: 1010 });
+    begin(daemon, { prompt: makePrompt(500, 500), usageTokens: 1010 });
     daemon.manager.cancel('r1', 3);
     expect(daemon.quotaCharges).to.deep.equal([
       ['asked', 1010],
@@ -53,7 +53,7 @@
   it('answer 429 with a Retry-After, before anything is sent', () => {
     const daemon = makeForwarding(REFUSED);
     begin(daemon);
-    expect(daemon.starts()).to.deep.equal([]);
+    expect(daemon.getStarts()).to.deep.equal([]);
     expect(daemon.getEffects('replyFailure')).to.deep.include({
       kind: 'replyFailure',
       requestId: 'r1',
@@ -76,20 +76,20 @@
     unlimited.tenants.apply([{ ...tenant, quota: undefined }]);
     begin(unlimited);
     expect(unlimited.quotaCharges).to.deep.equal([]);
-    expect(unlimited.starts().length).to.equal(1);
+    expect(unlimited.getStarts().length).to.equal(1);
   });
 
   it('delay a request until they are decided, and let its caller disconnect meanwhile', () => {
     const daemon = makeForwarding({ kind: 'waiting' });
     begin(daemon);
-    expect(daemon.starts()).to.deep.equal([]);
+    expect(daemon.getStarts()).to.deep.equal([]);
     daemon.manager.applyQuota('r1', { kind: 'granted' }, 5);
-    expect(daemon.starts().length).to.equal(1);
+    expect(daemon.getStarts().length).to.equal(1);
     const cancelled = makeForwarding({ kind: 'waiting' });
     begin(cancelled);
     cancelled.manager.cancel('r1', 3);
     cancelled.manager.applyQuota('r1', { kind: 'granted' }, 5);
-    expect(cancelled.starts()).to.deep.equal([]);
+    expect(cancelled.getStarts()).to.deep.equal([]);
     expect(cancelled.quotaCharges).to.deep.equal([
       ['asked', 200],
       ['r1', 0],
@@ -100,7 +100,7 @@
     const daemon = makeForwarding({ kind: 'granted' });
     begin(daemon);
     for (let i = 0; i < PLAIN.length; i += 1) daemon.event({ kind: 'unreachable', reason: 'refused' }, i);
-    expect(daemon.failures()).to.deep.equal([503]);
+    expect(daemon.getFailures()).to.deep.equal([503]);
     expect(daemon.quotaCharges).to.deep.equal([
       ['asked', 200],
       ['mary', -200],
@@ -119,12 +119,12 @@
     const rejected = makeForwarding({ kind: 'granted' }, PLAIN, route);
     begin(rejected);
     rejected.event({ kind: 'notExecuted', status: 503, wrongIncarnation: false }, 1);
-    expect(rejected.starts().length).to.equal(2);
+    expect(rejected.getStarts().length).to.equal(2);
     expect(rejected.quotaCharges).to.deep.equal([['asked', 200]]);
     const broken = makeForwarding({ kind: 'granted' }, PLAIN, route);
     begin(broken);
     broken.event({ kind: 'broken', reason: 'reset' }, 1);
-    expect(broken.starts().length).to.equal(2);
+    expect(broken.getStarts().length).to.equal(2);
     expect(broken.quotaCharges).to.deep.equal([
       ['asked', 200],
       ['mary', 200],
@@ -133,9 +133,9 @@
 
   it('charge a request once whose prompt is computed separately', () => {
     const daemon = makeForwarding({ kind: 'granted' }, ENGINES, makeLabRoute({ kind: 'stream' }));
-    begin(daemon, { prompt: prompt(500, 500), usageTokens: 1010 });
+    begin(daemon, { prompt: makePrompt(500, 500), usageTokens: 1010 });
     daemon.event({ kind: 'prefilled', handle: 'h' }, 10);
-    expect(daemon.starts().length).to.equal(2);
+    expect(daemon.getStarts().length).to.equal(2);
     expect(daemon.quotaCharges).to.deep.equal([['asked', 1010]]);
   });
 });
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -7,14 +7,14 @@
 import { RoundTrips } from '../src/places/round-trips.js';
 import type { BackendRecord, EngineStage } from '../src/forwarding/routes/route.js';
 import { findCutOffRegions } from '../src/forwarding/backends/region-contact.js';
-import { engine, Forwarding, prompt } from './forwarding-harness.js';
+import { makeEngine, ForwardingHarness, makePrompt } from './forwarding-harness.js';
 
 const REGIONS = { 'zone-a': 'r1', 'zone-b': 'r1', 'zone-c': 'r2', 'zone-d': 'r2', 'zone-e': 'r3' };
 /** 18 KB a token and 370 Gbit/s, so that 13,300 tokens are 245 MB. */
 const LINKS: EngineLinks = { tokenBytes: 18_432, linkMbps: 370_000 };
 const SLACK = 50;
-const LONG = prompt(2000, 8000);
-const SHORT = prompt(100, 0);
+const LONG = makePrompt(2000, 8000);
+const SHORT = makePrompt(100, 0);
 
 function makeCost(regionByZone: Record<string, string> = REGIONS): DistanceCost {
   const roundTrips = new RoundTrips(DEFAULT_DISTANCE_SETTINGS.roundTripMs);
@@ -22,12 +22,12 @@
 }
 
 function makeRecord(zone: string, id: string, stage?: EngineStage): BackendRecord {
-  const record = stage ? engine(id, stage) : makeLabBackend(id, '');
+  const record = stage ? makeEngine(id, stage) : makeLabBackend(id, '');
   return { ...record, zone, address: `10.0.0.1:${id}` };
 }
 
-function makeSite(...backends: BackendRecord[]): Forwarding {
-  return new Forwarding(
+function makeSite(...backends: BackendRecord[]): ForwardingHarness {
+  return new ForwardingHarness(
     [makeLabRoute({ kind: 'stream', timeoutMs: 5000, targetLatencyMs: 500 })],
     backends,
     SLACK,
@@ -36,13 +36,13 @@
 }
 
 /** Adds load of other requests to a back end. */
-function addLoad(site: Forwarding, id: string, requests: number, tokens = 0): void {
+function addLoad(site: ForwardingHarness, id: string, requests: number, tokens = 0): void {
   for (let count = 0; count < requests; count += 1)
     site.directory.get(id)?.addAttempt(`${id}/${count}`, tokens / requests, 0);
 }
 
-function lastBackend(site: Forwarding): string | undefined {
-  return site.starts().at(-1)?.backend.id;
+function lastBackend(site: ForwardingHarness): string | undefined {
+  return site.getStarts().at(-1)?.backend.id;
 }
 
 /** Time at which cut-off regions are looked for: soon after back ends were lost. Milliseconds. */
@@ -169,7 +169,7 @@
     );
     for (const id of ['far', 'near']) site.kvIndex.addComputedPrompt(id, LONG, 100_000);
     site.begin({ prompt: LONG });
-    expect(site.starts()[0].copyFrom).to.equal('10.0.0.1:near');
+    expect(site.getStarts()[0].copyFrom).to.equal('10.0.0.1:near');
   });
 
   it('homes: a shared part has one in each region, the same for all its daemons', () => {
@@ -184,7 +184,7 @@
       makeRecord('zone-c', 'd2', 'decode'),
     );
     const reasons = ['one', 'two', 'three', 'four', 'five', 'six'].map((key) => {
-      site.begin({ id: key, prompt: prompt(2000, 8000, key) });
+      site.begin({ id: key, prompt: makePrompt(2000, 8000, key) });
       expect(lastBackend(site)).to.match(/zone-[ab]$/);
       site.manager.cancel(key, 0);
       return site.effects.flatMap((effect) =>
@@ -208,7 +208,7 @@
       makeRecord('zone-c', 'd', 'decode'),
     );
     site.begin({ prompt: LONG, bodyBytes: 10_000 });
-    expect(site.starts()[0]).to.include({ prefillOnly: true });
+    expect(site.getStarts()[0]).to.include({ prefillOnly: true });
     expect(lastBackend(site)).to.equal('far');
     site.event({ kind: 'prefilled', handle: 'h' }, 100);
     expect(lastBackend(site), 'the KV cache is nearer there').to.equal('d');
@@ -230,7 +230,7 @@
       site.distance.setCutOff(findCutOffRegions(site.directory.all(), site.distance, CHECKED_AT_MS));
     const copyFrom = (id: string) => {
       site.begin({ id, prompt: LONG });
-      return site.starts().at(-1)?.copyFrom;
+      return site.getStarts().at(-1)?.copyFrom;
     };
     checkRegions();
     expect(copyFrom('r1')).to.equal('10.0.0.1:f3');
@@ -255,7 +255,7 @@
     for (const id of ['f1', 'f2']) site.directory.get(id)?.health.onUnreachable(10);
     site.distance.setCutOff(findCutOffRegions(site.directory.all(), site.distance, CHECKED_AT_MS));
     site.begin({}, 20);
-    expect(site.starts()).to.have.length(1);
+    expect(site.getStarts()).to.have.length(1);
   });
 
   it('a link between regions of 200 ms: requests stay in the own region until they would wait longer than that', () => {
@@ -273,7 +273,7 @@
   it('the log line of each attempt has the distance; in a fleet of one region none has', () => {
     const several = makeSite(makeRecord('zone-c', 'far'));
     several.begin();
-    const one = new Forwarding([makeLabRoute({})], [makeRecord('zone-c', 'far')]);
+    const one = new ForwardingHarness([makeLabRoute({})], [makeRecord('zone-c', 'far')]);
     one.begin();
     const distances = [several, one].map((site) =>
       site.effects.flatMap((effect) =>
--- a/test/request-that-ends-back-ends.test.ts
+++ b/test/request-that-ends-back-ends.test.ts
@@ -9,7 +9,7 @@
  */
 import { expect } from 'chai';
 import type { FleetNode } from '../simulation/forwarding-fleet.js';
-import { CrashSite, CRASHING, TRAFFIC_START_MS } from './crash-site.js';
+import { CrashSite, CRASHING_PREFIX, TRAFFIC_START_MS } from './crash-site.js';
 
 const SEEDS = [1, 2, 3];
 const PER_SECOND = 60;
@@ -28,13 +28,13 @@
     onStep(at);
     if (at < nextAt) return;
     nextAt = at + RETRY_INTERVAL_MS;
-    site.send(CRASHING, CALLER);
+    site.send(CRASHING_PREFIX, CALLER);
   });
 }
 
 function checkRetryLimit(site: CrashSite, what: string): void {
-  expect(site.countCrashes(CRASHING, CALLER), `${what}: back ends that crashed`).to.be.at.least(3);
-  expect(site.countLateRetries(CRASHING, CALLER), `${what}: retries`).to.be.at.most(3);
+  expect(site.countCrashes(CRASHING_PREFIX, CALLER), `${what}: back ends that crashed`).to.be.at.least(3);
+  expect(site.countLateRetries(CRASHING_PREFIX, CALLER), `${what}: retries`).to.be.at.most(3);
 }
 
 /** Creates a step handler that calls `act` once, at the given time after the start of the traffic. */
@@ -108,10 +108,10 @@
       site.runTraffic(TRAFFIC_MS, PER_SECOND, (at) => {
         if (at < nextAt) return;
         nextAt = at + RETRY_INTERVAL_MS;
-        site.send(CRASHING, `10.8.${site.random.below(200)}.${site.random.below(200)}`);
+        site.send(CRASHING_PREFIX, `10.8.${site.random.below(200)}.${site.random.below(200)}`);
       });
-      expect(site.countCrashes(CRASHING), `seed ${seed}`).to.be.at.least(3);
-      expect(site.countLateRetries(CRASHING), `seed ${seed}`).to.be.at.most(3);
+      expect(site.countCrashes(CRASHING_PREFIX), `seed ${seed}`).to.be.at.least(3);
+      expect(site.countLateRetries(CRASHING_PREFIX), `seed ${seed}`).to.be.at.most(3);
       expect(getOthersServedShare(site), `seed ${seed}, others`).to.be.at.least(0.97);
     }
   });
@@ -130,14 +130,14 @@
       const site = new CrashSite(seed);
       let sent = 0;
       runCrashingTraffic(site, () => {
-        if (site.random.next() < 0.02) site.send(`${CRASHING} ${(sent += 1)}`, FLOODING_CALLER);
+        if (site.random.next() < 0.02) site.send(`${CRASHING_PREFIX} ${(sent += 1)}`, FLOODING_CALLER);
       });
       expect(sent).to.be.greaterThan(40);
-      expect(site.isRetryLimitKept(CRASHING, CALLER), `seed ${seed}`).to.equal(true);
+      expect(site.isRetryLimitKept(CRASHING_PREFIX, CALLER), `seed ${seed}`).to.equal(true);
       expect(getOthersServedShare(site), `seed ${seed}, others`).to.be.at.least(0.97);
       for (let i = 1; i <= sent; i += 1)
         expect(
-          site.isRetryLimitKept(`${CRASHING} ${i}`, FLOODING_CALLER),
+          site.isRetryLimitKept(`${CRASHING_PREFIX} ${i}`, FLOODING_CALLER),
           `seed ${seed}, content ${i}`,
         ).to.equal(true);
     }
@@ -177,7 +177,7 @@
       const site = new CrashSite(seed);
       site.harmlessCallers.add(OTHER_CALLER);
       runCrashingTraffic(site, () => {
-        if (site.random.next() < 0.1) site.send(CRASHING, OTHER_CALLER);
+        if (site.random.next() < 0.1) site.send(CRASHING_PREFIX, OTHER_CALLER);
       });
       checkRetryLimit(site, `seed ${seed}`);
       const served = site.getServedShare(TRAFFIC_START_MS + 1000, ({ caller }) => caller === OTHER_CALLER);
--- a/test/restarted-back-ends.test.ts
+++ b/test/restarted-back-ends.test.ts
@@ -9,7 +9,7 @@
 import type { BackendRecord } from '../src/forwarding/routes/route.js';
 import { getIncarnation } from '../src/quarantine/incarnation.js';
 import { SeededRandom } from '../src/shared/random.js';
-import { Forwarding, PLAIN } from './forwarding-harness.js';
+import { ForwardingHarness, PLAIN } from './forwarding-harness.js';
 
 const BORN_MS = 1_800_000_000_000;
 
@@ -58,7 +58,7 @@
   });
 
   it('has neither the failures nor the attempts of the previous incarnation', () => {
-    const site = new Forwarding([], PLAIN);
+    const site = new ForwardingHarness([], PLAIN);
     const [record] = PLAIN;
     const before = site.directory.get(record.id);
     before?.addAttempt('a1', 100, 0);
--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -21,7 +21,7 @@
 import type { AttemptStart } from '../src/forwarding/forward-messages.js';
 import type { Tenant } from '../src/forwarding/routes/route.js';
 import { TenantDirectory } from '../src/forwarding/routes/tenant-directory.js';
-import { ENGINES, Forwarding, PLAIN, prompt } from './forwarding-harness.js';
+import { ENGINES, ForwardingHarness, PLAIN, makePrompt } from './forwarding-harness.js';
 
 const SEED = 20261207;
 const KEY = '492cqf75rjvz48wuakn2';
@@ -62,8 +62,8 @@
 });
 
 describe('requests with keys', () => {
-  function makeForwarding(route = ROUTE, backends = PLAIN): Forwarding {
-    const daemon = new Forwarding([route], backends);
+  function makeForwarding(route = ROUTE, backends = PLAIN): ForwardingHarness {
+    const daemon = new ForwardingHarness([route], backends);
     daemon.tenants.apply([makeTenant('mary', [KEY], 3), makeTenant('anna', [OTHER_KEY])]);
     return daemon;
   }
@@ -71,7 +71,7 @@
   it('a request with a valid key is forwarded with its tenant', () => {
     const daemon = makeForwarding();
     daemon.begin({ keyDigest: digestKey(KEY) });
-    expect(daemon.starts().map((start) => start.tenant)).to.deep.equal(['mary']);
+    expect(daemon.getStarts().map((start) => start.tenant)).to.deep.equal(['mary']);
   });
 
   it('a missing or unknown key is denied at once, or refused as not executed if a newer version may know it', () => {
@@ -80,8 +80,8 @@
       daemon.begin({ keyDigest });
       daemon.stale = true;
       daemon.begin({ id: 'r2', keyDigest });
-      expect(daemon.failures()).to.deep.equal([401, 503]);
-      expect(daemon.starts()).to.deep.equal([]);
+      expect(daemon.getFailures()).to.deep.equal([401, 503]);
+      expect(daemon.getStarts()).to.deep.equal([]);
     }
   });
 
@@ -90,23 +90,23 @@
     daemon.tenants.apply([makeTenant('mary', [], 3)]);
     daemon.begin({ keyDigest: digestKey(KEY) });
     daemon.begin({ id: 'r2', keyDigest: digestKey(OTHER_KEY) });
-    expect(daemon.failures()).to.deep.equal([401, 401]);
+    expect(daemon.getFailures()).to.deep.equal([401, 401]);
   });
 
   it('a public route accepts every caller, without a tenant', () => {
     const daemon = makeForwarding(PUBLIC_ROUTE);
     daemon.begin({ keyDigest: digestKey(KEY) });
     daemon.begin({ id: 'r2' });
-    expect(daemon.starts().map((start) => start.tenant)).to.deep.equal([undefined, undefined]);
+    expect(daemon.getStarts().map((start) => start.tenant)).to.deep.equal([undefined, undefined]);
   });
 
   it('the priority of a tenant overrides that of the route, for prefill and for decode', () => {
     const route = makeLabRoute({ kind: 'stream', priority: 1 });
     const daemon = makeForwarding(route, ENGINES);
-    daemon.begin({ keyDigest: digestKey(KEY), prompt: prompt(2000, 0) });
+    daemon.begin({ keyDigest: digestKey(KEY), prompt: makePrompt(2000, 0) });
     daemon.event({ kind: 'prefilled', handle: 'h' }, 10);
-    daemon.begin({ id: 'r2', keyDigest: digestKey(OTHER_KEY), prompt: prompt(2000, 0) });
-    expect(daemon.starts().map(({ tenant: name, urgency }) => [name, urgency])).to.deep.equal([
+    daemon.begin({ id: 'r2', keyDigest: digestKey(OTHER_KEY), prompt: makePrompt(2000, 0) });
+    expect(daemon.getStarts().map(({ tenant: name, urgency }) => [name, urgency])).to.deep.equal([
       ['mary', 6],
       ['mary', 6],
       ['anna', 2],
--- a/test/true-refusals.test.ts
+++ b/test/true-refusals.test.ts
@@ -6,7 +6,7 @@
 import fc from 'fast-check';
 import { makeLabBackend, makeLabRoute } from '../lab/forwarding-site.js';
 import type { AttemptStart, ForwardAttemptEvent } from '../src/forwarding/forward-messages.js';
-import { Forwarding } from './forwarding-harness.js';
+import { ForwardingHarness } from './forwarding-harness.js';
 
 const BACKENDS = ['b1', 'b2', 'b3'].map((id, index) => makeLabBackend(id, `10.0.0.${index}:80`));
 const ENGINES = (['prefill', 'prefill', 'decode', 'decode'] as const).map((stage, index) => ({
@@ -91,12 +91,12 @@
       fc.assert(
         fc.property(scenario, ({ engines, slack, steps: scenarioSteps }) => {
           const route = makeLabRoute({ kind, resumable: true, maximumAttempts: 3, timeoutMs: 3000 });
-          const site = new Forwarding([route], engines ? ENGINES : BACKENDS, slack);
+          const site = new ForwardingHarness([route], engines ? ENGINES : BACKENDS, slack);
           site.begin({ callerDeadlineMs: 3000, ...(engines ? { prompt: PROMPT } : {}) });
           const attempts = new AttemptEvents();
           let now = 0;
           for (const step of scenarioSteps) {
-            const last = site.starts().at(-1);
+            const last = site.getStarts().at(-1);
             if ('waitMs' in step) site.manager.tick((now += step.waitMs));
             else if (last && attempts.isPossible(last, step.event)) {
               attempts.add(last, step.event);
@@ -105,9 +105,9 @@
           }
           site.manager.tick((now += 4000));
           const refused = site
-            .failures()
+            .getFailures()
             .some((status) => status !== 'broken' && REFUSAL_STATUSES.has(status));
-          const mayHaveExecuted = site.starts().some((start) => attempts.mayHaveExecuted(start));
+          const mayHaveExecuted = site.getStarts().some((start) => attempts.mayHaveExecuted(start));
           if (refused) expect(mayHaveExecuted).to.equal(false);
         }),
         { numRuns: 2000, seed: 20261202 },
@@ -116,25 +116,25 @@
   }
 
   it('discard an answer that is not passed on', () => {
-    const site = new Forwarding([makeLabRoute({ maximumAttempts: 2 })], BACKENDS);
+    const site = new ForwardingHarness([makeLabRoute({ maximumAttempts: 2 })], BACKENDS);
     site.begin();
-    const [first] = site.starts();
+    const [first] = site.getStarts();
     site.event({ kind: 'whole', status: 500 }, 10);
-    expect(site.starts()).to.have.length(2);
+    expect(site.getStarts()).to.have.length(2);
     expect(site.getEffects('abortAttempt')).to.deep.equal([
       { kind: 'abortAttempt', attemptId: first.attemptId },
     ]);
   });
 
   it('discard a failure that arrives in place of the rest of a stream', () => {
-    const site = new Forwarding(
+    const site = new ForwardingHarness(
       [makeLabRoute({ kind: 'stream', resumable: true, maximumAttempts: 2 })],
       BACKENDS,
     );
     site.begin();
     site.event({ kind: 'streamStarted' }, 10);
     site.event({ kind: 'broken', reason: 'reset' }, 20);
-    const [, second] = site.starts();
+    const [, second] = site.getStarts();
     site.event({ kind: 'whole', status: 500 }, 30);
     expect(site.getEffects('abortAttempt')).to.deep.equal([
       { kind: 'abortAttempt', attemptId: second.attemptId },
--- a/test/unequal-engines.test.ts
+++ b/test/unequal-engines.test.ts
@@ -7,10 +7,13 @@
 import type { ForwardAttemptEvent, AttemptStart } from '../src/forwarding/forward-messages.js';
 import type { ForwardRequest } from '../src/forwarding/forward-request.js';
 import type { Route } from '../src/forwarding/routes/route.js';
-import { engine, Forwarding, PLAIN, prompt } from './forwarding-harness.js';
+import { makeEngine, ForwardingHarness, PLAIN, makePrompt } from './forwarding-harness.js';
 
 const STREAM: Partial<Route> = { kind: 'stream', resumable: true, maximumAttempts: 2, targetLatencyMs: 200 };
-const EIGHT = ['1', '2', '3', '4'].flatMap((id) => [engine(`p${id}`, 'prefill'), engine(`d${id}`, 'decode')]);
+const EIGHT = ['1', '2', '3', '4'].flatMap((id) => [
+  makeEngine(`p${id}`, 'prefill'),
+  makeEngine(`d${id}`, 'decode'),
+]);
 const SLOW = 5;
 const WORK_MS = 40;
 
@@ -25,7 +28,7 @@
   readonly slowdowns = new Map<string, number>();
 
   constructor(
-    readonly site: Forwarding,
+    readonly site: ForwardingHarness,
     private readonly makeRequest: (count: number) => Partial<ForwardRequest>,
   ) {}
 
@@ -37,7 +40,7 @@
       this.site.directory.paces.tick(this.now);
       this.site.effects.length = 0;
       for (let index = 0; index < WAVE; index += 1) this.begin();
-      const starts = this.site.starts();
+      const starts = this.site.getStarts();
       for (const { backend } of starts) sent.set(backend.id, (sent.get(backend.id) ?? 0) + 1);
       this.answerAll(starts);
     }
@@ -73,7 +76,7 @@
     if (start.prefillOnly) {
       this.sendEvent(start, { kind: 'prefilled', handle: 'h' }, at);
       const generating = this.site
-        .starts()
+        .getStarts()
         .filter(({ requestId }) => requestId === start.requestId)
         .at(-1);
       this.answer(generating as AttemptStart, at + 1);
@@ -119,14 +122,15 @@
 
 for (const [places, { regionByZone, minimumFactor }] of Object.entries(PLACES))
   describe(`back ends of unequal speed, ${places}`, () => {
-    const plain = () => new Waves(new Forwarding([makeLabRoute({})], PLAIN, SLACK, regionByZone), () => ({}));
+    const plain = () =>
+      new Waves(new ForwardingHarness([makeLabRoute({})], PLAIN, SLACK, regionByZone), () => ({}));
     const prefill = () =>
-      new Waves(new Forwarding([makeLabRoute(STREAM)], EIGHT, SLACK, regionByZone), (count) => ({
-        prompt: prompt(4000, 0, `k${count}`),
+      new Waves(new ForwardingHarness([makeLabRoute(STREAM)], EIGHT, SLACK, regionByZone), (count) => ({
+        prompt: makePrompt(4000, 0, `k${count}`),
       }));
     const decode = () =>
-      new Waves(new Forwarding([makeLabRoute(STREAM)], EIGHT, SLACK, regionByZone), (count) => ({
-        prompt: prompt(200, 0, `k${count}`),
+      new Waves(new ForwardingHarness([makeLabRoute(STREAM)], EIGHT, SLACK, regionByZone), (count) => ({
+        prompt: makePrompt(200, 0, `k${count}`),
       }));
 
     it('a plain back end that is five times slower gets little work', () => {
@@ -179,7 +183,7 @@
       site.effects.length = 0;
       const at = 100_000;
       site.begin({ id: 'unanswered', callerDeadlineMs: 1000 }, at);
-      const { backend } = site.starts().at(-1) as AttemptStart;
+      const { backend } = site.getStarts().at(-1) as AttemptStart;
       const before = waves.factor(backend.id);
       site.manager.tick(at + 1000);
       expect(waves.factor(backend.id)).to.be.above(before * 1.3);
