--- a/simulation/simulated-site.ts
+++ b/simulation/simulated-site.ts
@@ -34,7 +34,7 @@
 }
 
 /** Size, services, network and settings of a simulated site. */
-export interface SimulationOptions {
+export interface SimulatedSiteOptions {
   readonly seed: number;
   readonly daemons: readonly { readonly zone: string; readonly region: string }[];
   readonly engines: readonly EngineLocation[];
@@ -77,7 +77,7 @@
   /** Upper bound of the random delay of a daemon's orders, as if it were paused between lease check and send. */
   readonly controlDelayMs = new Map<DaemonNode, number>();
 
-  constructor(private readonly options: SimulationOptions) {
+  constructor(private readonly options: SimulatedSiteOptions) {
     this.random = new SeededRandom(options.seed);
     this.network = new SimulatedNetwork(this.time, this.random, { ...DEFAULT_NETWORK, ...options.network });
     this.platform = new PlatformModel();
--- a/simulation/site-options.ts
+++ b/simulation/site-options.ts
@@ -5,7 +5,7 @@
   DEFAULT_COMPLETION_DAEMON_SETTINGS,
   type CompletionDaemonSettings,
 } from '../src/daemon/completion-daemon-settings.js';
-import type { SimulationOptions } from './simulated-site.js';
+import type { SimulatedSiteOptions } from './simulated-site.js';
 
 const REGION = 'main';
 
@@ -14,7 +14,7 @@
   profile: SiteProfile,
   seed: number,
   settings: Partial<CompletionDaemonSettings> = {},
-): SimulationOptions {
+): SimulatedSiteOptions {
   const place = (index: number): { zone: string; region: string } => ({
     zone: profile.zones[index % profile.zones.length],
     region: REGION,
