--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -35,11 +35,11 @@
 const TABLE_TIMEOUT_MS = 1000;
 /** Delay after which a store with `appliesLate` applies a write; longer than the daemon's time-out. Milliseconds. */
 const LATE_WRITE_MS = 2500;
-/** Retry time that a table that refuses sends. Milliseconds. */
+/** Retry delay in the answers of a table that refuses calls. Milliseconds. */
 const RETRY_AFTER_MS = 300;
 /** Round trip of a call of a duty. Milliseconds. */
 const DUTY_MS = 4;
-/** High enough for every fleet, as the rate limit of the store is not under test here. */
+/** Rate limit of the table, high enough for every fleet, as it is not under test here. */
 const TABLE_RATE = { perSecond: 10_000, burst: 10_000 };
 
 /** Default settings of the daemons. */
--- a/simulation/quota-fleet.ts
+++ b/simulation/quota-fleet.ts
@@ -154,7 +154,7 @@
     open.node.manager.remove(id);
   }
 
-  /** Gets the most tokens granted to a tenant within any window of this length. */
+  /** Gets the highest number of tokens granted to a tenant within any window of this length. */
   getWorstWindow(tenant: string, windowMs: number, from = -Infinity): number {
     const ofTenant = this.arrivals.filter((arrival) => arrival.tenant === tenant && arrival.at >= from);
     let first = 0;
--- a/simulation/signal-site.ts
+++ b/simulation/signal-site.ts
@@ -152,7 +152,7 @@
     );
   }
 
-  /** Finds the most requests that a daemon sent to a back end during one back-off that the back end had asked for. */
+  /** Finds the highest number of requests that a daemon sent to a back end during one back-off that it had asked for. */
   findMostDuringBackOff(): number {
     const counts = this.backOffSpans.map(({ pair, from, until }) => {
       const within = this.arrivals.filter(
@@ -207,7 +207,7 @@
   }
 
   /**
-   * Finds the most requests of a back end in any window, and the number allowed. Counts only daemons that knew the
+   * Finds the highest number of requests to a back end in any window, and the number allowed. Counts only daemons that knew the
    * limit and are not exempt, for example because they were paused.
    */
   findWorstWindow(
--- a/test/back-off-signals.test.ts
+++ b/test/back-off-signals.test.ts
@@ -26,12 +26,12 @@
 
 describe('back ends that ask a daemon to back off', () => {
   for (const share of [0.05, 0.4])
-    it(`on ${share} of the requests, while others do not: get at most ${ALLOWED} more requests from each of these daemons`, () => {
+    it(`on ${share} of the requests, while others do not: get at most ${ALLOWED} more requests from it meanwhile`, () => {
       const site = runFleet(6, ['b0', 'b1'], share);
       expect(site.findMostDuringBackOff()).to.be.at.most(ALLOWED);
     });
 
-  it('get no computed prompts handed over from these daemons', () => {
+  it(`get at most ${ALLOWED} more requests from it meanwhile, computed prompts that are handed over included`, () => {
     const site = runFleet(8, ['b1', 'b3'], 0.2, true);
     expect(site.findMostDuringBackOff()).to.be.at.most(ALLOWED);
   });
--- a/test/bundle.test.ts
+++ b/test/bundle.test.ts
@@ -153,16 +153,16 @@
   it('does not use a code cache that was made from another source of the same length', async () => {
     const copy = mkdtempSync(join(tmpdir(), 'code-cache-'));
     copyFileSync(join(ROOT, 'deploy/start.cjs'), join(copy, 'start.cjs'));
-    const bundle = (value: number): void =>
+    const writeBundle = (value: number): void =>
       writeFileSync(
         join(copy, 'pulleyledge.cjs'),
         `const getValue = () => ${value}; process.stdout.write(String(getValue()))`,
       );
     const cachePath = `started.cachePath || require('path').join('${copy}', 'pulleyledge.cache')`;
     const makeCache = `const started = require('${copy}/start.cjs'); require('fs').writeFileSync(${cachePath}, started.script.createCachedData())`;
-    bundle(111);
+    writeBundle(111);
     expect((await execute(process.execPath, ['-e', makeCache])).stdout).to.equal('111');
-    bundle(222);
+    writeBundle(222);
     expect((await execute(process.execPath, [join(copy, 'start.cjs')])).stdout).to.equal('222');
     rmSync(copy, { recursive: true });
   });
--- a/test/forwarding.test.ts
+++ b/test/forwarding.test.ts
@@ -271,13 +271,13 @@
   });
 
   it('a long prompt yields to short ones of the same priority, never to a lower priority', () => {
-    const urgency = (priority: number, own: number): number => {
+    const getUrgency = (priority: number, own: number): number => {
       const site = new ForwardingHarness([makeLabRoute({ ...STREAM, priority })], ENGINES);
       site.begin({ prompt: makePrompt(own, 0) });
       return site.getStarts()[0].urgency;
     };
-    expect(urgency(1, 2000)).to.be.lessThan(urgency(1, 20_000));
-    expect(urgency(1, 20_000)).to.be.lessThan(urgency(2, 2000));
+    expect(getUrgency(1, 2000)).to.be.lessThan(getUrgency(1, 20_000));
+    expect(getUrgency(1, 20_000)).to.be.lessThan(getUrgency(2, 2000));
   });
 
   it('if every decode engine is unhealthy one of them is tried anyway: no prefill engine can replace it', () => {
