--- a/simulation/signal-site.ts
+++ b/simulation/signal-site.ts
@@ -152,7 +152,7 @@
     );
   }
 
-  /** Finds the highest number of requests that a daemon sent to a back end during one back-off that it had asked for. */
+  /** Finds the highest number of requests that a daemon sent to a back end during one back-off. */
   findMostDuringBackOff(): number {
     const counts = this.backOffSpans.map(({ pair, from, until }) => {
       const within = this.arrivals.filter(
@@ -207,8 +207,8 @@
   }
 
   /**
-   * Finds the highest number of requests to a back end in any window, and the number allowed. Counts only daemons that knew the
-   * limit and are not exempt, for example because they were paused.
+   * Finds the highest number of requests to a back end in any window, and the number allowed. Counts only requests of
+   * daemons that knew the limit and are not exempt, for example because they were paused.
    */
   findWorstWindow(
     backendId: string,
--- a/test/caller-gone.test.ts
+++ b/test/caller-gone.test.ts
@@ -17,7 +17,7 @@
 import type { AttemptStart } from '../src/forwarding/forward-messages.js';
 import type { EngineStage, Route } from '../src/forwarding/routes/route.js';
 
-/** Time for which a server may still execute a request after its caller has disconnected. Milliseconds; a rule of the platform. */
+/** The platform allows a server to execute a request for this time after its caller has disconnected. Milliseconds. */
 const ALLOWED_MS = 500;
 /** Time after a disconnection from which no further requests may arrive at servers. Milliseconds. */
 const QUIET_MS = 200;
--- a/test/leaving-hunt.test.ts
+++ b/test/leaving-hunt.test.ts
@@ -9,8 +9,8 @@
 
 /**
  * Seeds that found faults. 4932: a daemon that had lost access once, 18 s before, waited longer for its first read and
- * held a removal. 4907: a daemon held removals because of its own outage. 4915: a report from a daemon
- * whose copy of the records had only just been started was taken for complete. 5797: a report of a change postponed a read that was
+ * held a removal. 4907: a daemon held removals because of its own outage. 4915: a report from a daemon whose copy of
+ * the records had only just been started was taken for complete. 5797: a report of a change postponed a read that was
  * already overdue.
  */
 const REGRESSION_SEEDS = [4932, 4907, 4915, 5797];
