--- a/lab/soak/fault-plan.ts
+++ b/lab/soak/fault-plan.ts
@@ -15,7 +15,7 @@
 /// The daemons and the number of back ends that faults can target.
 interface FaultTargets {
   readonly daemons: readonly string[]
-  readonly places: number
+  readonly backendCount: number
 }
 
 const MEAN_GAP_MS = 900
@@ -155,7 +155,7 @@
 function pickFault(targets: FaultTargets, random: () => number): faults.Fault {
   const pick = <Item>(items: readonly Item[]): Item => items[Math.floor(random() * items.length)]
   const durationMs = Math.round(SHORTEST_FAULT_MS + random() * (LONGEST_FAULT_MS - SHORTEST_FAULT_MS))
-  const place = Math.floor(random() * targets.places)
+  const place = Math.floor(random() * targets.backendCount)
   const daemon = pick(targets.daemons)
   const some = targets.daemons.filter(() => random() < 0.4)
   const makers: readonly (() => faults.Fault)[] = [
--- a/lab/soak/soak-site.ts
+++ b/lab/soak/soak-site.ts
@@ -35,7 +35,7 @@
 ]
 
 /// Number of back ends.
-export const BACKEND_PLACES = PLACES.length
+export const BACKEND_COUNT = PLACES.length
 /// The places of the back ends of each service.
 export const PLACES_BY_SERVICE: readonly (readonly number[])[] = Object.values(SOAK_SERVICES).map(service =>
   [...PLACES.keys()].filter(place => PLACES[place].service === service)
--- a/lab/soak/soak.ts
+++ b/lab/soak/soak.ts
@@ -17,7 +17,7 @@
 import {BACKENDS} from "./disturbance.js"
 import {SOAK_BOUNDS, SoakRecord, type CallerRecord, type SoakBounds, type Violation} from "./soak-record.js"
 import {findTenant, OVER_QUOTA_TENANT, SOAK_ROUTES} from "./soak-routes.js"
-import {BACKEND_PLACES, PLACES_BY_SERVICE, SoakSite} from "./soak-site.js"
+import {BACKEND_COUNT, PLACES_BY_SERVICE, SoakSite} from "./soak-site.js"
 import {STATUS_MALFORMED} from "./stray-calls.js"
 
 const BOUNDS: SoakBounds = {...SOAK_BOUNDS, marginMs: 1500}
@@ -85,7 +85,7 @@
   const daemons = site.daemons.map(daemon => daemon.name)
   // The plan has a generator of its own, since the order of the load's draws differs from run to run.
   const planGenerator = new SeededRandom(seed + 1)
-  const plan = makePlan({daemons, places: BACKEND_PLACES}, seconds * 1000, () => planGenerator.next())
+  const plan = makePlan({daemons, backendCount: BACKEND_COUNT}, seconds * 1000, () => planGenerator.next())
   const seriesGenerator = new SeededRandom(seed + 2)
   const seriesPlan = makeSeriesPlan(daemons, PLACES_BY_SERVICE, seconds * 1000, () => seriesGenerator.next())
   const signalGenerator = new SeededRandom(seed + 10)
--- a/src/daemon/completion-daemon.ts
+++ b/src/daemon/completion-daemon.ts
@@ -115,7 +115,7 @@
       members: membership.getAll().map(({ id, address, zone, state }) => ({ id, address, zone, state })),
       engines: directory.summary(),
       leases: cells.getLeases(now),
-      limits: limits.getInUse(),
+      limits: limits.getUsage(),
       requests: {
         active: completions.active(),
         waiting: completions.waiting() + admission.countWaitingForSlots(),
--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -137,7 +137,7 @@
 ): CompletionQuarantine {
   return new CompletionQuarantine({
     selfId: identity.id,
-    members: () => membership.getActive(),
+    getMembers: () => membership.getActive(),
     hasOlderAttempt: (id, before) => managers().some((manager) => manager.hasOlderAttempt(id, before)),
     random,
     emit,
--- a/src/daemon/forwarding-daemon.ts
+++ b/src/daemon/forwarding-daemon.ts
@@ -74,8 +74,8 @@
       tenants: this.tenants,
       now,
       emit: (effect) => void this.outbox.push(effect),
-      routes: () => this.routes,
-      daemons: () => this.countSharingDaemons(),
+      getRoutes: () => this.routes,
+      getDaemonCount: () => this.countSharingDaemons(),
       isFirstReader: () => this.readerRank === 0,
       getEventTime: () => this.eventAt,
       logChange,
@@ -85,8 +85,8 @@
     this.reports = new IntervalReports(
       {
         retries: this.machines.retries,
-        members: () => this.members(),
-        daemons: () => this.countSharingDaemons(),
+        getMemberCount: () => this.getMemberCount(),
+        getDaemonCount: () => this.countSharingDaemons(),
         logChange,
       },
       now,
@@ -123,7 +123,7 @@
   }
 
   /** Number of daemons believed to be running, including this one. */
-  members(): number {
+  getMemberCount(): number {
     return this.machines.membership.getActive().length;
   }
 
--- a/src/daemon/forwarding-machines.ts
+++ b/src/daemon/forwarding-machines.ts
@@ -44,9 +44,9 @@
   readonly now: number;
   readonly emit: EffectSink<ForwardingEffect>;
   /** The routes in force; undefined before the first configuration. */
-  routes(): RouteTable | undefined;
+  getRoutes(): RouteTable | undefined;
   /** Number of daemons that share the retry budget and the connections of back ends. */
-  daemons(): number;
+  getDaemonCount(): number;
   /** Whether this daemon is the first in rank among those that follow the store. */
   isFirstReader(): boolean;
   /** The time of the event that is being handled. Monotonic milliseconds. */
@@ -176,11 +176,11 @@
   return new ForwardManager(
     context.settings.forward,
     {
-      getRoutes: () => context.routes(),
+      getRoutes: () => context.getRoutes(),
       tenants: context.tenants,
       configurationMayBeStale: (at) => replica.configurationMayBeStale(at),
       getOutageMs: (at) => replica.getOutageMs('configuration', at),
-      getDaemonCount: () => context.daemons(),
+      getDaemonCount: () => context.getDaemonCount(),
       permits,
       ...createRequestHooks(getParts),
     },
@@ -205,7 +205,7 @@
   const applyPlacement = (placement: PartPlacement): void => {
     const service = directory.get(placement[0])?.record.service;
     if (service === undefined) return;
-    const capacityTokens = context.routes()?.getService(service)?.engine?.kvCapacityTokens;
+    const capacityTokens = context.getRoutes()?.getService(service)?.engine?.kvCapacityTokens;
     if (capacityTokens !== undefined) kvIndex.applyPeerPlacement(placement, capacityTokens);
   };
   return new PeerExchange(
@@ -243,11 +243,11 @@
       ...signals,
       regions: distances.places.hasSeveralRegions() ? distances : undefined,
       emit,
-      members: () => membership.getActive(),
-      fleet: () => getFleetView(membership),
+      getMembers: () => membership.getActive(),
+      getFleet: () => getFleetView(membership),
       decideQuota: (requestId, decision) => manager.applyQuota(requestId, decision, context.getEventTime()),
       isFirstReader: () => context.isFirstReader(),
-      routes: () => context.routes(),
+      getRoutes: () => context.getRoutes(),
       logChange: (event, fields) => context.logChange(event, fields),
     },
     now,
--- a/src/daemon/forwarding-messages.ts
+++ b/src/daemon/forwarding-messages.ts
@@ -40,7 +40,7 @@
       readonly attemptId: string;
       readonly event: ForwardAttemptEvent;
     }
-  | { readonly kind: 'probed'; readonly backendId: string; readonly well: boolean }
+  | { readonly kind: 'probed'; readonly backendId: string; readonly succeeded: boolean }
   /**
    * What a back end reports about itself in its answer to a call by the daemon itself, sent at `sentAt`
    * (monotonic milliseconds). `isHealthCheck`: the call was a health check, and the back end is healthy.
--- a/src/daemon/interval-reports.ts
+++ b/src/daemon/interval-reports.ts
@@ -17,9 +17,9 @@
 interface IntervalReportsContext {
   readonly retries: RetryAllowance;
   /** Number of active members, including this daemon. */
-  members(): number;
+  getMemberCount(): number;
   /** Number of daemons that share the retry budget. */
-  daemons(): number;
+  getDaemonCount(): number;
   logChange(event: ChangeEvent, fields: Readonly<Record<string, unknown>>): void;
 }
 
@@ -50,7 +50,10 @@
 
   private logMembers(now: number): void {
     if (this.membersFound === 0 || now - this.membersLoggedAt < MEMBERS_FOUND_INTERVAL_MS) return;
-    this.context.logChange('members.found', { found: this.membersFound, members: this.context.members() });
+    this.context.logChange('members.found', {
+      found: this.membersFound,
+      members: this.context.getMemberCount(),
+    });
     this.membersFound = 0;
     this.membersLoggedAt = now;
   }
@@ -58,7 +61,7 @@
   private logRetries(now: number): void {
     if (now - this.retriesLoggedAt < RETRIES_USED_INTERVAL_MS) return;
     this.retriesLoggedAt = now;
-    const uses = this.context.retries.takeUsage(this.context.daemons(), now);
+    const uses = this.context.retries.takeUsage(this.context.getDaemonCount(), now);
     for (const use of uses) this.context.logChange('retries.used', { ...use });
   }
 }
--- a/src/daemon/limit-manager.ts
+++ b/src/daemon/limit-manager.ts
@@ -52,7 +52,7 @@
   }
 
   /** Services whose limits this daemon owns, with their slots in use and waiting requests, for the status. */
-  getInUse(): ReturnType<SlotOwner['getUsage']> {
+  getUsage(): ReturnType<SlotOwner['getUsage']> {
     return this.owner.getUsage();
   }
 
--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/run-quarantine.ts
@@ -20,7 +20,7 @@
 interface CompletionQuarantineOptions {
   readonly selfId: string;
   /** Active members, including this daemon. */
-  members(): readonly Member[];
+  getMembers(): readonly Member[];
   /** Whether an attempt that was sent before the time `before` is still in flight at a back end. */
   hasOlderAttempt(backendId: string, before: number): boolean;
   readonly random: RandomSource;
@@ -42,10 +42,10 @@
     super();
     const { selfId, random, now } = options;
     this.emit = options.emit;
-    const getMemberIds = (): string[] => options.members().map(({ id }) => id);
+    const getMemberIds = (): string[] => options.getMembers().map(({ id }) => id);
     const context = {
       selfId,
-      members: () => options.members(),
+      members: () => options.getMembers(),
       isFirst: () => getRendezvousRank(CLEANER_KEY, getMemberIds(), selfId) === 0,
       hasOlderAttempt: ({ id }: BackendIncarnation, before: number) => options.hasOlderAttempt(id, before),
     };
--- a/src/daemon/stage-manager.ts
+++ b/src/daemon/stage-manager.ts
@@ -20,7 +20,7 @@
 /** What the manager reads. */
 interface StageManagerParts {
   /** Active members; returns the same array until they change. */
-  members(): readonly Member[];
+  getMembers(): readonly Member[];
   readonly directory: BackendDirectory;
   /** The region of a zone; omitted if there is only one region. */
   regionOf?(zone: string): string;
@@ -112,7 +112,7 @@
 
   /** Computes this daemon's rank for each service when the members or the services have changed. */
   private setElections(now: number): void {
-    const members = this.parts.members();
+    const members = this.parts.getMembers();
     const known = [...this.slots.keys()].every((service) => this.elections.has(service));
     if (members === this.rankedMembers && known) return;
     this.rankedMembers = members;
--- a/src/forwarding/admit/quota-gate.ts
+++ b/src/forwarding/admit/quota-gate.ts
@@ -4,12 +4,12 @@
 /// charged. The cost of a request that certainly executed nowhere is refunded.
 import type {Session} from "../forward-session.js"
 import type {Route, Tenant} from "../routes/route.js"
-import {getQuotaCost, type QuotaAnswer, type QuotaDecision, type QuotaRequest} from "./tenant-quota.js"
+import {getQuotaCost, type QuotaOutcome, type QuotaDecision, type QuotaRequest} from "./tenant-quota.js"
 
 /// The holder of the tenants' quotas.
 export interface QuotaContext {
   /// Charges the request to its tenant's quota. Undefined where no quotas are enforced.
-  takeQuota(request: QuotaRequest, now: number): QuotaAnswer | undefined
+  takeQuota(request: QuotaRequest, now: number): QuotaOutcome | undefined
   /// A request that waits for its quota is over.
   removeQuotaRequest(requestId: string): void
   /// Charges a cost without asking; a negative cost is a refund.
@@ -33,7 +33,7 @@
   constructor(private readonly context: QuotaContext) {}
 
   /// Asks for the quota of a request that has just been admitted.
-  checkQuota(session: Session, now: number): QuotaAnswer {
+  checkQuota(session: Session, now: number): QuotaOutcome {
     const {request, route, tenant} = session
     if (!tenant?.quota) return GRANTED
     session.quotaCost = getQuotaCost(request, tenant)
--- a/src/forwarding/admit/request-admission.ts
+++ b/src/forwarding/admit/request-admission.ts
@@ -27,7 +27,7 @@
 }
 
 /// The decision about a request.
-export type Admission =
+export type AdmissionDecision =
   | Admitted
   /// The request has not been executed and will not be; the caller may retry after `retryAfterMs`.
   | {readonly kind: "refused"; readonly failure: ForwardFailure; readonly retryAfterMs: number}
@@ -50,7 +50,7 @@
   }
 
   /// Decides about a request that has just arrived.
-  admit({host, path, keyDigest}: ForwardRequest, now: number): Admission {
+  admit({host, path, keyDigest}: ForwardRequest, now: number): AdmissionDecision {
     if (this.closed)
       return {kind: "refused", failure: "stopping", retryAfterMs: this.retryAfter.getStoppingMs()}
     const routes = this.context.getRoutes()
@@ -66,12 +66,12 @@
   }
 
   /// Denies the request, or refuses it with a Retry-After where a newer configuration may allow it.
-  private deny(status: number, failure: ForwardFailure, now: number): Admission {
+  private deny(status: number, failure: ForwardFailure, now: number): AdmissionDecision {
     const mayBeAllowed = this.context.configurationMayBeStale(now)
     return mayBeAllowed ? this.refuse("stale-configuration", now) : {kind: "denied", status, failure}
   }
 
-  private refuse(failure: ForwardFailure, now: number): Admission {
+  private refuse(failure: ForwardFailure, now: number): AdmissionDecision {
     return {kind: "refused", failure, retryAfterMs: this.retryAfter.getStaleConfigurationMs(now)}
   }
 }
--- a/src/forwarding/admit/tenant-quota.ts
+++ b/src/forwarding/admit/tenant-quota.ts
@@ -25,7 +25,7 @@
 export type QuotaDecision = {readonly kind: "granted"} | QuotaRefusal
 
 /// A decision, or that the request must wait for one.
-export type QuotaAnswer = QuotaDecision | {readonly kind: "waiting"}
+export type QuotaOutcome = QuotaDecision | {readonly kind: "waiting"}
 
 /// The cost of a request, in the unit of the tenant's quota; 0 without a quota.
 export function getQuotaCost({usageTokens}: ForwardRequest, {quota}: Tenant): number {
--- a/src/forwarding/choose/backend-choice.ts
+++ b/src/forwarding/choose/backend-choice.ts
@@ -54,7 +54,7 @@
   readonly bodyBytes?: number | undefined
   /// Whether prompt and answer have to be computed at one back end, as the request may not reach a further
   /// one.
-  readonly wholeOnly: boolean
+  readonly singleBackendOnly: boolean
   /// Traits that the engines of the service share; undefined for services without engines.
   readonly engine: EngineTraits | undefined
   /// Time left until the target for the first event. Milliseconds.
--- a/src/forwarding/choose/backend-picker.ts
+++ b/src/forwarding/choose/backend-picker.ts
@@ -167,7 +167,7 @@
     prefills: readonly BackendView[]
   ): BackendChoice | undefined {
     if (decodes.length === 0) return undefined
-    if (query.wholeOnly || prompt.promptTokens <= this.settings.decodePromptTokens) {
+    if (query.singleBackendOnly || prompt.promptTokens <= this.settings.decodePromptTokens) {
       return this.pickLeastWaiting(decodes, query, prompt.promptTokens)
     }
     const eligible = prefills.length > 0 ? getWithCapacity(prefills, query) : decodes
--- a/src/forwarding/forward-manager.ts
+++ b/src/forwarding/forward-manager.ts
@@ -30,7 +30,7 @@
 export interface ForwardContext extends AdmissionContext, QuotaContext, QuarantineContext {
   /// Called once for each request of a tenant when a back end has begun to execute it, with the time at
   /// which it began. Monotonic milliseconds.
-  onRequestBegan(tenant: string, at: number): void
+  onExecutionStarted(tenant: string, at: number): void
   /// Permits to send to back ends that declare a limit.
   readonly permits: PermitManager
   /// Called with the signals that a back end sent in an answer.
@@ -76,7 +76,7 @@
       ...shared,
       sender,
       kvIndex,
-      onRequestBegan: (tenant, at) => context.onRequestBegan(tenant, at),
+      onExecutionStarted: (tenant, at) => context.onExecutionStarted(tenant, at),
       onSignals: (view, report, at) => context.onSignals(view, report, at)
     })
     this.admission = new RequestAdmission(context, retryAfter)
--- a/src/forwarding/kv-cache/kv-follower.ts
+++ b/src/forwarding/kv-cache/kv-follower.ts
@@ -63,7 +63,7 @@
   countMembers(): number
   /// Tokens that fit into the cache of an engine of this service; undefined for services without model
   /// engines.
-  capacityTokens(service: string): number | undefined
+  getCapacityTokens(service: string): number | undefined
 }
 
 /// The follower of one daemon. Times are monotonic milliseconds.
@@ -83,7 +83,7 @@
     for (const view of this.directory.all()) {
       const {stage, service} = view.record
       // A record may name a service that the configuration does not contain.
-      const isEngine = stage !== undefined && this.context.capacityTokens(service) !== undefined
+      const isEngine = stage !== undefined && this.context.getCapacityTokens(service) !== undefined
       if (!isEngine || view.isBackingOff(now) || view.health.needsProbe(now)) continue
       const engine = this.getEngine(view.record.id)
       if (engine.calling || now < engine.nextCallAt) continue
@@ -102,7 +102,7 @@
     const engine = this.engines.get(backend.id)
     if (!engine) return
     engine.calling = false
-    const capacityTokens = this.context.capacityTokens(backend.service)
+    const capacityTokens = this.context.getCapacityTokens(backend.service)
     if (!answer || capacityTokens === undefined) {
       engine.nextCallAt = now + this.settings.retryMs
       this.index.setFollowed(backend.id, false)
--- a/src/forwarding/pace/pace-book.ts
+++ b/src/forwarding/pace/pace-book.ts
@@ -3,17 +3,12 @@
 /// same ratio, the time of its answers over the time that the group takes for the same load. A back end that
 /// was replaced starts again as average. Owns the regression lines of the groups and the samples of the back
 /// ends.
-import {
-  DEFAULT_PROMPT_PACE_SETTINGS,
-  isValidSample,
-  PromptPace,
-  type PromptPaceSettings
-} from "./prompt-pace.js"
+import {DEFAULT_PACE_LINE_SETTINGS, isValidSample, PaceLine, type PaceLineSettings} from "./prompt-pace.js"
 
 /// Settings of the pace tracker.
 export interface PaceTrackerSettings {
   /// Settings of the groups' regression lines.
-  readonly line: PromptPaceSettings
+  readonly line: PaceLineSettings
   /// Shrinkage: weight of the prior, in average samples that every engine starts with. Default 5: single
   /// samples deviate by half of their mean, so a smaller prior would take noise for speed.
   readonly priorSamples: number
@@ -43,7 +38,7 @@
 
 /// Default settings.
 export const DEFAULT_PACE_TRACKER_SETTINGS: PaceTrackerSettings = {
-  line: DEFAULT_PROMPT_PACE_SETTINGS,
+  line: DEFAULT_PACE_LINE_SETTINGS,
   priorSamples: 5,
   halfLifeMs: 4000,
   sampleDecay: 0.96,
@@ -88,7 +83,7 @@
 
   constructor(
     private readonly settings: PaceTrackerSettings,
-    private readonly getLine: (group: string) => PromptPace
+    private readonly getLine: (group: string) => PaceLine
   ) {}
 
   /// Estimate of how many times longer than its group it takes; 1 without samples.
@@ -201,12 +196,12 @@
 /// The paces of all back ends that a daemon knows, and the lines of their groups. Times are monotonic
 /// milliseconds.
 export class PaceTracker {
-  private readonly lines = new Map<string, PromptPace>()
+  private readonly lines = new Map<string, PaceLine>()
   private readonly engines = new Map<string, BackendPace>()
   private decayedAt: number | undefined
-  private readonly getLine = (group: string): PromptPace => {
+  private readonly getLine = (group: string): PaceLine => {
     let line = this.lines.get(group)
-    if (!line) this.lines.set(group, (line = new PromptPace(this.settings.line)))
+    if (!line) this.lines.set(group, (line = new PaceLine(this.settings.line)))
     return line
   }
 
--- a/src/forwarding/pace/prompt-pace.ts
+++ b/src/forwarding/pace/prompt-pace.ts
@@ -4,7 +4,7 @@
 /// knowledge. Owns the weighted sums of the samples.
 
 /// Settings of a regression line.
-export interface PromptPaceSettings {
+export interface PaceLineSettings {
   /// Factor applied to the weight of earlier samples with each new one. Default 0.98.
   readonly sampleDecay: number
   /// Number of samples needed for a prediction. Default 8.
@@ -12,7 +12,7 @@
 }
 
 /// Default settings.
-export const DEFAULT_PROMPT_PACE_SETTINGS: PromptPaceSettings = {sampleDecay: 0.98, minimumSamples: 8}
+export const DEFAULT_PACE_LINE_SETTINGS: PaceLineSettings = {sampleDecay: 0.98, minimumSamples: 8}
 
 /// Bounds of valid samples; the squares of larger values might not be finite.
 const MAXIMUM_TOKENS = 1e9
@@ -24,7 +24,7 @@
 }
 
 /// The pace of the engines of one group: a least-squares line with exponentially decaying weights.
-export class PromptPace {
+export class PaceLine {
   private samples = 0
   private weight = 0
   private sumTokens = 0
@@ -32,7 +32,7 @@
   private sumTokensSquared = 0
   private sumProducts = 0
 
-  constructor(private readonly settings: PromptPaceSettings) {}
+  constructor(private readonly settings: PaceLineSettings) {}
 
   /// Adds a sample: a prompt was computed `ms` after it was sent, with `tokens` to compute until then.
   /// Ignores invalid values.
--- a/src/forwarding/retry/attempt-outcomes.ts
+++ b/src/forwarding/retry/attempt-outcomes.ts
@@ -32,7 +32,7 @@
   readonly quarantineGate: QuarantineGate
   /// Called once for each request of a tenant when a back end has begun to execute it, with the time at
   /// which it began. Monotonic milliseconds.
-  readonly onRequestBegan: (tenant: string, at: number) => void
+  readonly onExecutionStarted: (tenant: string, at: number) => void
   /// Called with the signals that a back end sent in an answer.
   readonly onSignals: (view: BackendView, report: SignalReport, now: number) => void
   readonly emit: EffectSink<ForwardEffect>
@@ -262,7 +262,7 @@
   private onExecutionStarted(session: Session, at: number): void {
     if (session.countedForTenant || !session.tenant) return
     session.countedForTenant = true
-    this.dependencies.onRequestBegan(session.tenant.name, at)
+    this.dependencies.onExecutionStarted(session.tenant.name, at)
   }
 
   /// Records that the back end now keeps the shared parts of the prompt.
--- a/src/forwarding/retry/attempt-sender.ts
+++ b/src/forwarding/retry/attempt-sender.ts
@@ -129,7 +129,7 @@
       prefilled: session.kvSource !== undefined,
       prefilledAt: session.kvSource?.address,
       bodyBytes: request.bodyBytes,
-      wholeOnly: !retryPolicy.mayComputeSeparately(session, now),
+      singleBackendOnly: !retryPolicy.mayComputeSeparately(session, now),
       engine: limits.getEngine(service),
       targetLeftMs: request.arrivedAt + route.targetLatencyMs - now,
       excluded,
--- a/src/parts/backend-signal-part.ts
+++ b/src/parts/backend-signal-part.ts
@@ -111,7 +111,7 @@
   /// Sends a health check to a back end whose limit was not confirmed recently: without requests, no answer
   /// would show that the limit has ended. Only the owner of the limit does so, for all daemons.
   private probeLimit(view: BackendView, now: number): void {
-    const {emit, permits, routes} = this.context
+    const {emit, permits, getRoutes: routes} = this.context
     const lastConfirmedAt = this.confirmedAt.get(view) ?? view.limit.getChangedAt()
     if (now - lastConfirmedAt < CONFIRM_INTERVAL_MS || !permits.isOwner(view, now)) return
     this.confirmedAt.set(view, now)
--- a/src/parts/daemon-part.ts
+++ b/src/parts/daemon-part.ts
@@ -14,7 +14,7 @@
 import type {PermitManager} from "../forwarding/permits/permit-manager.js"
 import type {KvIndex} from "../forwarding/kv-cache/kv-index.js"
 import type {BackendRecord, RouteConfiguration, Tenant} from "../forwarding/routes/route.js"
-import type {QuotaAnswer, QuotaDecision, QuotaRequest} from "../forwarding/admit/tenant-quota.js"
+import type {QuotaOutcome, QuotaDecision, QuotaRequest} from "../forwarding/admit/tenant-quota.js"
 import type {RouteTable} from "../forwarding/routes/route-table.js"
 import type {EffectSink} from "../shared/effect-sink.js"
 import type {FleetView} from "../quotas/owner-ranking.js"
@@ -48,14 +48,14 @@
   readonly regions?: RegionContext | undefined
   readonly emit: EffectSink<ForwardingEffect>
   /// Active members, including this daemon; returns the same array until they change.
-  members(): readonly Member[]
+  getMembers(): readonly Member[]
   /// The fleet as this daemon sees it.
-  fleet(): FleetView
+  getFleet(): FleetView
   /// Whether this daemon is the first in rank among the readers of the store, which maintains the records
   /// that the fleet shares there.
   isFirstReader(): boolean
   /// The routes in force; undefined before the first configuration.
-  routes(): RouteTable | undefined
+  getRoutes(): RouteTable | undefined
   /// Applies the decision on a request that waited for its tenant's quota.
   decideQuota(requestId: string, decision: QuotaDecision): void
   /// Writes a change to the daemon's log and counts it in its metrics.
@@ -109,7 +109,7 @@
   addToMembership?(message: MembershipMessage, now: number): MembershipMessage
 
   /// Takes the cost of a request from its tenant's quota. Undefined from a part that enforces no quotas.
-  takeQuota?(need: QuotaRequest, now: number): QuotaAnswer | undefined
+  takeQuota?(need: QuotaRequest, now: number): QuotaOutcome | undefined
 
   /// Removes a request that is over from those that wait for their tenant's quota.
   removeQuotaRequest?(requestId: string): void
@@ -134,7 +134,7 @@
   onSignals?(view: BackendView, report: SignalReport, now: number): void
 
   /// A back end started to execute a request of the tenant at `at`.
-  onRequestBegan?(tenant: string, at: number): void
+  onExecutionStarted?(tenant: string, at: number): void
 
   /// The process was paused (stopped, or starved) until now.
   onProcessResumed?(now: number): void
--- a/src/parts/duty-part.ts
+++ b/src/parts/duty-part.ts
@@ -17,7 +17,7 @@
     now: number
   ) {
     super()
-    const {identity, members, directory, routes} = context
+    const {identity, getMembers: members, directory, getRoutes: routes} = context
     this.manager = new DutyManager(
       identity.id,
       settings,
@@ -42,7 +42,7 @@
     return wallMs === undefined ? message : {...message, wallMs}
   }
 
-  override onRequestBegan(tenant: string, at: number): void {
+  override onExecutionStarted(tenant: string, at: number): void {
     this.manager.onRequestStarted(tenant, at)
   }
 
--- a/src/parts/health-part.ts
+++ b/src/parts/health-part.ts
@@ -9,7 +9,7 @@
 
   constructor(private readonly context: PartContext) {
     super()
-    const {directory, routes, emit} = context
+    const {directory, getRoutes: routes, emit} = context
     this.prober = new HealthProber(directory, probe => {
       const healthPath = routes()?.getService(probe.backend.service)?.healthPath
       if (healthPath !== undefined) emit({kind: "probeBackend", probe, healthPath})
@@ -19,8 +19,9 @@
   override receiveAnswer(event: AnswerEvent, now: number): void {
     if (event.kind !== "probed") return
     const neededProbe = this.context.directory.get(event.backendId)?.health.needsProbe(now)
-    this.prober.onAnswer(event.backendId, event.well, now)
-    if (event.well && neededProbe) this.context.logChange("backend.recovered", {backend: event.backendId})
+    this.prober.onAnswer(event.backendId, event.succeeded, now)
+    if (event.succeeded && neededProbe)
+      this.context.logChange("backend.recovered", {backend: event.backendId})
   }
 
   override scan(_draining: boolean, now: number): void {
--- a/src/parts/kv-part.ts
+++ b/src/parts/kv-part.ts
@@ -12,7 +12,7 @@
   private readonly follower: KvFollower
 
   constructor(
-    {settings, directory, kvIndex, emit, members, routes}: PartContext,
+    {settings, directory, kvIndex, emit, getMembers: members, getRoutes: routes}: PartContext,
     private readonly startedAt: number
   ) {
     super()
@@ -20,7 +20,7 @@
       settings.kvFollower,
       {
         countMembers: () => members().length,
-        capacityTokens: service => routes()?.getService(service)?.engine?.kvCapacityTokens
+        getCapacityTokens: service => routes()?.getService(service)?.engine?.kvCapacityTokens
       },
       directory,
       kvIndex,
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -21,13 +21,13 @@
   ) {
     super()
     this.eventAt = now
-    const {identity, settings, members, isFirstReader: isFirst, directory, random} = context
+    const {identity, settings, getMembers: members, isFirstReader: isFirst, directory, random} = context
     this.manager = new QuarantineManager(
       settings.quarantine,
       {
         selfId: identity.id,
-        members,
-        isFirst,
+        getMembers: members,
+        isCleaner: isFirst,
         hasOlderAttempt: ({id}, before) => directory.get(id)?.hasAttemptBefore(before) ?? false
       },
       random,
--- a/src/parts/quota-part.ts
+++ b/src/parts/quota-part.ts
@@ -1,7 +1,7 @@
 /// Enforces tenants' quotas across the whole fleet.
 import type {PeerMessage} from "../daemon/peer-messages.js"
 import type {RouteConfiguration, Tenant} from "../forwarding/routes/route.js"
-import type {QuotaAnswer, QuotaRequest} from "../forwarding/admit/tenant-quota.js"
+import type {QuotaOutcome, QuotaRequest} from "../forwarding/admit/tenant-quota.js"
 import {QuotaManager, type QuotaEffect} from "../quotas/quota-manager.js"
 import type {QuotaLimit, QuotaSettings} from "../quotas/quota-settings.js"
 import {DaemonPart, type PartFigures, type PartContext} from "./daemon-part.js"
@@ -16,7 +16,7 @@
     settings: QuotaSettings
   ) {
     super()
-    const {identity, random, fleet} = context
+    const {identity, random, getFleet: fleet} = context
     this.manager = new QuotaManager(identity.id, settings, fleet, random, effect =>
       this.onQuotaEffect(effect)
     )
@@ -41,7 +41,7 @@
     }
   }
 
-  override takeQuota({tenant, requestId, cost, waitMs}: QuotaRequest, now: number): QuotaAnswer {
+  override takeQuota({tenant, requestId, cost, waitMs}: QuotaRequest, now: number): QuotaOutcome {
     return (
       this.manager.take(tenant.name, {requestId, tokens: cost, decideBy: now + waitMs}, now) ?? {
         kind: "waiting"
--- a/src/parts/region-part.ts
+++ b/src/parts/region-part.ts
@@ -44,7 +44,7 @@
     this.probes.delete(message.sequence)
     // An answer relayed by a third daemon took a different route.
     if (probe?.target !== fromId) return
-    const member = this.context.members().find(({id}) => id === fromId)
+    const member = this.context.getMembers().find(({id}) => id === fromId)
     if (member) this.addSample(member, now - probe.sentAt)
   }
 
--- a/src/parts/request-hooks.ts
+++ b/src/parts/request-hooks.ts
@@ -28,7 +28,7 @@
   }
   const runAll = (run: (part: DaemonPart) => void): void => getParts().forEach(run)
   return {
-    onRequestBegan: (tenant, at) => runAll(part => part.onRequestBegan?.(tenant, at)),
+    onExecutionStarted: (tenant, at) => runAll(part => part.onExecutionStarted?.(tenant, at)),
     getQuarantineMs: (key, now) => findFirst(part => part.getQuarantineMs?.(key, now)),
     getIsolatedCaller: (key, now) => findFirst(part => part.getIsolatedCaller?.(key, now)),
     onAttemptBroken: (key, backend, startedAt, now) =>
--- a/src/parts/stage-part.ts
+++ b/src/parts/stage-part.ts
@@ -13,11 +13,11 @@
 
   constructor(private readonly context: PartContext) {
     super()
-    const {identity, settings, members, directory, regions} = context
+    const {identity, settings, getMembers: members, directory, regions} = context
     this.manager = new StageManager(
       identity.id,
       settings.stages,
-      {members, directory, regionOf: zone => regions?.places.getRegion(zone) ?? identity.region},
+      {getMembers: members, directory, regionOf: zone => regions?.places.getRegion(zone) ?? identity.region},
       effect => this.onStageEffect(effect)
     )
   }
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -158,7 +158,7 @@
       getOpenRequestCount: () => this.daemon.countOpenRequests(),
       getConfigurationVersion: () => this.daemon.configurationVersion(),
       getConfigurationAgeMs: () => this.daemon.configurationAgeMs(now()),
-      getMemberCount: () => this.daemon.members(),
+      getMemberCount: () => this.daemon.getMemberCount(),
       getDroppedLineCount: () => this.log.getDroppedLineCount(),
       getPartFigures: () => this.daemon.getPartFigures(now()),
     });
--- a/src/process/outside-calls.ts
+++ b/src/process/outside-calls.ts
@@ -117,7 +117,7 @@
     const backendId = probe.backend.id;
     void this.backends
       .probe(probe, healthPath)
-      .then((well) => this.send({ kind: 'probed', backendId, well }));
+      .then((well) => this.send({ kind: 'probed', backendId, succeeded: well }));
   }
 
   private callDuty({ call, authority }: Effect<'callDuty'>): void {
--- a/src/quarantine/quarantine-manager.ts
+++ b/src/quarantine/quarantine-manager.ts
@@ -30,12 +30,12 @@
   | {readonly kind: "requestReleased"; readonly key: string}
 
 /// The quarantine's view of its daemon and fleet.
-export interface QuarantineContext {
+export interface QuarantineManagerContext {
   readonly selfId: string
   /// Active members, this daemon included.
-  members(): readonly Member[]
+  getMembers(): readonly Member[]
   /// Whether this daemon is the one that removes old rows from the store for the fleet.
-  isFirst(): boolean
+  isCleaner(): boolean
   /// Whether an attempt that started before the given time is in flight at a back end.
   hasOlderAttempt(backend: BackendIncarnation, before: number): boolean
 }
@@ -64,7 +64,7 @@
 
   constructor(
     private readonly settings: QuarantineSettings,
-    private readonly context: QuarantineContext,
+    private readonly context: QuarantineManagerContext,
     private readonly random: RandomSource,
     private readonly emit: EffectSink<QuarantineEffect>,
     now: number
@@ -145,7 +145,7 @@
       this.cleanedAt = now
       this.history.removeOld(now)
     }
-    this.archive.tick(this.context.isFirst(), now)
+    this.archive.tick(this.context.isCleaner(), now)
     this.sendDigestIfDue(now)
   }
 
@@ -263,12 +263,12 @@
   }
 
   private isRelayed(): boolean {
-    return this.context.members().length - 1 > this.settings.maximumDirectPeers
+    return this.context.getMembers().length - 1 > this.settings.maximumDirectPeers
   }
 
   private getPeers(): string[] {
     const {selfId} = this.context
-    const others = this.context.members().filter(({id}) => id !== selfId)
+    const others = this.context.getMembers().filter(({id}) => id !== selfId)
     return others.map(({address}) => address)
   }
 
--- a/test/daemon-parts.test.ts
+++ b/test/daemon-parts.test.ts
@@ -31,11 +31,11 @@
     permits: makePermits(),
     kvIndex: new KvIndex(),
     emit: () => undefined,
-    members: () => [],
-    fleet: () => ({ members: [], knownCount: 1, joined: true }),
+    getMembers: () => [],
+    getFleet: () => ({ members: [], knownCount: 1, joined: true }),
     decideQuota: () => undefined,
     isFirstReader: () => true,
-    routes: () => undefined,
+    getRoutes: () => undefined,
     logChange: () => undefined,
   };
 }
--- a/test/drawn-day.ts
+++ b/test/drawn-day.ts
@@ -312,7 +312,7 @@
           this.fleet.handle(node, {
             kind: 'probed',
             backendId: id,
-            well: !this.stoppedAddresses.has(address),
+            succeeded: !this.stoppedAddresses.has(address),
           }),
         );
         break;
--- a/test/fault-soak.test.ts
+++ b/test/fault-soak.test.ts
@@ -355,7 +355,7 @@
   it('a seed always gives the same plan', () => {
     const snapshot = new Snapshot('fault-soak-plan');
     const random = new SeededRandom(7);
-    const plan = makePlan({ daemons: ['d1', 'd2', 'd3'], places: 10 }, 20_000, () => random.next());
+    const plan = makePlan({ daemons: ['d1', 'd2', 'd3'], backendCount: 10 }, 20_000, () => random.next());
     for (const { atMs, fault } of plan)
       snapshot.add(`${atMs} ms: ${fault.getName()}, ${fault.durationMs} ms`);
     snapshot.check();
--- a/test/forwarding-harness.ts
+++ b/test/forwarding-harness.ts
@@ -13,7 +13,7 @@
 import { PermitManager } from '../src/forwarding/permits/permit-manager.js';
 import { RetryAllowance } from '../src/forwarding/retry/retry-allowance.js';
 import { RouteTable } from '../src/forwarding/routes/route-table.js';
-import type { QuotaAnswer, QuotaRequest } from '../src/forwarding/admit/tenant-quota.js';
+import type { QuotaOutcome, QuotaRequest } from '../src/forwarding/admit/tenant-quota.js';
 import { TenantDirectory } from '../src/forwarding/routes/tenant-directory.js';
 import type { BackendRecord, EngineStage, Route } from '../src/forwarding/routes/route.js';
 import { DistanceCost } from '../src/places/distance-cost.js';
@@ -56,7 +56,7 @@
   readonly distance: BackendDistance;
   /** Charges and refunds by tenant; requests that were removed while waiting are recorded by id, with 0. */
   readonly quotaCharges: [string, number][] = [];
-  takeQuota: (request: QuotaRequest) => QuotaAnswer | undefined = () => undefined;
+  takeQuota: (request: QuotaRequest) => QuotaOutcome | undefined = () => undefined;
 
   constructor(
     routes: readonly Route[],
@@ -83,7 +83,7 @@
         configurationMayBeStale: () => this.stale,
         getOutageMs: () => 0,
         getDaemonCount: () => 1,
-        onRequestBegan: (tenant, at) => this.executionStarts.push([tenant, at]),
+        onExecutionStarted: (tenant, at) => this.executionStarts.push([tenant, at]),
         getQuarantineMs: () => undefined,
         getIsolatedCaller: () => undefined,
         onAttemptBroken: () => undefined,
--- a/test/kv-index.test.ts
+++ b/test/kv-index.test.ts
@@ -97,7 +97,7 @@
     this.directory.put(makeLabBackend('plain', '10.0.0.2:1'));
     this.follower = new KvFollower(
       DEFAULT_KV_FOLLOWER_SETTINGS,
-      { countMembers: () => daemons, capacityTokens: () => CAPACITY },
+      { countMembers: () => daemons, getCapacityTokens: () => CAPACITY },
       this.directory,
       this.index,
       (call) => this.calls.push(call),
--- a/test/prompt-pace.test.ts
+++ b/test/prompt-pace.test.ts
@@ -1,14 +1,14 @@
 /** The time that engines take for prompts, learned from samples. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { DEFAULT_PROMPT_PACE_SETTINGS, PromptPace } from '../src/forwarding/pace/prompt-pace.js';
+import { DEFAULT_PACE_LINE_SETTINGS, PaceLine } from '../src/forwarding/pace/prompt-pace.js';
 
 const SEED = 20261205;
 
 describe('pace of prompts', () => {
   it('learns the fixed time and the time per token of engines with 30 to 400 tokens a millisecond', () => {
     for (const tokensPerMs of [30, 60, 300, 400]) {
-      const pace = new PromptPace(DEFAULT_PROMPT_PACE_SETTINGS);
+      const pace = new PaceLine(DEFAULT_PACE_LINE_SETTINGS);
       for (let count = 1; count <= 60; count += 1) {
         const tokens = 500 * (1 + (count % 20));
         pace.addSample(tokens, 5 + tokens / tokensPerMs);
@@ -18,8 +18,8 @@
   });
 
   it('predicts nothing before it has the minimum number of samples', () => {
-    const pace = new PromptPace(DEFAULT_PROMPT_PACE_SETTINGS);
-    for (let count = 1; count < DEFAULT_PROMPT_PACE_SETTINGS.minimumSamples; count += 1)
+    const pace = new PaceLine(DEFAULT_PACE_LINE_SETTINGS);
+    for (let count = 1; count < DEFAULT_PACE_LINE_SETTINGS.minimumSamples; count += 1)
       pace.addSample(100, 10);
     expect(pace.getExpectedMs(100)).to.equal(undefined);
     pace.addSample(100, 10);
@@ -27,7 +27,7 @@
   });
 
   it('follows engines that become slower', () => {
-    const pace = new PromptPace(DEFAULT_PROMPT_PACE_SETTINGS);
+    const pace = new PaceLine(DEFAULT_PACE_LINE_SETTINGS);
     const feed = (factor: number) => {
       for (let count = 0; count < 300; count += 1) {
         const tokens = 1000 * (1 + (count % 8));
@@ -43,7 +43,7 @@
     const figure = fc.oneof(fc.double(), fc.integer({ min: -10, max: 100_000 }), fc.constant(0));
     fc.assert(
       fc.property(fc.array(fc.tuple(figure, figure), { maxLength: 60 }), (samples) => {
-        const pace = new PromptPace(DEFAULT_PROMPT_PACE_SETTINGS);
+        const pace = new PaceLine(DEFAULT_PACE_LINE_SETTINGS);
         for (const [tokens, ms] of samples) pace.addSample(tokens, ms);
         const few = pace.getExpectedMs(100);
         const many = pace.getExpectedMs(50_000);
--- a/test/quota-requests.test.ts
+++ b/test/quota-requests.test.ts
@@ -8,7 +8,7 @@
 import type { ForwardRequest } from '../src/forwarding/forward-request.js';
 import type { Tenant } from '../src/forwarding/routes/route.js';
 import { TenantDirectory } from '../src/forwarding/routes/tenant-directory.js';
-import type { QuotaAnswer } from '../src/forwarding/admit/tenant-quota.js';
+import type { QuotaOutcome } from '../src/forwarding/admit/tenant-quota.js';
 import { ENGINES, ForwardingHarness, PLAIN, makePrompt } from './forwarding-harness.js';
 
 const LIMIT = { ratePerSecond: 62_000, burst: 62_000 };
@@ -23,7 +23,7 @@
   const REFUSED = { kind: 'refused', retryAfterMs: 700, fields: { reason: 'limit' } } as const;
 
   function makeForwarding(
-    answer: QuotaAnswer,
+    answer: QuotaOutcome,
     backends = PLAIN,
     route = makeLabRoute({ kind: 'idempotent' }),
   ): ForwardingHarness {
--- a/test/run-quarantine.test.ts
+++ b/test/run-quarantine.test.ts
@@ -50,7 +50,7 @@
   readonly effects: CompletionDaemonEffect[] = [];
   readonly quarantine = new CompletionQuarantine({
     selfId: 'daemon-1',
-    members: () => [],
+    getMembers: () => [],
     hasOlderAttempt: () => false,
     random: new SeededRandom(1),
     emit: (effect) => this.effects.push(effect),
