--- a/simulation/signal-site.ts
+++ b/simulation/signal-site.ts
@@ -31,7 +31,7 @@
 /** Processing time of a back end: a minimum and a random part. Milliseconds. */
 const MINIMUM_WORK_MS = 15;
 const WORK_SPREAD_MS = 30;
-/** Interval at which arrivals are drawn. Milliseconds. */
+/** Interval at which callers' arrivals are drawn at random. Milliseconds. */
 const ARRIVAL_STEP_MS = 5;
 
 /** One request that reached a back end. */
@@ -152,7 +152,7 @@
     );
   }
 
-  /** Finds the most requests that a daemon sent to a back end during one back-off that the back end had asked for. */
+  /** Finds the highest number of requests that a daemon sent to a back end during one back-off. */
   findMostDuringBackOff(): number {
     const counts = this.backOffSpans.map(({ pair, from, until }) => {
       const within = this.arrivals.filter(
@@ -207,8 +207,8 @@
   }
 
   /**
-   * Finds the most requests of a back end in any window, and the number allowed. Counts only daemons that knew the
-   * limit and are not exempt, for example because they were paused.
+   * Finds the highest number of requests to a back end in any window, and the number allowed. Counts only requests of
+   * daemons that knew the limit and are not exempt, for example because they were paused.
    */
   findWorstWindow(
     backendId: string,
--- a/test/back-off-signals.test.ts
+++ b/test/back-off-signals.test.ts
@@ -5,7 +5,7 @@
 const SEED = 20261203;
 const LOAD = { '/a/x': 120 };
 const BACK_OFF_MS = 3000;
-/** Requests of one daemon that may still reach a back end during a back-off. */
+/** Number of requests of one daemon that may still reach a back end during a back-off. */
 const ALLOWED = 2;
 
 function runFleet(
@@ -26,17 +26,17 @@
 
 describe('back ends that ask a daemon to back off', () => {
   for (const share of [0.05, 0.4])
-    it(`on ${share} of the requests, with other back ends left: get no more requests from these daemons`, () => {
+    it(`on ${share} of the requests, while others do not: get at most 2 more requests from it meanwhile`, () => {
       const site = runFleet(6, ['b0', 'b1'], share);
       expect(site.findMostDuringBackOff()).to.be.at.most(ALLOWED);
     });
 
-  it('get no computed prompts handed over from these daemons', () => {
+  it('get at most 2 more requests from it meanwhile, computed prompts that are handed over included', () => {
     const site = runFleet(8, ['b1', 'b3'], 0.2, true);
     expect(site.findMostDuringBackOff()).to.be.at.most(ALLOWED);
   });
 
-  it('all of a service: requests are refused at once, with the time until the first back-off ends', () => {
+  it('all back ends of a service: requests are refused at once, with the time until the first back-off ends', () => {
     const site = runFleet(3, ['b0', 'b1', 'b2'], 0.3);
     expect(site.findMostDuringBackOff()).to.be.at.most(ALLOWED);
     const refusals = site.findRefusals();
