--- a/simulation/forwarding-fleet.ts
+++ b/simulation/forwarding-fleet.ts
@@ -9,7 +9,7 @@
 } from '../src/daemon/forwarding-daemon-settings.js';
 import type { ForwardingEffect, ForwardingEvent } from '../src/daemon/forwarding-messages.js';
 import type { PeerMessage } from '../src/daemon/peer-messages.js';
-import type { BackendIncarnation } from '../src/quarantine/break-watch.js';
+import type { BackendIncarnation } from '../src/quarantine/crash-detector.js';
 import type { RecordRead, RecordReadResult, StoredRecord } from '../src/fleet/record-store.js';
 import { SeededRandom } from '../src/shared/random.js';
 import type { AttemptStart, ForwardAttemptEvent } from '../src/forwarding/forward-messages.js';
--- a/src/adapters/attempt-handler.ts
+++ b/src/adapters/attempt-handler.ts
@@ -8,7 +8,7 @@
 import type { BackendDialect, CallerHead, RawHeaders } from './backend-dialect.js';
 import { EventSplitter } from './event-splitter.js';
 import { pickEndToEndHeaders, getHeaderValue } from './http-headers.js';
-import type { ResetDetector } from './reset-watch.js';
+import type { ResetDetector } from './reset-detector.js';
 import type { ServerPool } from './server-pool.js';
 import {
   FIRST_FINAL_STATUS,
--- a/src/adapters/backend-client.ts
+++ b/src/adapters/backend-client.ts
@@ -17,7 +17,7 @@
 } from './attempt-handler.js';
 import type { BackendDialect, PlainCall } from './backend-dialect.js';
 import { getFailureReason } from '../shared/failure-reason.js';
-import { ResetDetector } from './reset-watch.js';
+import { ResetDetector } from './reset-detector.js';
 import { ServerPool } from './server-pool.js';
 
 export type { CallerRequest, BufferedAnswer, StreamSink } from './attempt-handler.js';
--- a/src/adapters/listener-check.ts
+++ b/src/adapters/listener-check.ts
@@ -3,7 +3,7 @@
  * would have to queue at a back end that is only busy.
  */
 import { createConnection } from 'node:net';
-import type { BackendCheck } from '../quarantine/break-watch.js';
+import type { BackendCheck } from '../quarantine/crash-detector.js';
 import { splitAddress } from '../shared/address.js';
 
 /** A connection attempt that takes longer is inconclusive. Milliseconds. */
--- a/src/adapters/server-pool.ts
+++ b/src/adapters/server-pool.ts
@@ -5,7 +5,7 @@
  */
 import { Pool } from 'undici';
 import type { Socket } from 'node:net';
-import type { ResetDetector } from './reset-watch.js';
+import type { ResetDetector } from './reset-detector.js';
 
 /** Settings of one pool. */
 interface ServerPoolSettings {
--- a/src/daemon/completion-daemon-settings.ts
+++ b/src/daemon/completion-daemon-settings.ts
@@ -9,7 +9,7 @@
   type ConfigurationSettings,
 } from '../configuration/configuration-replica.js';
 import { DEFAULT_LEASE_SETTINGS, type LeaseSettings } from '../lease/cell-lease.js';
-import { DEFAULT_LEDGER_SETTINGS, type LedgerSettings } from '../ledger/once-ledger.js';
+import { DEFAULT_LEDGER_SETTINGS, type LedgerSettings } from '../ledger/at-most-once-ledger.js';
 import { DEFAULT_LIMIT_SETTINGS, type LimitSettings } from '../limits/limit-messages.js';
 import { DEFAULT_MEMBERSHIP_SETTINGS, type MembershipSettings } from '../membership/membership-settings.js';
 import { DEFAULT_COMPLETION_SETTINGS, type CompletionSettings } from '../routing/completion-effects.js';
--- a/src/daemon/completion-machines.ts
+++ b/src/daemon/completion-machines.ts
@@ -7,7 +7,7 @@
  * (`defer`).
  */
 import { ConfigurationReplica, type Freshness } from '../configuration/configuration-replica.js';
-import { AtMostOnceLedger } from '../ledger/once-ledger.js';
+import { AtMostOnceLedger } from '../ledger/at-most-once-ledger.js';
 import { createInitialMember } from '../membership/member-rules.js';
 import { Membership } from '../membership/membership.js';
 import type { DaemonIdentity } from '../membership/membership-messages.js';
@@ -32,7 +32,7 @@
 } from './effect-sinks.js';
 import { LimitManager } from './limit-manager.js';
 import { getPeerContact } from './peer-contact.js';
-import { CompletionQuarantine } from './run-quarantine.js';
+import { CompletionQuarantine } from './completion-quarantine.js';
 import { ServiceEditor } from './service-editor.js';
 
 /** What the machines are created from. */
--- a/src/daemon/completion-messages.ts
+++ b/src/daemon/completion-messages.ts
@@ -9,7 +9,7 @@
   EngineControlResult,
 } from '../contracts/engine-protocol.js';
 import type { PulleyledgeError } from '../errors/index.js';
-import type { BackendCheck, CheckBackend, BackendIncarnation } from '../quarantine/break-watch.js';
+import type { BackendCheck, CheckBackend, BackendIncarnation } from '../quarantine/crash-detector.js';
 import type { MachineListing } from '../contracts/machine-list.js';
 import type { TableRequest, TableResult } from '../contracts/table-service.js';
 import type {
--- a/src/daemon/run-quarantine.ts
+++ b/src/daemon/completion-quarantine.ts
@@ -4,12 +4,12 @@
  * passes them to the quarantine machine in `src/quarantine`, which owns the state and the rules.
  */
 import type { Member } from '../membership/membership-messages.js';
-import type { BackendCheck, BackendIncarnation } from '../quarantine/break-watch.js';
+import type { BackendCheck, BackendIncarnation } from '../quarantine/crash-detector.js';
 import { QuarantineManager, type QuarantineEffect } from '../quarantine/quarantine-manager.js';
 import type { QuarantineMessage } from '../quarantine/quarantine-messages.js';
 import { DEFAULT_QUARANTINE_SETTINGS } from '../quarantine/quarantine-settings.js';
 import type { TableResult } from '../contracts/table-service.js';
-import { AttemptListener, type AttemptBackend } from '../routing/run-listener.js';
+import { AttemptListener, type AttemptBackend } from '../routing/attempt-listener.js';
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { RandomSource } from '../shared/random.js';
 import { getRendezvousRank } from '../shared/rendezvous-hash.js';
--- a/src/daemon/effect-sinks.ts
+++ b/src/daemon/effect-sinks.ts
@@ -4,7 +4,7 @@
  */
 import type { ConfigurationReplica } from '../configuration/configuration-replica.js';
 import type { MembershipEffect } from '../membership/membership.js';
-import type { LedgerEffect } from '../ledger/once-ledger.js';
+import type { LedgerEffect } from '../ledger/at-most-once-ledger.js';
 import type { ApplicationManager } from '../routing/application-manager.js';
 import type { ApplicationEffect } from '../routing/application-messages.js';
 import type { CompletionEffect } from '../routing/completion-effects.js';
--- a/src/daemon/forwarding-messages.ts
+++ b/src/daemon/forwarding-messages.ts
@@ -9,7 +9,7 @@
 import type { BackendSignals } from '../forwarding/backends/backend-signals.js';
 import type { ForwardRequest } from '../forwarding/forward-request.js';
 import type { KvChanges, KvChangesCall } from '../forwarding/kv-cache/kv-follower.js';
-import type { BackendCheck, BackendIncarnation } from '../quarantine/break-watch.js';
+import type { BackendCheck, BackendIncarnation } from '../quarantine/crash-detector.js';
 import type { HealthProbe } from '../forwarding/backends/health-prober.js';
 import type { BackendRecord, RouteConfiguration } from '../forwarding/routes/route.js';
 import type { TableRequest, TableResult } from '../contracts/table-service.js';
--- a/src/fleet/record-copy.ts
+++ b/src/fleet/record-copy.ts
@@ -3,7 +3,7 @@
 import type {BackendRecord, RouteConfiguration} from "../forwarding/routes/route.js"
 import type {EffectSink} from "../shared/effect-sink.js"
 import {STORE_SOURCE, type FleetEffect, type RecordSource} from "./fleet-effects.js"
-import {ExpiredBackends} from "./lapsed-backends.js"
+import {ExpiredBackends} from "./expired-backends.js"
 import type {RecordCollection, StoredRecord} from "./record-store.js"
 
 interface KnownBackend {
--- a/src/forwarding/backends/backend-directory.ts
+++ b/src/forwarding/backends/backend-directory.ts
@@ -1,7 +1,7 @@
 /// All back ends that this daemon knows, by id and by service. Owns their views; relies on the fleet's
 /// replica for the records and on the digests of the peers for the load of other daemons.
 import type {BackendRecord} from "../routes/route.js"
-import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type PaceTrackerSettings} from "../pace/pace-book.js"
+import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type PaceTrackerSettings} from "../pace/pace-tracker.js"
 import {STAGE_CHANGE_VOTES, PeerLoads, type BackendLoad} from "./peer-loads.js"
 import type {BackendHealthSettings} from "./backend-health.js"
 import {BackendView} from "./backend-view.js"
--- a/src/forwarding/backends/backend-view.ts
+++ b/src/forwarding/backends/backend-view.ts
@@ -1,7 +1,7 @@
 /// One incarnation of a back end as this daemon sees it. Owns its record, this daemon's attempts there and
 /// their uncomputed prompt tokens; its health has a class of its own (backend-health.ts). Relies on the
 /// peers' digests for the load of the other daemons.
-import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type BackendPace} from "../pace/pace-book.js"
+import {DEFAULT_PACE_TRACKER_SETTINGS, PaceTracker, type BackendPace} from "../pace/pace-tracker.js"
 import type {AdvertisedLimit} from "./advertised-limit.js"
 import {BackendHealth, type BackendHealthSettings} from "./backend-health.js"
 import type {PeerLoads} from "./peer-loads.js"
--- a/src/forwarding/choose/backend-picker-settings.ts
+++ b/src/forwarding/choose/backend-picker-settings.ts
@@ -1,5 +1,5 @@
 /// Settings of the choice of back ends.
-import {DEFAULT_PACE_TRACKER_SETTINGS, type PaceTrackerSettings} from "../pace/pace-book.js"
+import {DEFAULT_PACE_TRACKER_SETTINGS, type PaceTrackerSettings} from "../pace/pace-tracker.js"
 
 /// Settings of the choice of back ends and their defaults.
 export interface BackendPickerSettings {
--- a/src/forwarding/pace/attempt-pace.ts
+++ b/src/forwarding/pace/attempt-pace.ts
@@ -1,6 +1,6 @@
 /// Pace samples from the course of an attempt. Owns no state; adds to the pace of the attempt's back end.
 import type {LiveAttempt} from "../forward-session.js"
-import type {PaceMeasure} from "./pace-book.js"
+import type {PaceMeasure} from "./pace-tracker.js"
 import type {BackendChoice} from "../choose/backend-choice.js"
 import type {BackendRecord} from "../routes/route.js"
 
--- a/src/forwarding/pace/pace-book.ts
+++ b/src/forwarding/pace/pace-tracker.ts
@@ -3,7 +3,7 @@
 /// same ratio, the time of its answers over the time that the group takes for the same load. A back end that
 /// was replaced starts again as average. Owns the regression lines of the groups and the samples of the back
 /// ends.
-import {DEFAULT_PACE_LINE_SETTINGS, isValidSample, PaceLine, type PaceLineSettings} from "./prompt-pace.js"
+import {DEFAULT_PACE_LINE_SETTINGS, isValidSample, PaceLine, type PaceLineSettings} from "./pace-line.js"
 
 /// Settings of the pace tracker.
 export interface PaceTrackerSettings {
--- a/src/parts/quarantine-part.ts
+++ b/src/parts/quarantine-part.ts
@@ -4,7 +4,7 @@
 import type {BackendRecord} from "../forwarding/routes/route.js"
 import {getIncarnation} from "../quarantine/incarnation.js"
 import {QuarantineManager, type QuarantineEffect} from "../quarantine/quarantine-manager.js"
-import type {BackendIncarnation} from "../quarantine/break-watch.js"
+import type {BackendIncarnation} from "../quarantine/crash-detector.js"
 import {DaemonPart, type AnswerEvent, type PartFigures, type PartContext} from "./daemon-part.js"
 
 /// The part that runs the quarantine.
--- a/src/process/completion-actors.ts
+++ b/src/process/completion-actors.ts
@@ -11,7 +11,7 @@
 import type { PlatformClient } from '../adapters/platform-client.js';
 import type { CompletionDaemon } from '../daemon/completion-daemon.js';
 import type { CompletionDaemonEffect, CompletionDaemonEvent } from '../daemon/completion-messages.js';
-import { SuspensionDetector } from '../shared/suspension-watch.js';
+import { SuspensionDetector } from '../shared/suspension-detector.js';
 import { spawnActor } from './spawn-actor.js';
 
 type EffectOf<Kind extends CompletionDaemonEffect['kind']> = Extract<CompletionDaemonEffect, { kind: Kind }>;
--- a/src/process/completion-process.ts
+++ b/src/process/completion-process.ts
@@ -15,7 +15,7 @@
 import { PulleyledgeError } from '../errors/index.js';
 import { createCallerServer, type ApplicationSink, type CallerHandler } from '../gateway/caller-server.js';
 import { runAfterNextPoll } from '../gateway/after-next-poll.js';
-import { KeepAliveConnections } from '../gateway/kept-connections.js';
+import { KeepAliveConnections } from '../gateway/keep-alive-connections.js';
 import { createOperatorServer } from '../gateway/operator-server.js';
 import type { ReplySink } from '../gateway/reply-sink.js';
 import type { ApplicationCall } from '../routing/application-messages.js';
--- a/src/process/forwarding-process.ts
+++ b/src/process/forwarding-process.ts
@@ -15,12 +15,12 @@
 import { ListenError, type PulleyledgeError } from '../errors/index.js';
 import { ForwardServer } from '../gateway/forward-server.js';
 import { delay } from '../shared/delay.js';
-import { SuspensionDetector } from '../shared/suspension-watch.js';
+import { SuspensionDetector } from '../shared/suspension-detector.js';
 import { createDaemonStart, type DaemonStart } from './daemon-identity.js';
 import { ForwardingMetrics } from './forwarding-metrics.js';
 import { createMetricsServer, createReadyServer } from './status-servers.js';
 import { OpenRequests } from './open-requests.js';
-import { ExternalCalls, type ExternalSystems } from './outside-calls.js';
+import { ExternalCalls, type ExternalSystems } from './external-calls.js';
 import { DecisionLog } from './decision-log.js';
 import type { ForwardingProcessSettings } from './forwarding-process-settings.js';
 import { spawnActor } from './spawn-actor.js';
--- a/src/quarantine/break-watch.ts
+++ b/src/quarantine/crash-detector.ts
@@ -6,7 +6,7 @@
 /// Owns the broken attempts that are still unexplained, and the schedule of the checks of their back ends.
 /// Relies on its caller to run the checks and to report records that are gone.
 import type {EffectSink} from "../shared/effect-sink.js"
-import type {BackendCrash} from "./end-record.js"
+import type {BackendCrash} from "./crash-history.js"
 
 /// One start of a back end.
 export interface BackendIncarnation {
--- a/src/quarantine/quarantine-manager.ts
+++ b/src/quarantine/quarantine-manager.ts
@@ -1,6 +1,6 @@
 /// Keeps requests that crash back ends away from them, in the whole fleet. A daemon whose attempts break
-/// determines whether the back end crashed (break-watch.ts). Crashes are counted by request
-/// (end-record.ts), sent to the peers at once, periodically compared with one of them, and kept in the
+/// determines whether the back end crashed (crash-detector.ts). Crashes are counted by request
+/// (crash-history.ts), sent to the peers at once, periodically compared with one of them, and kept in the
 /// table store (quarantine-archive.ts). So the evidence of one daemon reaches those that were partitioned,
 /// and survives daemons that stop. Owns the quarantine of one daemon; relies on its caller for attempts,
 /// records and messages.
@@ -9,8 +9,13 @@
 import {hashText} from "../shared/rendezvous-hash.js"
 import type {Member} from "../membership/membership-messages.js"
 import type {TableResult} from "../contracts/table-service.js"
-import {CrashDetector, type BackendCheck, type CheckBackend, type BackendIncarnation} from "./break-watch.js"
-import {CrashHistory, type BackendCrash} from "./end-record.js"
+import {
+  CrashDetector,
+  type BackendCheck,
+  type CheckBackend,
+  type BackendIncarnation
+} from "./crash-detector.js"
+import {CrashHistory, type BackendCrash} from "./crash-history.js"
 import {QuarantineArchive, type QuarantineTable} from "./quarantine-archive.js"
 import {MAXIMUM_FACTS, type QuarantineFacts, type QuarantineMessage} from "./quarantine-messages.js"
 import {getCallerOfKey} from "./request-key.js"
--- a/src/quotas/quota-holder.ts
+++ b/src/quotas/quota-client.ts
@@ -5,7 +5,7 @@
 import type {QuotaDecision} from "../forwarding/admit/tenant-quota.js"
 import {NO_OWNER_RETRY_AFTER_MS, spreadQuotaRetryAfter} from "../forwarding/admit/retry-after.js"
 import {MAXIMUM_NEEDS, type QuotaAnswer, type QuotaAsk} from "./quota-messages.js"
-import {RESERVE_MS} from "./quota-owner.js"
+import {RESERVE_MS} from "./owned-bucket.js"
 import {getAllowance, type QuotaLimit, type QuotaSettings} from "./quota-settings.js"
 import {TokenBucket} from "./token-bucket.js"
 
--- a/src/quotas/quota-manager.ts
+++ b/src/quotas/quota-manager.ts
@@ -6,9 +6,9 @@
 import type {RandomSource} from "../shared/random.js"
 import type {EffectSink} from "../shared/effect-sink.js"
 import {OwnerRanking, type FleetView} from "./owner-ranking.js"
-import {QuotaClient, type QuotaNeed} from "./quota-holder.js"
+import {QuotaClient, type QuotaNeed} from "./quota-client.js"
 import type {QuotaAnswer, QuotaAsk, QuotaHandover, QuotaMessage} from "./quota-messages.js"
-import {OwnedBucket} from "./quota-owner.js"
+import {OwnedBucket} from "./owned-bucket.js"
 import {getBucketLimit, getDebtTokens, type QuotaLimit, type QuotaSettings} from "./quota-settings.js"
 
 /// Messages and decisions that the manager emits.
--- a/src/routing/application-manager.ts
+++ b/src/routing/application-manager.ts
@@ -16,14 +16,14 @@
   type PulleyledgeError,
 } from '../errors/index.js';
 import type { ServiceRow } from '../configuration/service-row.js';
-import type { AtMostOnceLedger, RecordedOutcome } from '../ledger/once-ledger.js';
+import type { AtMostOnceLedger, RecordedOutcome } from '../ledger/at-most-once-ledger.js';
 import type { EffectSink } from '../shared/effect-sink.js';
 import type { RandomSource } from '../shared/random.js';
 import type { ApplicationCall, ApplicationEffect, ApplicationEvent } from './application-messages.js';
 import { ApplicationServers, type ApplicationServer } from './application-servers.js';
 import { NO_SERVER_RETRY_AFTER_MS } from './retry-after.js';
 import { RetryRule, type RetryRuleSettings } from './retry-rule.js';
-import { NoAttemptListener, type AttemptListener } from './run-listener.js';
+import { NoAttemptListener, type AttemptListener } from './attempt-listener.js';
 
 interface CallSession {
   readonly call: ApplicationCall;
--- a/src/routing/completion-dispatch.ts
+++ b/src/routing/completion-dispatch.ts
@@ -9,7 +9,7 @@
 import { getNotRun, type Session } from './completion-session.js';
 import type { EngineDirectory } from './engine-directory.js';
 import type { EngineChoice, EnginePicker, PickOutcome } from './engine-picker.js';
-import type { AttemptListener } from './run-listener.js';
+import type { AttemptListener } from './attempt-listener.js';
 
 /** The decision about a request. */
 type DispatchDecision =
--- a/src/routing/completion-manager.ts
+++ b/src/routing/completion-manager.ts
@@ -31,7 +31,7 @@
 import type { DirectorySettings, EngineDirectory, EngineView } from './engine-directory.js';
 import type { EngineChoice, EnginePicker } from './engine-picker.js';
 import { RetryRule } from './retry-rule.js';
-import { NoAttemptListener, type AttemptListener } from './run-listener.js';
+import { NoAttemptListener, type AttemptListener } from './attempt-listener.js';
 import { WaitEstimator } from './wait-estimator.js';
 
 /**
--- a/test/run-quarantine.test.ts
+++ b/test/completion-quarantine.test.ts
@@ -1,15 +1,15 @@
 /**
  * Requests that crash engines and servers, sent as completions and application calls. Crashes are counted by
- * request key, as for forwarded requests; request-that-ends-back-ends.test.ts describes the failure. Without
+ * request key, as for forwarded requests; requests-that-crash-back-ends.test.ts describes the failure. Without
  * a key, ten such calls crash ten servers here.
  */
 import { expect } from 'chai';
 import { DEFAULT_COMPLETION_DAEMON_SETTINGS } from '../src/daemon/completion-daemon-settings.js';
-import { CompletionQuarantine } from '../src/daemon/run-quarantine.js';
+import { CompletionQuarantine } from '../src/daemon/completion-quarantine.js';
 import type { CompletionDaemonEffect } from '../src/daemon/completion-messages.js';
 import { parseServiceRow } from '../src/configuration/service-row.js';
 import type { EngineReport } from '../src/contracts/engine-protocol.js';
-import { AtMostOnceLedger } from '../src/ledger/once-ledger.js';
+import { AtMostOnceLedger } from '../src/ledger/at-most-once-ledger.js';
 import { QuarantinedError } from '../src/errors/index.js';
 import { ApplicationManager } from '../src/routing/application-manager.js';
 import type { ApplicationEffect } from '../src/routing/application-messages.js';
--- a/test/break-watch.test.ts
+++ b/test/crash-detector.test.ts
@@ -1,6 +1,6 @@
 /** The crash detector: which observations prove that a back end crashed under an attempt, and which do not. */
 import { expect } from 'chai';
-import { CrashDetector, type BackendCheck, type CheckBackend } from '../src/quarantine/break-watch.js';
+import { CrashDetector, type BackendCheck, type CheckBackend } from '../src/quarantine/crash-detector.js';
 
 const BACKEND = { id: 'b1', incarnation: 'b1', address: '10.0.0.1:80' };
 
--- a/test/end-record.test.ts
+++ b/test/crash-history.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { PlatformModel } from '../lab/platform-model.js';
 import type { TableResult } from '../src/contracts/table-service.js';
-import { CrashHistory, type BackendCrash } from '../src/quarantine/end-record.js';
+import { CrashHistory, type BackendCrash } from '../src/quarantine/crash-history.js';
 import { QuarantineArchive, type QuarantineTable } from '../src/quarantine/quarantine-archive.js';
 import { DEFAULT_QUARANTINE_SETTINGS } from '../src/quarantine/quarantine-settings.js';
 import { makeRequestKey } from '../src/quarantine/request-key.js';
--- a/test/prompt-pace.test.ts
+++ b/test/pace-line.test.ts
@@ -1,7 +1,7 @@
 /** The time that engines take for prompts, learned from samples. */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { DEFAULT_PACE_LINE_SETTINGS, PaceLine } from '../src/forwarding/pace/prompt-pace.js';
+import { DEFAULT_PACE_LINE_SETTINGS, PaceLine } from '../src/forwarding/pace/pace-line.js';
 
 const SEED = 20261205;
 
--- a/test/pace-book.test.ts
+++ b/test/pace-tracker.test.ts
@@ -5,7 +5,7 @@
   DEFAULT_PACE_TRACKER_SETTINGS,
   PaceTracker,
   type PaceTrackerSettings,
-} from '../src/forwarding/pace/pace-book.js';
+} from '../src/forwarding/pace/pace-tracker.js';
 import { SeededRandom, type RandomSource } from '../src/shared/random.js';
 
 const SEED = 20261202;
--- a/test/paused-server.test.ts
+++ b/test/paused-server.test.ts
@@ -10,7 +10,7 @@
 import { once } from 'node:events';
 import { Worker } from 'node:worker_threads';
 import { ForwardServer } from '../src/gateway/forward-server.js';
-import { KeepAliveConnections } from '../src/gateway/kept-connections.js';
+import { KeepAliveConnections } from '../src/gateway/keep-alive-connections.js';
 import { findFreeAddresses } from '../lab/free-ports.js';
 
 /** Idle timeout of the server's connections. Milliseconds. */
--- a/test/quota-restarts.test.ts
+++ b/test/quota-restarts.test.ts
@@ -6,7 +6,7 @@
 import { makeLabBackend, makeLabConfiguration, makeLabRoute } from '../lab/forwarding-site.js';
 import { FLEET_SETTINGS, ForwardingFleet } from '../simulation/forwarding-fleet.js';
 import { QuotaManager } from '../src/quotas/quota-manager.js';
-import { OwnedBucket } from '../src/quotas/quota-owner.js';
+import { OwnedBucket } from '../src/quotas/owned-bucket.js';
 import type { QuotaLimit } from '../src/quotas/quota-settings.js';
 import { SeededRandom } from '../src/shared/random.js';
 
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { decodePeerMessage, encodePeerMessage } from '../src/adapters/peer-codec.js';
 import type { QuotaLimit } from '../src/quotas/quota-settings.js';
-import { OwnedBucket } from '../src/quotas/quota-owner.js';
+import { OwnedBucket } from '../src/quotas/owned-bucket.js';
 import { TokenBucket } from '../src/quotas/token-bucket.js';
 import { SeededRandom } from '../src/shared/random.js';
 import { QuotaFleet, type QuotaNode } from '../simulation/quota-fleet.js';
--- a/test/stop-listening.test.ts
+++ b/test/stop-listening.test.ts
@@ -7,7 +7,7 @@
 import { connect, type AddressInfo } from 'node:net';
 import { once } from 'node:events';
 import { Worker } from 'node:worker_threads';
-import { KeepAliveConnections } from '../src/gateway/kept-connections.js';
+import { KeepAliveConnections } from '../src/gateway/keep-alive-connections.js';
 import { stopListening } from '../src/adapters/listen.js';
 import { delay } from '../src/shared/delay.js';
 
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -8,7 +8,7 @@
 import { PlatformModel } from '../lab/platform-model.js';
 import { ForwardingFleet } from '../simulation/forwarding-fleet.js';
 import { CellLease, DEFAULT_LEASE_SETTINGS, type LeaseEffect } from '../src/lease/cell-lease.js';
-import { SuspensionDetector } from '../src/shared/suspension-watch.js';
+import { SuspensionDetector } from '../src/shared/suspension-detector.js';
 
 const SEED = 20261203;
 const WALL_MS = 1_800_000_000_000;
